--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -107,7 +107,7 @@
     /// Requests that the guard of the dispatcher expired.
     requests_expired => "overdue",
     /// Attempts that the decision module asked for.
-    attempts_ordered => "calls_ordered",
+    attempts_requested => "calls_ordered",
     /// Attempts that were served.
     attempts_served => "calls_ok",
     /// Attempts at a cache node that did not hold the key.
@@ -139,7 +139,7 @@
     /// Watches that failed or ended.
     watches_failed => "watches_failed",
     /// Lists and changes received from discovery.
-    lists => "lists",
+    endpoint_lists => "lists",
     /// Reloads of the configuration at SIGHUP.
     reloads => "reloads",
     /// Reloads that found a bad configuration; the old one stayed active.
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -97,7 +97,7 @@
         }
         let form = if list.reset { ListForm::Full } else { ListForm::Delta };
         self.generation = list.generation;
-        self.counters.lists.increment();
+        self.counters.endpoint_lists.increment();
         self.update_endpoints(form, list.instances);
         Ok(())
     }
--- a/src/net/dispatcher/attempts.rs
+++ b/src/net/dispatcher/attempts.rs
@@ -59,9 +59,9 @@
         let Some(in_flight) = state.requests.get_mut(&plan.request) else {
             return Err(plan.not_sent(0, None));
         };
-        let attempt = in_flight.attempts_ordered;
-        in_flight.attempts_ordered = attempt.saturating_add(1);
-        self.counters.attempts_ordered.increment();
+        let attempt = in_flight.attempts_requested;
+        in_flight.attempts_requested = attempt.saturating_add(1);
+        self.counters.attempts_requested.increment();
         if !in_flight.attempts.is_empty() {
             let id = &in_flight.request.opaque;
             log(&format!("ERROR: a second attempt was ordered while one is in flight: {id}"));
@@ -74,7 +74,7 @@
         in_flight.attempts.insert(attempt, InFlightAttempt { backend: plan.backend, sent: now });
         let request = attempt_request(&plan, attempt, in_flight, endpoint);
         let remaining = request.deadline.saturating_duration_since(Instant::now());
-        request_log::attempt_ordered(request.id, &request.request.opaque, &request.address, remaining);
+        request_log::attempt_dispatched(request.id, &request.request.opaque, &request.address, remaining);
         Ok(request)
     }
 
--- a/src/net/dispatcher/state.rs
+++ b/src/net/dispatcher/state.rs
@@ -52,7 +52,7 @@
     /// When its response is due.
     pub due: Instant,
     /// The number of attempts that the module has asked for, including those that were not sent.
-    pub attempts_ordered: u8,
+    pub attempts_requested: u8,
     /// The attempts in flight, by attempt number.
     pub attempts: BTreeMap<u8, InFlightAttempt>,
     /// When its response began to stream, in Unix ms.
--- a/src/net/dispatcher/submit.rs
+++ b/src/net/dispatcher/submit.rs
@@ -87,7 +87,7 @@
             request: Arc::new(request),
             pending: Some(PendingResponse { respond, timers: TimerSet::default() }),
             due,
-            attempts_ordered: 0,
+            attempts_requested: 0,
             attempts: BTreeMap::new(),
             stream_began: None,
         };
--- a/src/net/dispatcher/tests.rs
+++ b/src/net/dispatcher/tests.rs
@@ -86,14 +86,14 @@
 }
 
 /// A callback, and the responses that it received.
-fn client() -> (ResponseCallback, Arc<Mutex<Vec<Response>>>) {
+fn response_recorder() -> (ResponseCallback, Arc<Mutex<Vec<Response>>>) {
     let responses = Arc::new(Mutex::new(Vec::new()));
     let slot = Arc::clone(&responses);
     (Box::new(move |response| slot.lock().unwrap().push(response)), responses)
 }
 
 impl Fixture {
-    fn ordered_attempt(&self) -> AttemptRequest {
+    fn next_attempt(&self) -> AttemptRequest {
         match self.commands.recv_timeout(COMMAND_TIMEOUT).unwrap() {
             BackendCommand::Attempt(attempt) => attempt,
             BackendCommand::CloseIdleConnections(backend) => panic!("connections to {backend} are closed"),
@@ -104,9 +104,9 @@
 #[test]
 fn a_request_whose_attempt_is_served_gets_one_response() {
     let fixture = fixture();
-    let (respond, responses) = client();
+    let (respond, responses) = response_recorder();
     fixture.dispatcher.submit(request("a"), respond).ok().unwrap();
-    let attempt = fixture.ordered_attempt();
+    let attempt = fixture.next_attempt();
     assert!(fixture.dispatcher.permits_write(&attempt));
 
     let value = || Some(Payload::Value(b"v".to_vec()));
@@ -122,14 +122,14 @@
 #[test]
 fn a_second_request_with_an_open_id_is_rejected_and_one_after_its_end_is_accepted() {
     let fixture = fixture();
-    fixture.dispatcher.submit(request("a"), client().0).ok().unwrap();
-    let attempt = fixture.ordered_attempt();
+    fixture.dispatcher.submit(request("a"), response_recorder().0).ok().unwrap();
+    let attempt = fixture.next_attempt();
 
-    let rejected = fixture.dispatcher.submit(request("a"), client().0);
+    let rejected = fixture.dispatcher.submit(request("a"), response_recorder().0);
     fixture.dispatcher.attempt_finished(attempt.id, Outcome::Ok, Some(Payload::Value(Vec::new())));
 
     assert!(matches!(rejected, Err(SubmitError::IdInUse)));
-    assert!(fixture.dispatcher.submit(request("a"), client().0).is_ok());
+    assert!(fixture.dispatcher.submit(request("a"), response_recorder().0).is_ok());
 }
 
 #[test]
@@ -138,7 +138,7 @@
     let ParsedSettings { settings, names, .. } = settings();
     fixture.dispatcher.apply_settings(settings, names);
 
-    let rejected = fixture.dispatcher.submit(request("a"), client().0);
+    let rejected = fixture.dispatcher.submit(request("a"), response_recorder().0);
 
     assert!(matches!(rejected, Err(SubmitError::Outdated { request, .. }) if request.opaque == "a"));
     assert_eq!(fixture.dispatcher.pending_count(), 0);
@@ -147,9 +147,9 @@
 #[test]
 fn a_cancelled_request_gets_no_response_and_its_attempt_is_not_sent() {
     let fixture = fixture();
-    let (respond, responses) = client();
+    let (respond, responses) = response_recorder();
     let id = fixture.dispatcher.submit(request("a"), respond).ok().unwrap();
-    let attempt = fixture.ordered_attempt();
+    let attempt = fixture.next_attempt();
 
     fixture.dispatcher.cancel(id);
 
@@ -162,7 +162,7 @@
 #[test]
 fn requests_that_are_open_when_the_process_stops_fail() {
     let fixture = fixture();
-    let (respond, responses) = client();
+    let (respond, responses) = response_recorder();
     fixture.dispatcher.submit(request("a"), respond).ok().unwrap();
 
     fixture.dispatcher.abort_all();
@@ -173,9 +173,9 @@
 #[test]
 fn maintenance_closes_connections_to_a_node_and_is_rejected_for_the_origin() {
     let fixture = fixture();
-    let (respond, _responses) = client();
+    let (respond, _responses) = response_recorder();
     fixture.dispatcher.submit(request("a"), respond).ok().unwrap();
-    let attempt = fixture.ordered_attempt();
+    let attempt = fixture.next_attempt();
     let started = attempt.backend_started;
     assert!(fixture.dispatcher.accepts_attempts(attempt.backend, started));
 
@@ -196,8 +196,8 @@
     let fixture = fixture();
     let presence = Arc::<FakeClient>::default();
     let request = ClientRequest { client: Arc::clone(&presence) as Arc<dyn ClientPresence>, ..request("a") };
-    fixture.dispatcher.submit(request, client().0).ok().unwrap();
-    let attempt = fixture.ordered_attempt();
+    fixture.dispatcher.submit(request, response_recorder().0).ok().unwrap();
+    let attempt = fixture.next_attempt();
     assert!(fixture.dispatcher.permits_write(&attempt));
 
     presence.0.store(true, Ordering::SeqCst);
@@ -209,7 +209,7 @@
 #[test]
 fn the_guard_expires_a_request_whose_timer_is_lost() {
     let fixture = fixture();
-    let (respond, responses) = client();
+    let (respond, responses) = response_recorder();
     // Stored without an event for the module, which therefore sets no timer.
     let lost = ClientRequest { budget: TimeSpan::ZERO, ..request("a") };
     fixture.dispatcher.insert_request(&mut fixture.dispatcher.lock(), RequestId(1), lost, respond);
--- a/src/net/drain.rs
+++ b/src/net/drain.rs
@@ -35,7 +35,7 @@
 /// How long a connection that is opened while clients are directed elsewhere may be silent.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(500);
 /// Idle connections are closed from the end of the drain divided by this.
-const IDLE_START_DIVISOR: u32 = 2;
+const IDLE_CLOSE_START_DIVISOR: u32 = 2;
 /// The number of steps over which the closes of idle connections are spread.
 const SPREAD_STEPS: u64 = 64;
 
@@ -89,9 +89,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DisconnectSchedule {
     /// Until then idle connections stay open.
-    idle_from: Duration,
+    idle_close_from: Duration,
     /// From then on every idle connection is closed.
-    idle_until: Duration,
+    idle_close_until: Duration,
     /// From then on a partial command does not keep its connection open.
     partial_command_until: Duration,
 }
@@ -100,8 +100,8 @@
     /// The schedule of a proxy that is put out of service. After 4 s no connection may be idle, nor
     /// have a request of the last 2 s open.
     pub const OUT_OF_SERVICE: DisconnectSchedule = DisconnectSchedule {
-        idle_from: Duration::from_millis(400),
-        idle_until: Duration::from_millis(1800),
+        idle_close_from: Duration::from_millis(400),
+        idle_close_until: Duration::from_millis(1800),
         partial_command_until: Duration::from_millis(3400),
     };
 
@@ -111,8 +111,8 @@
     pub fn for_drain(drain: &DrainSchedule) -> DisconnectSchedule {
         let until = drain.serve_until;
         DisconnectSchedule {
-            idle_from: whole_ms(whole_ms(until) / IDLE_START_DIVISOR),
-            idle_until: whole_ms(until),
+            idle_close_from: whole_ms(whole_ms(until) / IDLE_CLOSE_START_DIVISOR),
+            idle_close_until: whole_ms(until),
             partial_command_until: whole_ms(until),
         }
     }
@@ -120,9 +120,9 @@
     /// Returns when a connection is to be closed if it is idle. `number` is its number in the order
     /// of arrival; `arrived` is zero for a connection that was open before.
     pub fn idle_close_at(&self, number: u64, arrived: Duration) -> Duration {
-        let spread_ms = as_ms(self.idle_until.saturating_sub(self.idle_from));
+        let spread_ms = as_ms(self.idle_close_until.saturating_sub(self.idle_close_from));
         let offset_ms = spread_ms * (number % SPREAD_STEPS) / SPREAD_STEPS;
-        let close_at = self.idle_from + Duration::from_millis(offset_ms);
+        let close_at = self.idle_close_from + Duration::from_millis(offset_ms);
         if arrived > Duration::ZERO {
             close_at.max(arrived + NEW_CONNECTION_GRACE)
         } else {
@@ -137,7 +137,7 @@
 
     /// Whether reading stops on a connection that has requests open.
     pub fn stops_reading(&self, elapsed: Duration) -> bool {
-        elapsed >= self.idle_until
+        elapsed >= self.idle_close_until
     }
 }
 
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -14,18 +14,19 @@
 const FAULT_PERIOD: Duration = Duration::from_secs(1);
 
 /// The rate limiter for lines about faults.
-struct FaultLines {
+struct FaultRateLimiter {
     period_started: Option<Instant>,
     written: u32,
     suppressed: u32,
 }
 
-static FAULTS: Mutex<FaultLines> = Mutex::new(FaultLines { period_started: None, written: 0, suppressed: 0 });
+static LIMITER: Mutex<FaultRateLimiter> =
+    Mutex::new(FaultRateLimiter { period_started: None, written: 0, suppressed: 0 });
 
 /// Writes a line about a fault: an event that loses a request, or that would lose it without a
 /// second safeguard. At most ten lines a second are written; the others are only counted.
 pub fn log_fault(line: &str) {
-    let Some(suppressed) = FAULTS.lock().unwrap_or_else(PoisonError::into_inner).admit() else { return };
+    let Some(suppressed) = LIMITER.lock().unwrap_or_else(PoisonError::into_inner).admit() else { return };
     if suppressed > 0 {
         log(&format!("FAULT: {suppressed} more lines were suppressed"));
     }
@@ -34,7 +35,7 @@
     tracing::warn!(target: "fault", "{line}");
 }
 
-impl FaultLines {
+impl FaultRateLimiter {
     /// Decides: whether a line about a fault is written; if so, how many were suppressed before it.
     /// Inputs: the lines of the present period, and its age.
     /// Reason: a fault that repeats must not fill the log.
--- a/src/net/request_log.rs
+++ b/src/net/request_log.rs
@@ -117,7 +117,7 @@
 }
 
 /// An attempt was handed to the backend service.
-pub(super) fn attempt_ordered(attempt: AttemptId, id: &str, address: &str, time_left: Duration) {
+pub(super) fn attempt_dispatched(attempt: AttemptId, id: &str, address: &str, time_left: Duration) {
     let AttemptId { request, attempt } = attempt;
     debug!(target: "attempt", number = request.0, id, attempt, address, ?time_left, "ordered");
 }
--- a/src/net/time_limits.rs
+++ b/src/net/time_limits.rs
@@ -16,7 +16,7 @@
 /// On sockets, the time limits of clients and backends are longer by this.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
 /// An effect that is planned this long before its limit keeps it through a hold-up.
-const MARGIN: Duration = Duration::from_millis(110);
+const HOLD_UP_MARGIN: Duration = Duration::from_millis(110);
 /// The margin of a short limit is at most this fraction of the limit. The whole margin would cost
 /// more requests their response than hold-ups do.
 const MAX_MARGIN_FRACTION: f64 = 0.15;
@@ -25,7 +25,8 @@
 
 // The sum that the margin stands for.
 const _: () = assert!(
-    MARGIN.as_millis() + SOCKET_SLACK.as_millis() == (MAX_HOLD_UP.as_millis() + TIMER_LATENCY.as_millis())
+    HOLD_UP_MARGIN.as_millis() + SOCKET_SLACK.as_millis()
+        == (MAX_HOLD_UP.as_millis() + TIMER_LATENCY.as_millis())
 );
 
 /// A request that is open this long after its response was due has lost its timer, and is expired
@@ -51,8 +52,8 @@
 /// Inputs: the length of the limit, a span.
 /// Reason: a hold-up between the decision and its effect must not break the limit.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
-fn margin(limit: TimeSpan) -> TimeSpan {
-    time_span(MARGIN).min(limit * MAX_MARGIN_FRACTION)
+fn hold_up_margin(limit: TimeSpan) -> TimeSpan {
+    time_span(HOLD_UP_MARGIN).min(limit * MAX_MARGIN_FRACTION)
 }
 
 /// The time budget of a request.
@@ -62,7 +63,7 @@
 /// Reason: a response after the client's deadline is lost work.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 pub fn response_budget(client_wait: TimeSpan) -> TimeSpan {
-    client_wait - margin(client_wait)
+    client_wait - hold_up_margin(client_wait)
 }
 
 /// The decision module's allowance between deciding an attempt and its last byte.
@@ -73,7 +74,7 @@
 /// Reason: an attempt that is written after a hold-up must still be inside its window.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 pub fn write_delay() -> TimeSpan {
-    margin(TimeSpan::MAX)
+    hold_up_margin(TimeSpan::MAX)
 }
 
 /// The deadline that a backend receives with an attempt.
