--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 /// The delay before accepting again after an error, or while all connections are in use.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// The operators' HTTP endpoint of one process.
 pub struct AdminServer {
@@ -73,12 +73,12 @@
                 Ok(None) => return,
                 Err(error) => {
                     log_fault(&format!("admin: accept: {error}"));
-                    sleep(ACCEPT_RETRY);
+                    sleep(ACCEPT_RETRY_DELAY);
                     continue;
                 }
             };
             while !self.make_room() {
-                sleep(ACCEPT_RETRY);
+                sleep(ACCEPT_RETRY_DELAY);
             }
             let slot = ConnectionSlot::acquire(self, number, &stream);
             let backend = Arc::clone(backend);
--- a/src/net/hot_restart/connection.rs
+++ b/src/net/hot_restart/connection.rs
@@ -3,14 +3,14 @@
 
 use super::messages::{Message, MessageReader};
 use super::socket::HandoverSocket;
-use super::{send, send_rejection, BudgetGrant, HotRestart, HotRestartHost, PeerProcess, PeerStream};
+use super::{send, send_rejection, BudgetGrant, HotRestart, HotRestartHost, PeerProcessState, PeerStream};
 use crate::net::log::log;
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
 /// How long a newer process may take until it accepts clients.
-const SERVING_TIMEOUT: Duration = Duration::from_secs(15);
-/// The longest wait for a message, after which [`SERVING_TIMEOUT`] is checked.
+const PEER_START_TIMEOUT: Duration = Duration::from_secs(15);
+/// The longest wait for a message, after which [`PEER_START_TIMEOUT`] is checked.
 const READ_TIMEOUT: Duration = Duration::from_millis(1000);
 
 impl HotRestart {
@@ -51,19 +51,19 @@
     /// Inputs: whether the newer process accepts clients, and the time since it connected.
     /// Reason: a newer process that hangs would keep the budget, and no other could take over.
     fn is_start_overdue(&self, connected: Instant) -> bool {
-        self.is_peer_starting() && connected.elapsed() > SERVING_TIMEOUT
+        self.is_peer_starting() && connected.elapsed() > PEER_START_TIMEOUT
     }
 
     fn is_peer_starting(&self) -> bool {
         self.with_state(|state| {
-            state.connection.as_ref().is_some_and(|connection| connection.peer == PeerProcess::Starting)
+            state.connection.as_ref().is_some_and(|connection| connection.peer == PeerProcessState::Starting)
         })
     }
 
     fn handle(&self, message: Message, stream: &PeerStream, host: &dyn HotRestartHost) {
         match message {
-            Message::Serving => self.set_peer(PeerProcess::Serving, host),
-            Message::Leaving => self.set_peer(PeerProcess::Leaving, host),
+            Message::Serving => self.set_peer(PeerProcessState::Serving, host),
+            Message::Leaving => self.set_peer(PeerProcessState::Leaving, host),
             Message::Budget(budget) => host.set_budget(BudgetGrant::Part(budget)),
             Message::Command(number, command) => {
                 let reason = host.apply_command(&command).err().map(|error| error.to_string());
@@ -83,7 +83,7 @@
         }
     }
 
-    fn set_peer(&self, peer: PeerProcess, host: &dyn HotRestartHost) {
+    fn set_peer(&self, peer: PeerProcessState, host: &dyn HotRestartHost) {
         self.with_state(|state| {
             if let Some(connection) = &mut state.connection {
                 connection.peer = peer;
@@ -98,7 +98,7 @@
             connection.stream.shutdown();
         }
         host.set_budget(BudgetGrant::Full);
-        host.peer_changed(PeerProcess::None);
+        host.peer_changed(PeerProcessState::None);
         // The link may still point to a newer process that has ended.
         if let Some(Err(error)) = self.socket.get().map(HandoverSocket::claim_link) {
             log(&format!("no upgrade will be possible: {error}"));
--- a/src/net/hot_restart/golden_tests.rs
+++ b/src/net/hot_restart/golden_tests.rs
@@ -2,7 +2,9 @@
 //! program, the newer one this source: if a text changes here, such upgrades fail. All texts were
 //! recorded before any renaming.
 
-use super::messages::{ControlCommand, Message, MessageReader, ResourceBudget, ServiceState, VERSION};
+use super::messages::{
+    ControlCommand, Message, MessageReader, ResourceBudget, ServiceState, PROTOCOL_VERSION,
+};
 use super::socket::HandoverSocket;
 use crate::net::dispatcher::EndpointSnapshot;
 
@@ -28,7 +30,7 @@
 
 #[test]
 fn the_version_of_the_messages_is_one() {
-    assert_eq!(VERSION, 1);
+    assert_eq!(PROTOCOL_VERSION, 1);
 }
 
 #[test]
--- a/src/net/hot_restart/messages.rs
+++ b/src/net/hot_restart/messages.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// The version of these messages. Processes of other versions are rejected.
-pub(super) const VERSION: u32 = 1;
+pub(super) const PROTOCOL_VERSION: u32 = 1;
 /// The longest message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
--- a/src/net/hot_restart/messages/tests.rs
+++ b/src/net/hot_restart/messages/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn messages_are_decoded_from_fragments_of_any_size() {
     let sent = [
-        Message::HandoverRequest(VERSION),
+        Message::HandoverRequest(PROTOCOL_VERSION),
         Message::Handover(EndpointSnapshot::default(), ResourceBudget { descriptors: 7, memory_bytes: 9 }),
         Message::Command(3, ControlCommand::EnterMaintenance("a\n\"b".into())),
         Message::CommandDone(3, Some("no".into())),
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -39,7 +39,7 @@
 
 /// The other process of this proxy. Operators read these names in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerProcess {
+pub enum PeerProcessState {
     /// There is none.
     None,
     /// It is starting, and does not accept clients yet.
@@ -101,7 +101,7 @@
     /// [`CommandError`] if the command cannot be applied here.
     fn apply_command(&self, command: &ControlCommand) -> Result<(), CommandError>;
     /// Handles a change of the other process's state.
-    fn peer_changed(&self, peer: PeerProcess);
+    fn peer_changed(&self, peer: PeerProcessState);
     /// Stops this process: the older one has abandoned the handover and serves on.
     fn handover_rejected(&self);
 }
@@ -111,7 +111,7 @@
 /// The connection to the other process.
 struct PeerConnection {
     stream: PeerStream,
-    peer: PeerProcess,
+    peer: PeerProcessState,
 }
 
 #[derive(Default)]
@@ -125,7 +125,7 @@
 
 impl State {
     /// Returns the stream to the other process, if its state fulfils the predicate.
-    fn stream_to_peer(&self, predicate: impl FnOnce(PeerProcess) -> bool) -> Option<PeerStream> {
+    fn stream_to_peer(&self, predicate: impl FnOnce(PeerProcessState) -> bool) -> Option<PeerStream> {
         self.connection
             .as_ref()
             .filter(|connection| predicate(connection.peer))
@@ -155,7 +155,7 @@
     pub fn begin_drain(&self) -> Acceptor {
         let stream = self.with_state(|state| {
             state.activity = Activity::Draining;
-            state.stream_to_peer(|peer| peer == PeerProcess::Serving)
+            state.stream_to_peer(|peer| peer == PeerProcessState::Serving)
         });
         if stream.is_some_and(|stream| send(&stream, &Message::Leaving).is_ok()) {
             Acceptor::PeerProcess
@@ -171,8 +171,8 @@
         }
     }
 
-    fn with_state<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
-        act(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_state<T>(&self, operation: impl FnOnce(&mut State) -> T) -> T {
+        operation(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
--- a/src/net/hot_restart/newer.rs
+++ b/src/net/hot_restart/newer.rs
@@ -1,9 +1,11 @@
 //! The newer process's side: it requests the handover before it starts any service, and joins the
 //! older process once it accepts clients.
 
-use super::messages::{Message, MessageReader, ResourceBudget, VERSION};
+use super::messages::{Message, MessageReader, ResourceBudget, PROTOCOL_VERSION};
 use super::socket::{self, FirstByte, HandoverSocket};
-use super::{send, HandoverError, HotRestart, HotRestartHost, PeerConnection, PeerProcess, HANDOVER_TIMEOUT};
+use super::{
+    send, HandoverError, HotRestart, HotRestartHost, PeerConnection, PeerProcessState, HANDOVER_TIMEOUT,
+};
 use crate::net::deadline_stream::DeadlineStream;
 use crate::net::dispatcher::EndpointSnapshot;
 use crate::net::polled_socket::PolledSocket;
@@ -33,15 +35,15 @@
 /// # Errors
 ///
 /// [`HandoverError`] if a process runs and does not hand over.
-pub fn request_handover(clients: SocketAddr) -> Result<Option<Handover>, HandoverError> {
-    let Some(mut stream) = HandoverSocket::for_clients(clients)?.connect()? else {
+pub fn request_handover(client_address: SocketAddr) -> Result<Option<Handover>, HandoverError> {
+    let Some(mut stream) = HandoverSocket::for_clients(client_address)?.connect()? else {
         return Ok(None);
     };
     if !socket::is_trusted(&stream) {
         return Err(HandoverError::OtherUser);
     }
     stream.set_read_timeout(Some(HANDOVER_TIMEOUT))?;
-    stream.write_all(&Message::HandoverRequest(VERSION).to_line())?;
+    stream.write_all(&Message::HandoverRequest(PROTOCOL_VERSION).to_line())?;
     let FirstByte { byte, listener } = socket::receive_first_byte(&stream)?;
     // A rejection comes without a socket; then this byte is the first one of its message.
     let buffer = if listener.is_some() { Vec::new() } else { vec![byte] };
@@ -89,7 +91,8 @@
         let socket = PolledSocket::new(handover.stream).map_err(HandoverError::Coroutine)?;
         let stream = DeadlineStream::new(socket);
         self.with_state(|state| {
-            state.connection = Some(PeerConnection { stream: stream.clone(), peer: PeerProcess::Serving });
+            state.connection =
+                Some(PeerConnection { stream: stream.clone(), peer: PeerProcessState::Serving });
         });
         let hot_restart = Arc::clone(self);
         let reading = stream.clone();
@@ -120,8 +123,8 @@
 
 /// Whether the older process has sent a rejection, behind messages that are still to be handled.
 fn contains_rejection(reader: &MessageReader) -> bool {
-    let mut ahead = MessageReader { buffer: reader.buffer.clone() };
-    while let Ok(Some(message)) = ahead.next_message() {
+    let mut lookahead = MessageReader { buffer: reader.buffer.clone() };
+    while let Ok(Some(message)) = lookahead.next_message() {
         if matches!(message, Message::Rejection(_)) {
             return true;
         }
--- a/src/net/hot_restart/newer/tests.rs
+++ b/src/net/hot_restart/newer/tests.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a test waits for what must happen.
-const WAIT: Duration = Duration::from_secs(5);
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A newer process that records whether it was told to stop.
@@ -25,7 +25,7 @@
     fn apply_command(&self, _command: &ControlCommand) -> Result<(), CommandError> {
         Ok(())
     }
-    fn peer_changed(&self, _peer: PeerProcess) {}
+    fn peer_changed(&self, _peer: PeerProcessState) {}
     fn handover_rejected(&self) {
         self.rejected.store(true, Ordering::SeqCst);
     }
@@ -44,7 +44,7 @@
     (handover, older)
 }
 
-fn overdue() -> Vec<u8> {
+fn start_timeout_rejection() -> Vec<u8> {
     Message::Rejection("it took too long".to_owned()).to_line()
 }
 
@@ -53,7 +53,7 @@
 fn a_process_that_was_rejected_while_it_started_does_not_join() {
     let (handover, mut older) = handover();
     older.write_all(&Message::Budget(ResourceBudget::default()).to_line()).unwrap();
-    older.write_all(&overdue()).unwrap();
+    older.write_all(&start_timeout_rejection()).unwrap();
     drop(older);
 
     let joined = HotRestart::new().join(handover, Arc::new(Host::default()));
@@ -69,11 +69,11 @@
 
     HotRestart::new().join(handover, Arc::clone(&host) as Arc<dyn HotRestartHost>).unwrap();
     assert!(!host.rejected.load(Ordering::SeqCst));
-    older.write_all(&overdue()).unwrap();
+    older.write_all(&start_timeout_rejection()).unwrap();
 
-    let until = Instant::now() + WAIT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !host.rejected.load(Ordering::SeqCst) {
-        assert!(Instant::now() < until, "it serves on");
+        assert!(Instant::now() < deadline, "it serves on");
         sleep(POLL_INTERVAL);
     }
 }
--- a/src/net/hot_restart/older.rs
+++ b/src/net/hot_restart/older.rs
@@ -1,11 +1,11 @@
 //! The older process's side: it listens for newer processes, hands over to the first one, and
 //! grants it the budget that it does not need itself.
 
-use super::messages::{Message, MessageReader, VERSION};
+use super::messages::{Message, MessageReader, PROTOCOL_VERSION};
 use super::socket::{self, HandoverSocket};
 use super::{
-    send, send_rejection, Activity, HandoverOffer, HotRestart, HotRestartHost, PeerConnection, PeerProcess,
-    PeerStream, HANDOVER_TIMEOUT, WRITE_TIMEOUT,
+    send, send_rejection, Activity, HandoverOffer, HotRestart, HotRestartHost, PeerConnection,
+    PeerProcessState, PeerStream, HANDOVER_TIMEOUT, WRITE_TIMEOUT,
 };
 use crate::net::deadline_stream::{sleep, DeadlineStream};
 use crate::net::dispatcher::EndpointSnapshot;
@@ -21,12 +21,12 @@
 /// How often the older process updates the budget of the newer one.
 const BUDGET_INTERVAL: Duration = Duration::from_millis(20);
 /// The delay before accepting again after an error.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl HotRestart {
     /// Accepts connections of newer processes from now on.
-    pub fn listen(self: &Arc<Self>, clients: SocketAddr, host: Arc<dyn HotRestartHost>) {
-        let (socket, listener) = match open_socket(clients) {
+    pub fn listen(self: &Arc<Self>, client_address: SocketAddr, host: Arc<dyn HotRestartHost>) {
+        let (socket, listener) = match open_socket(client_address) {
             Ok(opened) => opened,
             // Without it the proxy serves, but cannot be upgraded.
             Err(error) => {
@@ -62,7 +62,7 @@
                 }
                 Err(error) => {
                     log(&format!("take over: accept: {error}"));
-                    sleep(ACCEPT_RETRY);
+                    sleep(ACCEPT_RETRY_DELAY);
                 }
             }
         }
@@ -77,7 +77,7 @@
         let stream = DeadlineStream::from(Arc::clone(socket));
         let mut reader = MessageReader::default();
         let Some(request) = read_request(&stream, &mut reader) else { return };
-        if request != Message::HandoverRequest(VERSION) {
+        if request != Message::HandoverRequest(PROTOCOL_VERSION) {
             send_rejection(&stream, "another version");
             return;
         }
@@ -114,7 +114,7 @@
             let is_free = state.connection.is_none() && state.activity == Activity::Serving;
             if is_free {
                 state.connection =
-                    Some(PeerConnection { stream: stream.clone(), peer: PeerProcess::Starting });
+                    Some(PeerConnection { stream: stream.clone(), peer: PeerProcessState::Starting });
             }
             is_free
         })
@@ -136,8 +136,8 @@
     }
 }
 
-fn open_socket(clients: SocketAddr) -> io::Result<(HandoverSocket, PolledSocket<UnixListener>)> {
-    let socket = HandoverSocket::for_clients(clients)?;
+fn open_socket(client_address: SocketAddr) -> io::Result<(HandoverSocket, PolledSocket<UnixListener>)> {
+    let socket = HandoverSocket::for_clients(client_address)?;
     let listener = PolledSocket::new(socket.listen()?)?;
     socket.claim_link()?;
     Ok((socket, listener))
@@ -167,7 +167,7 @@
     let budget = host.shrink_budget(Activity::Serving);
     let handover = Message::Handover(endpoints, budget).to_line();
     let sent = socket::send_listener(socket.inner(), listener.socket());
-    host.peer_changed(PeerProcess::Starting);
+    host.peer_changed(PeerProcessState::Starting);
     sent?;
     stream.write(&handover, Instant::now() + HANDOVER_TIMEOUT)
 }
--- a/src/net/hot_restart/relay.rs
+++ b/src/net/hot_restart/relay.rs
@@ -1,7 +1,7 @@
 //! Operators' commands that bind both processes. Read [`HotRestart::relay`] first.
 
 use super::messages::{ControlCommand, Message};
-use super::{HotRestart, PeerProcess, PeerStream, RelayError};
+use super::{HotRestart, PeerProcessState, PeerStream, RelayError};
 use crate::net::deadline_stream::sleep;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -74,7 +74,7 @@
     /// process is alone.
     fn register_command(&self) -> Option<(u64, PeerStream)> {
         self.with_state(|state| {
-            let stream = state.stream_to_peer(|peer| peer != PeerProcess::None)?;
+            let stream = state.stream_to_peer(|peer| peer != PeerProcessState::None)?;
             Some((state.commands.add(), stream))
         })
     }
--- a/src/net/hot_restart/socket.rs
+++ b/src/net/hot_restart/socket.rs
@@ -42,9 +42,10 @@
     /// # Errors
     ///
     /// If `$TMPDIR` has a long path and cannot be opened.
-    pub(super) fn for_clients(clients: SocketAddr) -> io::Result<HandoverSocket> {
+    pub(super) fn for_clients(client_address: SocketAddr) -> io::Result<HandoverSocket> {
         let directory = std::env::temp_dir();
-        let link_name = format!("pinetrail-{}.sock", clients.to_string().replace([':', '[', ']', '%'], "_"));
+        let link_name =
+            format!("pinetrail-{}.sock", client_address.to_string().replace([':', '[', ']', '%'], "_"));
         let socket_name = format!("{link_name}.{}", std::process::id());
         let is_long = directory.as_os_str().len() + 1 + socket_name.len() > MAX_PATH_BYTES;
         let open_directory = if is_long { Some(File::open(&directory)?) } else { None };
--- a/src/net/lifecycle/peer.rs
+++ b/src/net/lifecycle/peer.rs
@@ -5,16 +5,16 @@
 use super::Lifecycle;
 use crate::net::fleet::SecondProcess;
 use crate::net::hot_restart::{
-    Activity, BudgetGrant, CommandError, ControlCommand, HandoverOffer, HotRestartHost, PeerProcess,
+    Activity, BudgetGrant, CommandError, ControlCommand, HandoverOffer, HotRestartHost, PeerProcessState,
     ResourceBudget,
 };
 use crate::net::log::log;
 use signal_hook::consts::SIGTERM;
 
 /// Which process accepts clients before and after the peer process changed its state.
-struct AcceptingChange {
-    was_delegated: bool,
-    is_delegated: bool,
+struct AcceptorChange {
+    peer_accepted_before: bool,
+    peer_accepts_now: bool,
 }
 
 impl HotRestartHost for Lifecycle {
@@ -59,12 +59,12 @@
         }
     }
 
-    fn peer_changed(&self, peer: PeerProcess) {
+    fn peer_changed(&self, peer: PeerProcessState) {
         log(&format!("the other process: {peer:?}"));
         let change = self.apply_peer_change(peer);
         self.update_fleet_membership(peer, &change);
         if let Some(services) = self.services.get() {
-            if change.is_delegated {
+            if change.peer_accepts_now {
                 services.clients.pause_listening();
             } else {
                 services.clients.resume_listening();
@@ -74,24 +74,24 @@
 }
 
 impl Lifecycle {
-    fn apply_peer_change(&self, peer: PeerProcess) -> AcceptingChange {
+    fn apply_peer_change(&self, peer: PeerProcessState) -> AcceptorChange {
         let mut state = self.state();
-        let was_delegated = state.is_accepting_delegated();
+        let peer_accepted_before = state.peer_accepts_clients();
         state.apply(LifecycleEvent::PeerChanged(peer));
-        AcceptingChange { was_delegated, is_delegated: state.is_accepting_delegated() }
+        AcceptorChange { peer_accepted_before, peer_accepts_now: state.peer_accepts_clients() }
     }
 
     /// Makes the process that accepts clients the fleet's member, on behalf of both.
-    fn update_fleet_membership(&self, peer: PeerProcess, change: &AcceptingChange) {
+    fn update_fleet_membership(&self, peer: PeerProcessState, change: &AcceptorChange) {
         let Some(fleet) = self.fleet() else { return };
         let second_process = match peer {
-            PeerProcess::None => SecondProcess::None,
+            PeerProcessState::None => SecondProcess::None,
             _ => SecondProcess::Serving,
         };
         fleet.set_second_process(second_process);
-        if change.is_delegated && !change.was_delegated {
+        if change.peer_accepts_now && !change.peer_accepted_before {
             fleet.deactivate();
-        } else if change.was_delegated && !change.is_delegated {
+        } else if change.peer_accepted_before && !change.peer_accepts_now {
             fleet.activate_when_free();
         }
     }
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -30,7 +30,7 @@
         if let Some(fleet) = self.fleet() {
             fleet.leave();
         }
-        self.apply(LifecycleEvent::AllAnswered);
+        self.apply(LifecycleEvent::DrainFinished);
         print(&self.counters.line());
     }
 
--- a/src/net/lifecycle/signals.rs
+++ b/src/net/lifecycle/signals.rs
@@ -40,7 +40,7 @@
     }
 
     /// Sends them to this process again, which can handle them now.
-    pub(super) fn send_again(self) {
+    pub(super) fn reraise(self) {
         for signal in self.0 {
             if let Err(error) = signal_hook::low_level::raise(signal) {
                 log(&format!("signal {signal} came during the start, and is lost: {error}"));
--- a/src/net/lifecycle/start/fleet.rs
+++ b/src/net/lifecycle/start/fleet.rs
@@ -81,7 +81,7 @@
 pub(super) fn catch_up(policy: &Policy, signals: &mut Signals) -> CatchUp {
     let mut deferred = DeferredSignals::default();
     if policy.catch_up(&mut || deferred.collect(signals)) {
-        deferred.send_again();
+        deferred.reraise();
         CatchUp::Complete
     } else {
         CatchUp::StopRequested
@@ -98,14 +98,14 @@
 ) -> Arc<Fleet> {
     let dispatcher = Arc::clone(dispatcher);
     let apply_quota = move |quota: fleet::ProcessQuota| {
-        let ends = quota.expires_at;
+        let expires_at = quota.expires_at;
         let quota = interface::Quota {
             fraction: quota.fraction,
             expires_at: Timestamp::ZERO,
             guaranteed: quota.guaranteed,
             fleet_limits: quota.limits,
         };
-        dispatcher.apply_quota(quota, ends);
+        dispatcher.apply_quota(quota, expires_at);
     };
     let second_process = match handover {
         Some(_) => fleet::SecondProcess::Serving,
--- a/src/net/lifecycle/start/mod.rs
+++ b/src/net/lifecycle/start/mod.rs
@@ -19,7 +19,7 @@
 use crate::net::log::log;
 use fleet::CatchUp;
 use pinetrail_config::{Catalog, Config};
-use services::Foundation;
+use services::SharedComponents;
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,11 +42,11 @@
     ) -> Result<StartOutcome<'_>, StartError> {
         resources::configure_coroutines();
         let admin = services::open_admin_server(config)?;
-        let (foundation, channels) = Foundation::new(config, &self.counters);
-        let dispatcher = Arc::clone(&foundation.dispatcher);
-        let endpoints = self.initial_endpoints(config, &foundation, handover.as_ref());
-        let backends = foundation.start_backends(config, channels.backend_commands);
-        let discovery = foundation.start_discovery(config, endpoints, channels.subscriptions);
+        let (shared, channels) = SharedComponents::new(config, &self.counters);
+        let dispatcher = Arc::clone(&shared.dispatcher);
+        let endpoints = self.initial_endpoints(config, &shared, handover.as_ref());
+        let backends = shared.start_backends(config, channels.backend_commands);
+        let discovery = shared.start_discovery(config, endpoints, channels.subscriptions);
         self.start_fleet(config, &dispatcher, handover.as_ref())?;
         if let Some(policy) = self.start_policy(config, &dispatcher, &backends, handover.as_ref())? {
             // Operators need the endpoint while the process catches up.
@@ -56,8 +56,8 @@
             }
         }
         let socket = services::client_socket(config.listen, handover.as_ref())?;
-        let clients = foundation.start_clients(socket)?;
-        let budget = foundation.budget;
+        let clients = shared.start_clients(socket)?;
+        let budget = shared.budget;
         let services = self.services.get_or_init(|| RunningServices {
             dispatcher: Arc::clone(&dispatcher),
             clients,
@@ -76,13 +76,13 @@
     fn initial_endpoints(
         &self,
         config: &Config,
-        foundation: &Foundation,
+        shared: &SharedComponents,
         handover: Option<&Handover>,
     ) -> Catalog {
         let cached = config.cached_endpoints.clone();
         let Some(handover) = handover else { return cached };
         self.apply(LifecycleEvent::HandoverReceived);
-        foundation.adopt(handover, cached)
+        shared.apply_handover(handover, cached)
     }
 
     /// Answers operators from now on, if their endpoint is configured.
@@ -103,7 +103,7 @@
     fn begin_serving(
         self: &Arc<Self>,
         handover: Option<Handover>,
-        clients: SocketAddr,
+        client_address: SocketAddr,
     ) -> Result<(), StartError> {
         let host = Arc::clone(self) as Arc<dyn HotRestartHost>;
         if let Some(handover) = handover {
@@ -114,7 +114,7 @@
             }
         }
         self.apply(LifecycleEvent::Started);
-        self.hot_restart.listen(clients, host);
+        self.hot_restart.listen(client_address, host);
         Ok(())
     }
 }
--- a/src/net/lifecycle/start/services.rs
+++ b/src/net/lifecycle/start/services.rs
@@ -1,4 +1,4 @@
-//! The services of the data path, and what all of them share. Read [`Foundation`] first.
+//! The services of the data path, and what all of them share. Read [`SharedComponents`] first.
 
 use super::super::budget::ProcessBudget;
 use super::super::error::StartError;
@@ -20,14 +20,14 @@
 const PUSH_DELIVERY: &str = "push";
 
 /// What all services share.
-pub(super) struct Foundation {
+pub(super) struct SharedComponents {
     pub(super) counters: Arc<Counters>,
     pub(super) dispatcher: Arc<Dispatcher>,
     pub(super) budget: ProcessBudget,
 }
 
 /// The ends of the dispatcher's channels that other services have.
-pub(super) struct Channels {
+pub(super) struct DispatcherChannels {
     /// Commands of the dispatcher to backends.
     pub(super) backend_commands: Receiver<BackendCommand>,
     pub(super) subscriptions: SubscriptionChannel,
@@ -39,9 +39,9 @@
     receiver: Receiver<()>,
 }
 
-impl Foundation {
+impl SharedComponents {
     /// Creates the dispatcher and the budgets.
-    pub(super) fn new(config: &Config, counters: &Arc<Counters>) -> (Foundation, Channels) {
+    pub(super) fn new(config: &Config, counters: &Arc<Counters>) -> (SharedComponents, DispatcherChannels) {
         let (command_sender, backend_commands) = channel();
         let (sender, receiver) = channel();
         let dispatcher = Dispatcher::new(DispatcherParameters {
@@ -52,14 +52,14 @@
             commands: command_sender,
             subscriptions: sender.clone(),
         });
-        let foundation =
-            Foundation { counters: Arc::clone(counters), dispatcher, budget: new_budget(config) };
+        let shared =
+            SharedComponents { counters: Arc::clone(counters), dispatcher, budget: new_budget(config) };
         let subscriptions = SubscriptionChannel { sender, receiver };
-        (foundation, Channels { backend_commands, subscriptions })
+        (shared, DispatcherChannels { backend_commands, subscriptions })
     }
 
     /// Applies the older process's budget grant and endpoints. Returns the endpoints to start with.
-    pub(super) fn adopt(&self, handover: &Handover, mut cached: Catalog) -> Catalog {
+    pub(super) fn apply_handover(&self, handover: &Handover, mut cached: Catalog) -> Catalog {
         self.budget.set(BudgetGrant::Part(handover.budget));
         self.dispatcher.restore_snapshot(handover.endpoints.clone());
         // The list that the older process received last is newer than the cached file.
--- a/src/net/lifecycle/state.rs
+++ b/src/net/lifecycle/state.rs
@@ -7,7 +7,7 @@
 //! | a serving phase | `ReloadStarted`, `ReloadFinished` | the serving phase below that applies |
 //! | a serving phase | `PeerChanged`, `ServiceSet` | the serving phase below that applies |
 //! | any | `StopRequested` | `Draining` |
-//! | any | `AllAnswered` | `Stopped` |
+//! | any | `DrainFinished` | `Stopped` |
 //!
 //! Every other event is only recorded; the phase stays. The first serving phase that applies
 //! holds:
@@ -20,7 +20,7 @@
 //! | `OutOfService` | operators have put the proxy out of service |
 //! | `Serving` | none of the above |
 
-use crate::net::hot_restart::{PeerProcess, ServiceState};
+use crate::net::hot_restart::{PeerProcessState, ServiceState};
 use crate::net::log::log;
 
 /// Where the process stands between start and exit.
@@ -67,11 +67,11 @@
     /// The configuration has been read, or has been found bad.
     ReloadFinished,
     /// The other process of this proxy is in another state.
-    PeerChanged(PeerProcess),
+    PeerChanged(PeerProcessState),
     /// The process is asked to stop.
     StopRequested,
     /// Every request has its response, or the time for the drain is over.
-    AllAnswered,
+    DrainFinished,
 }
 
 /// The phase, and the inputs from which it is derived while the process serves.
@@ -80,7 +80,7 @@
     phase: Phase,
     service: ServiceState,
     is_reloading: bool,
-    peer: PeerProcess,
+    peer: PeerProcessState,
     role: ProcessRole,
 }
 
@@ -90,7 +90,7 @@
             phase: Phase::Starting,
             service: ServiceState::InService,
             is_reloading: false,
-            peer: PeerProcess::None,
+            peer: PeerProcessState::None,
             role: ProcessRole::Older,
         }
     }
@@ -110,8 +110,8 @@
     /// serving, the older one must stop, so that its connections run out.
     ///
     /// Invariant: a process that is alone accepts.
-    pub(super) fn is_accepting_delegated(&self) -> bool {
-        self.role == ProcessRole::Older && self.peer == PeerProcess::Serving
+    pub(super) fn peer_accepts_clients(&self) -> bool {
+        self.role == ProcessRole::Older && self.peer == PeerProcessState::Serving
     }
 
     /// Applies an event, and enters the phase that follows from it.
@@ -119,7 +119,7 @@
         match event {
             LifecycleEvent::HandoverReceived => {
                 self.role = ProcessRole::Newer;
-                self.peer = PeerProcess::Serving;
+                self.peer = PeerProcessState::Serving;
             }
             LifecycleEvent::Started => self.enter(Phase::Serving),
             LifecycleEvent::ServiceSet(service) => self.service = service,
@@ -127,15 +127,15 @@
             LifecycleEvent::ReloadFinished => self.is_reloading = false,
             LifecycleEvent::PeerChanged(peer) => self.set_peer(peer),
             LifecycleEvent::StopRequested => self.enter(Phase::Draining),
-            LifecycleEvent::AllAnswered => self.enter(Phase::Stopped),
+            LifecycleEvent::DrainFinished => self.enter(Phase::Stopped),
         }
         self.enter_serving_phase();
     }
 
-    fn set_peer(&mut self, peer: PeerProcess) {
+    fn set_peer(&mut self, peer: PeerProcessState) {
         self.peer = peer;
         // A process whose older peer has ended is the older one in the next hot restart.
-        if peer == PeerProcess::None {
+        if peer == PeerProcessState::None {
             self.role = ProcessRole::Older;
         }
     }
@@ -149,10 +149,10 @@
 
     fn serving_phase(&self) -> Phase {
         let has_older_peer = self.role == ProcessRole::Newer
-            && matches!(self.peer, PeerProcess::Serving | PeerProcess::Leaving);
+            && matches!(self.peer, PeerProcessState::Serving | PeerProcessState::Leaving);
         if self.is_reloading {
             Phase::Reloading
-        } else if self.is_accepting_delegated() {
+        } else if self.peer_accepts_clients() {
             Phase::HandingOver
         } else if has_older_peer {
             Phase::TakingOver
--- a/src/net/lifecycle/state/tests.rs
+++ b/src/net/lifecycle/state/tests.rs
@@ -6,28 +6,28 @@
     let mut state = LifecycleState::default();
     let mut after = |event| {
         state.apply(event);
-        (state.phase, state.is_accepting_delegated())
+        (state.phase, state.peer_accepts_clients())
     };
     let out_of_service = ServiceSet(ServiceState::OutOfService);
 
     assert_eq!(after(out_of_service), (Phase::Starting, false), "not before it serves");
     assert_eq!(after(Started), (Phase::OutOfService, false));
     assert_eq!(after(ReloadStarted), (Phase::Reloading, false));
-    assert_eq!(after(PeerChanged(PeerProcess::Serving)), (Phase::Reloading, true));
+    assert_eq!(after(PeerChanged(PeerProcessState::Serving)), (Phase::Reloading, true));
     assert_eq!(after(ReloadFinished), (Phase::HandingOver, true));
-    assert_eq!(after(PeerChanged(PeerProcess::None)), (Phase::OutOfService, false));
+    assert_eq!(after(PeerChanged(PeerProcessState::None)), (Phase::OutOfService, false));
 
     // A newer process whose peer has just ended.
     state.service = ServiceState::InService;
     state.role = ProcessRole::Newer;
     state.enter_serving_phase();
-    assert_eq!((state.phase, state.is_accepting_delegated()), (Phase::Serving, false));
+    assert_eq!((state.phase, state.peer_accepts_clients()), (Phase::Serving, false));
 
     let mut after = |event| {
         state.apply(event);
-        (state.phase, state.is_accepting_delegated())
+        (state.phase, state.peer_accepts_clients())
     };
-    assert_eq!(after(PeerChanged(PeerProcess::Leaving)), (Phase::TakingOver, false));
+    assert_eq!(after(PeerChanged(PeerProcessState::Leaving)), (Phase::TakingOver, false));
     assert_eq!(after(StopRequested), (Phase::Draining, false), "a drain that has begun is not undone");
 }
 
@@ -39,10 +39,10 @@
     assert_eq!(state.phase, Phase::Starting, "a handover alone accepts no client");
     state.apply(LifecycleEvent::Started);
     assert_eq!(state.phase, Phase::TakingOver);
-    state.apply(LifecycleEvent::PeerChanged(PeerProcess::None));
+    state.apply(LifecycleEvent::PeerChanged(PeerProcessState::None));
     assert_eq!(state.phase, Phase::Serving);
-    state.apply(LifecycleEvent::PeerChanged(PeerProcess::Serving));
+    state.apply(LifecycleEvent::PeerChanged(PeerProcessState::Serving));
     assert_eq!(state.phase, Phase::HandingOver);
-    state.apply(LifecycleEvent::AllAnswered);
+    state.apply(LifecycleEvent::DrainFinished);
     assert_eq!(state.phase, Phase::Stopped);
 }
