--- a/src/net/fleet/activation.rs
+++ b/src/net/fleet/activation.rs
@@ -95,8 +95,8 @@
 
     #[allow(clippy::disallowed_methods, reason = "names a start of this process; no span is measured by it")]
     fn new_membership(&self, config: &FleetConfig, bound: SocketAddr) -> Result<Membership, FleetError> {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let start = u64::try_from(unix.as_micros()).unwrap_or(u64::MAX);
+        let since_unix_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let start = u64::try_from(since_unix_epoch.as_micros()).unwrap_or(u64::MAX);
         Membership::new(config.membership_settings(bound), start, self.seed ^ start, self.now())
             .map_err(|source| FleetError::Settings { address: config.bind, source })
     }
@@ -120,12 +120,13 @@
         may::go!(move || timer.run_timeouts(activation));
     }
 
-    fn become_inactive(&self, last: impl FnOnce(&mut Membership, &mut Vec<Output>)) {
-        let before = std::mem::replace(&mut *self.activity(), Activity::Inactive);
-        let Activity::Active(mut member) = before else { return };
+    fn become_inactive(&self, last_action: impl FnOnce(&mut Membership, &mut Vec<Output>)) {
+        let previous = std::mem::replace(&mut *self.activity(), Activity::Inactive);
+        let Activity::Active(mut member) = previous else { return };
         let mut out = Vec::new();
-        last(&mut member.membership, &mut out);
-        let counters = operator_view::sum(*self.earlier_counters(), member.membership.counters());
+        last_action(&mut member.membership, &mut out);
+        let counters =
+            operator_view::sum_membership_counters(*self.earlier_counters(), member.membership.counters());
         *self.earlier_counters() = counters;
         self.apply(out, &member.socket);
         // Wakes the coroutine that waits on the socket: the socket closes when the last coroutine
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -76,12 +76,12 @@
         second_process: SecondProcess,
         quota_handler: QuotaHandler,
     ) -> Arc<Fleet> {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since_unix_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let fleet = Arc::new(Fleet {
             config: Mutex::new(config),
             seed,
             started_at: Instant::now(),
-            started_at_unix_ms: u64::try_from(unix.as_millis()).unwrap_or(u64::MAX),
+            started_at_unix_ms: u64::try_from(since_unix_epoch.as_millis()).unwrap_or(u64::MAX),
             activity: Mutex::new(Activity::Inactive),
             activations: AtomicU64::new(0),
             earlier_counters: Mutex::default(),
@@ -170,18 +170,18 @@
 
     fn quota_status(&self, quota: &QuotaDriver, now: Timestamp) -> QuotaStatus {
         let status = quota.status(now);
-        let of_second_process = self.fraction_of_second_process(status.guaranteed);
+        let second_process_fraction = self.fraction_of_second_process(status.guaranteed);
         QuotaStatus {
-            fraction: status.fraction - of_second_process,
-            guaranteed: status.guaranteed - of_second_process,
+            fraction: status.fraction - second_process_fraction,
+            guaranteed: status.guaranteed - second_process_fraction,
             ..status
         }
     }
 
     /// The counters by their names in `stats`.
-    pub fn list(&self) -> Vec<(&'static str, u64)> {
+    pub fn counters(&self) -> Vec<(&'static str, u64)> {
         let present = self.with_membership(|membership, _| membership.counters()).unwrap_or_default();
-        let counters = operator_view::sum(*self.earlier_counters(), present);
+        let counters = operator_view::sum_membership_counters(*self.earlier_counters(), present);
         let mut list = operator_view::membership_counters_by_name(&counters, self.send_failures.get());
         if let Activity::Active(member) = &*self.activity() {
             if let Some(quota) = &member.quota {
--- a/src/net/fleet/operator_view/counters.rs
+++ b/src/net/fleet/operator_view/counters.rs
@@ -47,7 +47,7 @@
 }
 
 /// The sum of the counters of two processes that had this name one after the other.
-pub(in crate::net::fleet) fn sum_of_quota(a: QuotaCounters, b: QuotaCounters) -> QuotaCounters {
+pub(in crate::net::fleet) fn sum_quota_counters(a: QuotaCounters, b: QuotaCounters) -> QuotaCounters {
     QuotaCounters {
         leases_granted: a.leases_granted + b.leases_granted,
         leases_rejected: a.leases_rejected + b.leases_rejected,
@@ -57,7 +57,10 @@
 }
 
 /// The sum of the counters of two members, one of which followed the other.
-pub(in crate::net::fleet) fn sum(a: MembershipCounters, b: MembershipCounters) -> MembershipCounters {
+pub(in crate::net::fleet) fn sum_membership_counters(
+    a: MembershipCounters,
+    b: MembershipCounters,
+) -> MembershipCounters {
     MembershipCounters {
         probes: a.probes + b.probes,
         probes_indirect: a.probes_indirect + b.probes_indirect,
--- a/src/net/fleet/operator_view/event_log.rs
+++ b/src/net/fleet/operator_view/event_log.rs
@@ -4,7 +4,7 @@
 use pinetrail_quota::QuotaEvent;
 
 /// The line about a member whose settings of the quota differ.
-pub(in crate::net::fleet) const OTHER_SETTINGS_LINE: &str =
+pub(in crate::net::fleet) const QUOTA_SETTINGS_MISMATCH_LINE: &str =
     "ERROR: a member has other founders, size or times of the quota than this one: they do not share it";
 
 /// The line of an event of the membership.
--- a/src/net/fleet/operator_view/golden_tests.rs
+++ b/src/net/fleet/operator_view/golden_tests.rs
@@ -2,7 +2,7 @@
 //! in `stats` and as lines of the log. Operators' tools read them by key, name and word. All texts
 //! were recorded before any renaming.
 
-use super::{membership_counters_by_name, membership_log_line, report, sum, QuotaStatus};
+use super::{membership_counters_by_name, membership_log_line, report, sum_membership_counters, QuotaStatus};
 use crate::interface::FleetLimits;
 use crate::net::fleet::quota::QuotaDriver;
 use pinetrail_config::QuotaConfig;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// When the process started, in Unix milliseconds.
-const STARTED_AT: u64 = 1_700_000_000_000;
+const STARTED_AT_UNIX_MS: u64 = 1_700_000_000_000;
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -68,9 +68,9 @@
     QuotaConfig { settings, limits: FleetLimits { per_node: 100.0, origin: 50.0 } }
 }
 
-/// A member as the report has it; its time counts from `STARTED_AT`.
-fn shown(name: &str, port: u16, state: &str, incarnation: u16, since: u64) -> String {
-    let since = STARTED_AT + since;
+/// A member as the report has it; its time counts from `STARTED_AT_UNIX_MS`.
+fn member_json(name: &str, port: u16, state: &str, incarnation: u16, since: u64) -> String {
+    let since = STARTED_AT_UNIX_MS + since;
     format!(
         concat!(
             r#"{{"name":"{}","address":"127.0.0.1:{}","state":"{}","#,
@@ -80,32 +80,32 @@
     )
 }
 
-fn shown_report(side: &str, members: &[String], rest: &str) -> String {
+fn report_json(side: &str, members: &[String], rest: &str) -> String {
     let members = members.join(",");
     format!(r#"{{"self":"a","side":"{side}","members":[{members}]{rest}}}"#)
 }
 
-fn shown_alone(side: &str, state: &str) -> String {
-    shown_report(side, &[shown("a", 7101, state, 0, 0)], "")
+fn report_json_alone(side: &str, state: &str) -> String {
+    report_json(side, &[member_json("a", 7101, state, 0, 0)], "")
 }
 
 fn report_of(member: &Membership) -> String {
-    report(member, STARTED_AT, None)
+    report(member, STARTED_AT_UNIX_MS, None)
 }
 
 #[test]
 fn the_report_of_a_member_alone_is_the_recorded_text() {
     let alone = member("a", 7101, &[], 1);
-    assert_eq!(report_of(&alone), shown_alone("whole", "alive"));
-    let cut = member("a", 7101, &[7102], 1);
-    assert_eq!(report_of(&cut), shown_alone("alone", "alive"));
+    assert_eq!(report_of(&alone), report_json_alone("whole", "alive"));
+    let unconnected = member("a", 7101, &[7102], 1);
+    assert_eq!(report_of(&unconnected), report_json_alone("alone", "alive"));
 }
 
 #[test]
 fn the_report_of_a_member_that_has_left_is_the_recorded_text() {
     let mut left = member("a", 7101, &[], 1);
     left.leave(Timestamp::from_millis(5), &mut Vec::new());
-    assert_eq!(report_of(&left), shown_alone("whole", "left"));
+    assert_eq!(report_of(&left), report_json_alone("whole", "left"));
 }
 
 #[test]
@@ -117,8 +117,8 @@
     ];
     run(&mut all, 0, 1000);
     let three = |side: &str, b: (&str, u64), c: (&str, u64)| {
-        let (a, b) = (shown("a", 7101, "alive", 0, 0), shown("b", 7102, b.0, 0, b.1));
-        shown_report(side, &[a, b, shown("c", 7103, c.0, 0, c.1)], "")
+        let (a, b) = (member_json("a", 7101, "alive", 0, 0), member_json("b", 7102, b.0, 0, b.1));
+        report_json(side, &[a, b, member_json("c", 7103, c.0, 0, c.1)], "")
     };
     let (alive, left) = (("alive", 0), ("left", 1000));
     assert_eq!(report_of(&all[0]), three("whole", alive, alive));
@@ -151,11 +151,11 @@
     let (earlier, later) = (member("a", 7101, &[7102], 1), member("a", 7103, &[7102], 3));
     let mut all = vec![earlier, member("b", 7102, &[7101], 2), later];
     run(&mut all, 0, 3000);
-    let both = |port| [shown("a", port, "alive", 0, 0), shown("b", 7102, "alive", 0, 0)];
+    let both = |port| [member_json("a", port, "alive", 0, 0), member_json("b", 7102, "alive", 0, 0)];
     let earlier = r#","rival":{"address":"127.0.0.1:7103","counts":true}"#;
-    assert_eq!(report_of(&all[0]), shown_report("alone", &both(7101), earlier));
+    assert_eq!(report_of(&all[0]), report_json("alone", &both(7101), earlier));
     let later = r#","rival":{"address":"127.0.0.1:7101","counts":false}"#;
-    assert_eq!(report_of(&all[2]), shown_report("whole", &both(7103), later));
+    assert_eq!(report_of(&all[2]), report_json("whole", &both(7103), later));
 }
 
 #[test]
@@ -163,8 +163,8 @@
     let alone = member("a", 7101, &[], 1);
     let status = QuotaStatus { fraction: 0.5, guaranteed: 0.125, lease_ms: 1234, view: 7, is_leader: true };
     let rest = r#","share":0.5,"base":0.125,"lease_ms":1234,"view":7,"steward":true"#;
-    let recorded = shown_report("whole", &[shown("a", 7101, "alive", 0, 0)], rest);
-    assert_eq!(report(&alone, STARTED_AT, Some(status)), recorded);
+    let recorded = report_json("whole", &[member_json("a", 7101, "alive", 0, 0)], rest);
+    assert_eq!(report(&alone, STARTED_AT_UNIX_MS, Some(status)), recorded);
 }
 
 #[test]
@@ -238,7 +238,7 @@
     ];
     assert_eq!(membership_counters_by_name(&counters(), 20), recorded);
     let doubled: Vec<_> = recorded.map(|(name, count)| (name, count * 2)).into();
-    assert_eq!(membership_counters_by_name(&sum(counters(), counters()), 40), doubled);
+    assert_eq!(membership_counters_by_name(&sum_membership_counters(counters(), counters()), 40), doubled);
 }
 
 fn entry(state: State, start: u64) -> MemberRecord {
@@ -256,13 +256,13 @@
 fn lines_about_a_member_are_the_recorded_texts() {
     let line =
         |state, before| membership_log_line(&MembershipEvent::Member { entry: entry(state, 2), before });
-    let same = |state| line(state, Some((2, State::Alive)));
+    let from_alive = |state| line(state, Some((2, State::Alive)));
     assert_eq!(line(State::Alive, None), "b at 127.0.0.1:7102 is alive");
-    assert_eq!(same(State::Suspect), "b at 127.0.0.1:7102: alive -> suspect, no answer");
-    assert_eq!(same(State::Failed), "b at 127.0.0.1:7102: alive -> failed, no objection in time");
-    assert_eq!(same(State::Left), "b at 127.0.0.1:7102: alive -> left");
-    let anew = "b is a new process, at 127.0.0.1:7102: alive; the one before was failed";
-    assert_eq!(line(State::Alive, Some((1, State::Failed))), anew);
+    assert_eq!(from_alive(State::Suspect), "b at 127.0.0.1:7102: alive -> suspect, no answer");
+    assert_eq!(from_alive(State::Failed), "b at 127.0.0.1:7102: alive -> failed, no objection in time");
+    assert_eq!(from_alive(State::Left), "b at 127.0.0.1:7102: alive -> left");
+    let replaced = "b is a new process, at 127.0.0.1:7102: alive; the one before was failed";
+    assert_eq!(line(State::Alive, Some((1, State::Failed))), replaced);
     assert_eq!(membership_log_line(&MembershipEvent::Forgotten("b".into())), "b is remembered no longer");
 }
 
--- a/src/net/fleet/operator_view/mod.rs
+++ b/src/net/fleet/operator_view/mod.rs
@@ -15,6 +15,8 @@
 mod golden_tests;
 mod report;
 
-pub(super) use counters::{membership_counters_by_name, quota_counters_by_name, sum, sum_of_quota};
-pub(super) use event_log::{membership_log_line, quota_log_line, OTHER_SETTINGS_LINE};
+pub(super) use counters::{
+    membership_counters_by_name, quota_counters_by_name, sum_membership_counters, sum_quota_counters,
+};
+pub(super) use event_log::{membership_log_line, quota_log_line, QUOTA_SETTINGS_MISMATCH_LINE};
 pub(super) use report::{report, QuotaStatus};
--- a/src/net/fleet/process_quota.rs
+++ b/src/net/fleet/process_quota.rs
@@ -62,11 +62,11 @@
     /// Invariant: called with `activity` locked, or before other threads have this `Fleet`, so that
     /// an older quota is never published after a newer one.
     pub(super) fn publish_quota(&self, quota: LocalQuota) {
-        let of_second_process = self.fraction_of_second_process(quota.guaranteed);
+        let second_process_fraction = self.fraction_of_second_process(quota.guaranteed);
         (self.quota_handler)(ProcessQuota {
-            fraction: quota.fraction - of_second_process,
+            fraction: quota.fraction - second_process_fraction,
             expires_at: self.started_at + Duration::from_millis(quota.expires_at.as_millis()),
-            guaranteed: quota.guaranteed - of_second_process,
+            guaranteed: quota.guaranteed - second_process_fraction,
             limits: quota.limits,
         });
     }
--- a/src/net/fleet/quota.rs
+++ b/src/net/fleet/quota.rs
@@ -2,7 +2,7 @@
 //! `pinetrail-quota` and the membership, and converts parts per billion to fractions.
 
 use super::operator_view::{
-    quota_counters_by_name, quota_log_line, sum_of_quota, QuotaStatus, OTHER_SETTINGS_LINE,
+    quota_counters_by_name, quota_log_line, sum_quota_counters, QuotaStatus, QUOTA_SETTINGS_MISMATCH_LINE,
 };
 use crate::interface::FleetLimits;
 use crate::net::log::log;
@@ -40,7 +40,7 @@
     leases: QuotaLeases,
     local: Process,
     /// Whether the log has the line about a member with other settings.
-    reported_other_settings: bool,
+    settings_mismatch_logged: bool,
     /// Messages that could not be decoded.
     rejected_messages: u64,
     /// The counters of processes that had this name before.
@@ -60,7 +60,7 @@
             config,
             leases,
             local,
-            reported_other_settings: false,
+            settings_mismatch_logged: false,
             rejected_messages: 0,
             earlier_counters: QuotaCounters::default(),
         }
@@ -92,7 +92,7 @@
 
     /// Starts again as another process: the member has rejoined, and holds no lease.
     fn restart(&mut self, now: Timestamp, membership: &Membership) {
-        let earlier_counters = sum_of_quota(self.earlier_counters, self.leases.counters());
+        let earlier_counters = sum_quota_counters(self.earlier_counters, self.leases.counters());
         let restarted = QuotaDriver::new(self.config.clone(), membership, now);
         *self = QuotaDriver { earlier_counters, ..restarted };
     }
@@ -115,7 +115,7 @@
             Err(error) => {
                 self.rejected_messages += 1;
                 if error == DecodeError::OtherSettings {
-                    self.report_other_settings();
+                    self.log_settings_mismatch();
                 }
                 return None;
             }
@@ -126,10 +126,10 @@
     }
 
     /// Logs once that another member has other settings, which operators must correct.
-    fn report_other_settings(&mut self) {
-        if !self.reported_other_settings {
-            self.reported_other_settings = true;
-            log(&format!("fleet: {OTHER_SETTINGS_LINE}"));
+    fn log_settings_mismatch(&mut self) {
+        if !self.settings_mismatch_logged {
+            self.settings_mismatch_logged = true;
+            log(&format!("fleet: {QUOTA_SETTINGS_MISMATCH_LINE}"));
         }
     }
 
@@ -164,7 +164,7 @@
 
     /// The counters by the names that `stats` gives them.
     pub(super) fn counters(&self) -> Vec<(&'static str, u64)> {
-        let counters = sum_of_quota(self.earlier_counters, self.leases.counters());
+        let counters = sum_quota_counters(self.earlier_counters, self.leases.counters());
         quota_counters_by_name(&counters, self.rejected_messages)
     }
 
--- a/src/net/lifecycle/start/fleet.rs
+++ b/src/net/lifecycle/start/fleet.rs
@@ -45,7 +45,7 @@
 
     /// The counters of the fleet and of the common policy, by name.
     fn fleet_counters(&self) -> Vec<(&'static str, u64)> {
-        let mut counters = self.fleet().map_or(Vec::new(), |fleet| fleet.list());
+        let mut counters = self.fleet().map_or(Vec::new(), |fleet| fleet.counters());
         if let Some(policy) = self.policy() {
             counters.extend(policy.counters());
         }
@@ -80,7 +80,7 @@
 /// signals are handled after it.
 pub(super) fn catch_up(policy: &Policy, signals: &mut Signals) -> CatchUp {
     let mut deferred = DeferredSignals::default();
-    if policy.catch_up(&mut || deferred.collect(signals)) {
+    if policy.wait_until_admitting(&mut || deferred.collect(signals)) {
         deferred.reraise();
         CatchUp::Complete
     } else {
--- a/src/net/policy/applier.rs
+++ b/src/net/policy/applier.rs
@@ -90,11 +90,11 @@
 
     /// Returns the digests that a version would have as the active one here; `None` if it is not
     /// valid here.
-    pub(super) fn approved(&self, version: u64, text: &str) -> Option<ApprovedPolicy> {
+    pub(super) fn approved_digests(&self, version: u64, text: &str) -> Option<ApprovedPolicy> {
         let policy = serde_json::from_str(text).ok()?;
         let settings = text::with_local_keys(&policy, &self.local_settings);
-        let rules = ParsedSettings::parse(&settings).ok()?;
-        let part_digests = digest::part_digests(&rules.settings, &rules.names, rules.connect_timeout);
+        let parsed = ParsedSettings::parse(&settings).ok()?;
+        let part_digests = digest::part_digests(&parsed.settings, &parsed.names, parsed.connect_timeout);
         Some(ApprovedPolicy { version, part_digests })
     }
 
@@ -110,12 +110,12 @@
         }
         check_keys(&policy)?;
         let settings = text::with_local_keys(&policy, &self.local_settings);
-        let rules = match self.active_policy() {
+        let parsed = match self.active_policy() {
             Some(active) => ParsedSettings::parse_after(&settings, &active)?,
             None => ParsedSettings::parse(&settings)?,
         };
-        self.check_call_limit(&rules.settings)?;
-        Ok(rules)
+        self.check_call_limit(&parsed.settings)?;
+        Ok(parsed)
     }
 
     /// Decides: whether the client timeouts fit into the longest time that a call may run.
@@ -162,17 +162,17 @@
     }
 
     fn apply(&self, version: u64, text: &str) {
-        let rules = match self.parse_policy(text) {
-            Ok(rules) => rules,
+        let parsed = match self.parse_policy(text) {
+            Ok(parsed) => parsed,
             // It was validated before, so that this is a fault of the program.
             Err(error) => {
                 log(&format!("ERROR: policy: version {version} cannot be applied: {error}"));
                 return;
             }
         };
-        self.backends.set_timeouts(rules.connect_timeout, rules.settings.idle_connection_timeout());
-        self.active().longest_client_timeout = Some(rules.settings.longest_client_timeout());
-        self.dispatcher.apply_policy(version, rules.settings, rules.names);
+        self.backends.set_timeouts(parsed.connect_timeout, parsed.settings.idle_connection_timeout());
+        self.active().longest_client_timeout = Some(parsed.settings.longest_client_timeout());
+        self.dispatcher.apply_policy(version, parsed.settings, parsed.names);
         self.active().text = Some(text.to_owned());
     }
 
--- a/src/net/policy/directory/golden_tests.rs
+++ b/src/net/policy/directory/golden_tests.rs
@@ -10,12 +10,13 @@
 }
 
 /// The name `p1`, the start as a varint, and an address of IPv4 with its port.
-const REST: [u8; 18] = [2, 112, 49, 129, 128, 249, 192, 193, 196, 130, 3, 0, 127, 0, 0, 1, 193, 62];
+const BYTES_AFTER_WANTS_REPLY: [u8; 18] =
+    [2, 112, 49, 129, 128, 249, 192, 193, 196, 130, 3, 0, 127, 0, 0, 1, 193, 62];
 
 /// The value is written as the recorded bytes, and the recorded bytes are read as the value.
-fn assert_bytes(wants_reply: bool, first: u8) {
-    let mut recorded = vec![first];
-    recorded.extend(REST);
+fn assert_bytes(wants_reply: bool, wants_reply_byte: u8) {
+    let mut recorded = vec![wants_reply_byte];
+    recorded.extend(BYTES_AFTER_WANTS_REPLY);
     assert_eq!(postcard::to_allocvec(&message(wants_reply)).unwrap(), recorded);
     let read: DirectoryMessage = postcard::from_bytes(&recorded).unwrap();
     assert_eq!((read.wants_reply, &*read.name), (wants_reply, "p1"));
--- a/src/net/policy/drift_monitor/mod.rs
+++ b/src/net/policy/drift_monitor/mod.rs
@@ -114,19 +114,21 @@
     /// Invariant: of each name the detector lists the latest process, connected or not. A process
     /// that has lost its connections stays listed as silent.
     fn refresh(&self) -> Report {
-        let node_status_now = self.node.status();
+        let current_status = self.node.status();
         let part_digests = self.applier.active_digests();
         let now = self.now();
-        let approved =
-            self.node.approved_policy().and_then(|(version, text)| self.applier.approved(version, &text));
+        let approved = self
+            .node
+            .approved_policy()
+            .and_then(|(version, text)| self.applier.approved_digests(version, &text));
         let own_key = self.own_key();
         let connected = self.node.transport().connected_peers();
         let mut state = self.state();
         state.last_sequence += 1;
         let report = Report {
             sequence: state.last_sequence,
-            version: node_status_now.active_version,
-            status: node_status(node_status_now.status),
+            version: current_status.active_version,
+            status: node_status(current_status.status),
             part_digests,
             raised_alarms: state.alarms.all_raised(),
         };
--- a/src/net/policy/golden_tests.rs
+++ b/src/net/policy/golden_tests.rs
@@ -37,12 +37,12 @@
     })
 }
 
-fn parts() -> BTreeMap<String, u64> {
-    let rules = ParsedSettings::parse(&settings()).unwrap();
-    digest::part_digests(&rules.settings, &rules.names, rules.connect_timeout)
+fn part_digests() -> BTreeMap<String, u64> {
+    let parsed = ParsedSettings::parse(&settings()).unwrap();
+    digest::part_digests(&parsed.settings, &parsed.names, parsed.connect_timeout)
 }
 
-const PARTS: [(&str, u64); 11] = [
+const PART_DIGESTS: [(&str, u64); 11] = [
     ("Discovery", 7_733_822_046_692_686_318),
     ("FamilyInfo", 10_720_703_537_942_230_592),
     ("Grades", 5_527_230_087_550_353_658),
@@ -55,20 +55,20 @@
     ("Tick", 6_327_436_771_020_035_582),
     ("Zones", 5_631_438_573_785_323_218),
 ];
-const COMBINED: u64 = 3_954_140_142_386_296_445;
-const COMBINED_OF_NO_PARTS: u64 = 1_389_868_326_933_519_382;
+const COMBINED_DIGEST: u64 = 3_954_140_142_386_296_445;
+const COMBINED_DIGEST_OF_NO_PARTS: u64 = 1_389_868_326_933_519_382;
 
 #[test]
 fn digests_of_all_parts_are_the_recorded_figures() {
-    let parts = parts();
+    let parts = part_digests();
     let parts: Vec<(&str, u64)> = parts.iter().map(|(part, digest)| (&**part, *digest)).collect();
-    assert_eq!(parts, PARTS);
+    assert_eq!(parts, PART_DIGESTS);
 }
 
 #[test]
 fn the_combined_digest_is_the_recorded_figure() {
-    assert_eq!(digest::combined_digest(&parts()), COMBINED);
-    assert_eq!(digest::combined_digest(&BTreeMap::new()), COMBINED_OF_NO_PARTS);
+    assert_eq!(digest::combined_digest(&part_digests()), COMBINED_DIGEST);
+    assert_eq!(digest::combined_digest(&BTreeMap::new()), COMBINED_DIGEST_OF_NO_PARTS);
 }
 
 /// What digests are made from: the first lines to read if one of them has changed.
--- a/src/net/policy/mod.rs
+++ b/src/net/policy/mod.rs
@@ -111,7 +111,7 @@
 
     /// Waits until this process may admit requests. Returns false if it has to stop before. It
     /// blocks the calling thread.
-    pub fn catch_up(&self, mut is_stop_requested: impl FnMut() -> bool) -> bool {
+    pub fn wait_until_admitting(&self, mut is_stop_requested: impl FnMut() -> bool) -> bool {
         let started_at = Instant::now();
         let mut is_logged = false;
         while !self.is_admitting() {
--- a/src/net/policy/presence.rs
+++ b/src/net/policy/presence.rs
@@ -20,11 +20,11 @@
 
 /// The vote of this process.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Vote {
+enum VoterRole {
     /// Not held yet.
     Pending,
     /// Held, if the configuration gives this proxy a voter id.
-    Settled,
+    Resolved,
 }
 
 /// The listener and the vote of this process.
@@ -33,7 +33,7 @@
     node: Arc<ConsensusNode<TcpNetwork>>,
     /// The task that accepts connections. It is aborted when this process becomes inactive.
     listener: Option<JoinHandle<()>>,
-    vote: Vote,
+    voter_role: VoterRole,
     /// The last error that was logged.
     last_error: Option<String>,
 }
@@ -41,7 +41,7 @@
 impl Presence {
     /// Creates the presence of a process that neither listens nor votes.
     pub(super) fn new(config: PolicyConfig, node: Arc<ConsensusNode<TcpNetwork>>) -> Presence {
-        Presence { config, node, listener: None, vote: Vote::Pending, last_error: None }
+        Presence { config, node, listener: None, voter_role: VoterRole::Pending, last_error: None }
     }
 
     /// Decides: whether this process listens for peers and votes: it does as the active member.
@@ -59,8 +59,8 @@
                 if self.listener.is_none() {
                     self.listen().await;
                 }
-                if self.listener.is_some() && self.vote == Vote::Pending {
-                    self.claim_vote();
+                if self.listener.is_some() && self.voter_role == VoterRole::Pending {
+                    self.claim_voter_role();
                 }
             }
         }
@@ -70,22 +70,22 @@
         match self.node.transport().listen(self.config.bind).await {
             Ok(listener) => self.listener = Some(listener),
             Err(error) => {
-                self.log_once(format!("cannot listen for peers at {}: {error}", self.config.bind));
+                self.log_if_new(format!("cannot listen for peers at {}: {error}", self.config.bind));
             }
         }
     }
 
-    fn claim_vote(&mut self) {
+    fn claim_voter_role(&mut self) {
         let (Some(voter_id), Some(state_dir)) = (self.config.voter_id, self.config.state_dir.clone()) else {
-            self.vote = Vote::Settled;
+            self.voter_role = VoterRole::Resolved;
             return;
         };
         match self.become_voter(voter_id, &state_dir) {
-            Ok(()) => self.vote = Vote::Settled,
+            Ok(()) => self.voter_role = VoterRole::Resolved,
             // The previous process of this proxy still holds the lock of the directory.
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(error) => {
-                self.log_once(format!("this founder cannot vote: {}: {error}", state_dir.display()));
+                self.log_if_new(format!("this founder cannot vote: {}: {error}", state_dir.display()));
             }
         }
     }
@@ -99,14 +99,14 @@
         if let Some(listener) = self.listener.take() {
             listener.abort();
         }
-        if self.vote == Vote::Settled && self.config.voter_id.is_some() {
+        if self.voter_role == VoterRole::Resolved && self.config.voter_id.is_some() {
             self.node.resign_voter();
         }
-        self.vote = Vote::Pending;
+        self.voter_role = VoterRole::Pending;
     }
 
     /// Logs an error, unless it is the last one that was logged.
-    fn log_once(&mut self, error: String) {
+    fn log_if_new(&mut self, error: String) {
         if self.last_error.as_ref() != Some(&error) {
             log(&format!("ERROR: policy: {error}; the process retries"));
             self.last_error = Some(error);
