--- a/src/net/backend/attempt.rs
+++ b/src/net/backend/attempt.rs
@@ -4,7 +4,7 @@
 use super::encode::encode_request;
 use super::pool::{ConnectError, Connection, ReuseDelay};
 use super::response::{
-    parse_response, AttemptResult, ConnectionEnd, ConnectionReuse, LongValue, ParsedResponse,
+    parse_response, AttemptResult, ConnectionReuse, InputState, LongValue, ParsedResponse,
 };
 use super::BackendService;
 use crate::interface::Outcome;
@@ -126,26 +126,26 @@
             let stall_deadline = Instant::now() + RESPONSE_STALL_TIMEOUT;
             let read_deadline =
                 if bytes.is_empty() { attempt.deadline } else { attempt.deadline.min(stall_deadline) };
-            let end = match connection.stream.read(&mut bytes, read_deadline) {
-                Ok(0) => ConnectionEnd::Closed,
+            let input = match connection.stream.read(&mut bytes, read_deadline) {
+                Ok(0) => InputState::Closed,
                 // A backend that sends continuously must not prolong the attempt.
                 Ok(_) if Instant::now() >= attempt.deadline => return Outcome::Timeout.into(),
-                Ok(_) => ConnectionEnd::Open,
+                Ok(_) => InputState::Open,
                 Err(error) if error.kind() == ErrorKind::TimedOut && read_deadline < attempt.deadline => {
                     return self.malformed();
                 }
                 Err(error) if error.kind() == ErrorKind::TimedOut => return Outcome::Timeout.into(),
                 Err(_) => return Outcome::Reset.into(),
             };
-            match parse_response(attempt, &bytes, end) {
-                ParsedResponse::Incomplete if end == ConnectionEnd::Closed => return Outcome::Reset.into(),
+            match parse_response(attempt, &bytes, input) {
+                ParsedResponse::Incomplete if input == InputState::Closed => return Outcome::Reset.into(),
                 ParsedResponse::Incomplete => {}
                 ParsedResponse::Malformed => return self.malformed(),
                 ParsedResponse::LongValue(value) => {
                     return self.stream_value(attempt, connection, bytes, &value);
                 }
                 ParsedResponse::Complete { result, reuse } => {
-                    if end == ConnectionEnd::Open {
+                    if input == InputState::Open {
                         self.release(attempt, connection, reuse);
                     }
                     return result;
@@ -182,7 +182,7 @@
         mut bytes: Vec<u8>,
         value: &LongValue,
     ) -> AttemptResult {
-        let (sender, receiver) = body_stream::window();
+        let (sender, receiver) = body_stream::channel();
         if !self.dispatcher.attempt_streaming(attempt.id, value.length, receiver) {
             return Outcome::Cancelled.into();
         }
--- a/src/net/backend/response.rs
+++ b/src/net/backend/response.rs
@@ -59,15 +59,15 @@
 /// Whether a response names its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Identification {
-    Named,
-    Unnamed,
+    WithRequestId,
+    WithoutRequestId,
 }
 
 /// Whether a connection stays open after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Persistence {
-    StaysOpen,
-    Ends,
+    KeepAlive,
+    Close,
 }
 
 impl ConnectionReuse {
@@ -76,9 +76,9 @@
     /// Reason: a duplicate of a response must not pass for the response to the next request.
     fn after(identification: Identification, persistence: Persistence) -> ConnectionReuse {
         match (persistence, identification) {
-            (Persistence::Ends, _) => ConnectionReuse::Never,
-            (Persistence::StaysOpen, Identification::Named) => ConnectionReuse::AfterShortDelay,
-            (Persistence::StaysOpen, Identification::Unnamed) => ConnectionReuse::AfterLongDelay,
+            (Persistence::Close, _) => ConnectionReuse::Never,
+            (Persistence::KeepAlive, Identification::WithRequestId) => ConnectionReuse::AfterShortDelay,
+            (Persistence::KeepAlive, Identification::WithoutRequestId) => ConnectionReuse::AfterLongDelay,
         }
     }
 }
@@ -123,7 +123,7 @@
 
 /// Whether a connection may bring more of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ConnectionEnd {
+pub(super) enum InputState {
     /// The connection is open.
     Open,
     /// The backend has closed it without a reset.
@@ -131,12 +131,12 @@
 }
 
 /// Parses a backend's response in its protocol.
-pub(super) fn parse_response(attempt: &AttemptRequest, bytes: &[u8], end: ConnectionEnd) -> ParsedResponse {
+pub(super) fn parse_response(attempt: &AttemptRequest, bytes: &[u8], input: InputState) -> ParsedResponse {
     if bytes.len() > MAX_RESPONSE_BYTES {
         return ParsedResponse::Malformed;
     }
     if attempt.is_origin {
-        parse_http(attempt, bytes, end)
+        parse_http(attempt, bytes, input)
     } else {
         parse_memcache(attempt, bytes)
     }
@@ -149,8 +149,8 @@
     };
     // Only values, receipts and misses contain the id.
     let identification = match message {
-        BackendResponse::Busy | BackendResponse::Failed => Identification::Unnamed,
-        _ => Identification::Named,
+        BackendResponse::Busy | BackendResponse::Failed => Identification::WithoutRequestId,
+        _ => Identification::WithRequestId,
     };
     let result = match message {
         BackendResponse::LongValue { .. } if attempt.request.value.is_some() => {
@@ -171,11 +171,11 @@
         BackendResponse::Busy => Outcome::Full.into(),
         BackendResponse::Failed => Outcome::Error.into(),
     };
-    let persistence = if length == bytes.len() { Persistence::StaysOpen } else { Persistence::Ends };
+    let persistence = if length == bytes.len() { Persistence::KeepAlive } else { Persistence::Close };
     ParsedResponse::Complete { result, reuse: ConnectionReuse::after(identification, persistence) }
 }
 
-fn parse_http(attempt: &AttemptRequest, bytes: &[u8], end: ConnectionEnd) -> ParsedResponse {
+fn parse_http(attempt: &AttemptRequest, bytes: &[u8], input: InputState) -> ParsedResponse {
     let Parsed { message: head, length: body_at } = match http::parse_final_head(bytes) {
         Ok(parsed) => parsed,
         Err(unparsed) => return unparsed.into(),
@@ -187,14 +187,14 @@
     let (body, used) = match head.body {
         Body::Length(length) if length > MAX_STREAMED_VALUE_BYTES => return ParsedResponse::Malformed,
         Body::Length(length) if length > MAX_VALUE_BYTES => {
-            let reuse = http_reuse(&head, Persistence::StaysOpen);
+            let reuse = http_reuse(&head, Persistence::KeepAlive);
             let value = LongValue { starts_at: body_at, length, terminator: b"", reuse };
             return long_http_response(attempt, &head, value, bytes);
         }
         Body::Length(length) if rest.len() < length => return ParsedResponse::Incomplete,
         Body::Length(length) => (rest[..length].to_vec(), body_at + length),
         Body::UntilClose if rest.len() > MAX_VALUE_BYTES => return ParsedResponse::Malformed,
-        Body::UntilClose if end == ConnectionEnd::Open => return ParsedResponse::Incomplete,
+        Body::UntilClose if input == InputState::Open => return ParsedResponse::Incomplete,
         Body::UntilClose => (rest.to_vec(), bytes.len()),
         // A chunked body is buffered, since the client needs its length before the first byte.
         Body::Chunked => match http::parse_chunked_body(rest, MAX_VALUE_BYTES) {
@@ -203,7 +203,7 @@
         },
     };
     let is_complete = used == bytes.len() && head.body != Body::UntilClose;
-    let persistence = if is_complete { Persistence::StaysOpen } else { Persistence::Ends };
+    let persistence = if is_complete { Persistence::KeepAlive } else { Persistence::Close };
     match http_result(attempt, &head, body) {
         Some(result) => ParsedResponse::Complete { result, reuse: http_reuse(&head, persistence) },
         None => ParsedResponse::Malformed,
@@ -243,8 +243,9 @@
 
 /// Whether the connection may be reused after a response with this head.
 fn http_reuse(head: &Head, persistence: Persistence) -> ConnectionReuse {
-    let identification = if head.id.is_some() { Identification::Named } else { Identification::Unnamed };
-    let persistence = if head.closes { Persistence::Ends } else { persistence };
+    let identification =
+        if head.id.is_some() { Identification::WithRequestId } else { Identification::WithoutRequestId };
+    let persistence = if head.closes { Persistence::Close } else { persistence };
     ConnectionReuse::after(identification, persistence)
 }
 
--- a/src/net/body_stream.rs
+++ b/src/net/body_stream.rs
@@ -65,7 +65,7 @@
 pub struct ReceiverDropped;
 
 /// The two ends of a window.
-pub fn window() -> (BodySender, BodyReceiver) {
+pub fn channel() -> (BodySender, BodyReceiver) {
     let shared = Shared::default();
     (BodySender(Arc::clone(&shared)), BodyReceiver(shared))
 }
--- a/src/net/body_stream/tests.rs
+++ b/src/net/body_stream/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn a_full_window_makes_the_sender_wait_and_every_byte_arrives() {
-    let (sender, receiver) = window();
+    let (sender, receiver) = channel();
     let sending = thread::spawn(move || {
         for n in 0..1000u32 {
             sender.send(&n.to_be_bytes().repeat(256)).unwrap();
@@ -30,11 +30,11 @@
 
 #[test]
 fn each_end_notices_that_the_other_was_dropped() {
-    let (sender, receiver) = window();
+    let (sender, receiver) = channel();
     sender.send(b"half").unwrap();
     drop(sender);
     assert_eq!((receiver.receive(), receiver.receive()), (Piece::Bytes(b"half".to_vec()), Piece::Broken));
-    let (sender, receiver) = window();
+    let (sender, receiver) = channel();
     sender.send(&[0; WINDOW_BYTES]).unwrap();
     let sending = thread::spawn(move || sender.send(b"more"));
     drop(receiver);
--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -59,7 +59,7 @@
     /// Source: docs/connection-limits.md.
     pub(super) fn update_capacity(&self) -> Capacity {
         self.with_registry(|registry| {
-            let capacity = self.descriptors.update_clients(registry.open());
+            let capacity = self.descriptors.update_clients(registry.open_connections());
             registry.set_capacity(capacity.limit);
             if capacity.can_accept {
                 Capacity::Available
--- a/src/net/client/connection/close.rs
+++ b/src/net/client/connection/close.rs
@@ -12,7 +12,7 @@
     /// The connection is still open.
     Continues,
     /// The connection is finished and is closed.
-    Over,
+    Finished,
 }
 
 impl Connection<'_> {
@@ -23,8 +23,8 @@
     /// until the client has closed the connection too.
     pub(super) fn advance(&mut self) -> Progress {
         if let Some(reason) = self.handle.close_reason(self.reported.seq) {
-            if self.apply_close_order(reason) == Progress::Over {
-                return Progress::Over;
+            if self.apply_close_order(reason) == Progress::Finished {
+                return Progress::Finished;
             }
         }
         // A partial command was not accepted, so it does not delay the close.
@@ -72,7 +72,7 @@
             }
             _ => {
                 self.count_close(reason);
-                return Progress::Over;
+                return Progress::Finished;
             }
         }
         Progress::Continues
--- a/src/net/client/connection/input.rs
+++ b/src/net/client/connection/input.rs
@@ -4,7 +4,7 @@
 
 use super::commands::Execution;
 use super::{Connection, Received, State, REQUEST_OVERHEAD_BYTES};
-use crate::net::deadline_stream::{has_hung_up, read_now};
+use crate::net::deadline_stream::{has_hung_up, try_read};
 use pinetrail_codec::memcache;
 use pinetrail_codec::{Parsed, Unparsed, MAX_VALUE_BYTES};
 use std::io::{self, ErrorKind};
@@ -54,7 +54,7 @@
             self.check_client_present()?;
             return Ok(true);
         }
-        match read_now(self.stream.inner(), &mut self.input) {
+        match try_read(self.stream.inner(), &mut self.input) {
             Ok(0) => Err(ErrorKind::UnexpectedEof.into()),
             Ok(count) => {
                 self.record_read(count);
@@ -69,7 +69,7 @@
         self.state == State::Finishing
             || self.is_full()
             || self.waits_for_memory
-            || self.discarded > MAX_DISCARDED_BYTES
+            || self.discarded_bytes > MAX_DISCARDED_BYTES
     }
 
     /// Records bytes that were read, and how long they may have been unread.
@@ -77,7 +77,7 @@
         let queue_time = std::mem::take(&mut self.queue_time).min(MAX_QUEUE_TIME);
         self.unread_time = self.service.hold_up_monitor.unread_time(Instant::now()).max(queue_time);
         if self.state == State::Lingering {
-            self.discarded += count;
+            self.discarded_bytes += count;
             self.service.counters.bytes_discarded.add(count);
             self.input.clear();
         } else if self.received == Received::Nothing {
--- a/src/net/client/connection/mod.rs
+++ b/src/net/client/connection/mod.rs
@@ -129,7 +129,7 @@
     /// Whether a command was malformed since the last pause.
     had_errors: bool,
     /// How many bytes were discarded while lingering.
-    discarded: usize,
+    discarded_bytes: usize,
     /// The bytes to write next.
     output: Vec<u8>,
     /// The streamed value of the first pending command.
@@ -171,7 +171,7 @@
             waits_for_memory: false,
             has_unexecuted_input: false,
             had_errors: false,
-            discarded: 0,
+            discarded_bytes: 0,
             output: Vec::new(),
             body: None,
             body_broken: false,
@@ -195,11 +195,11 @@
     /// If the client has disconnected, or a streamed value broke off.
     pub(super) fn serve(&mut self) -> io::Result<()> {
         loop {
-            if self.serve_without_waiting()? == Progress::Over {
+            if self.serve_without_waiting()? == Progress::Finished {
                 return Ok(());
             }
             let before = self.state;
-            if self.advance() == Progress::Over {
+            if self.advance() == Progress::Finished {
                 return Ok(());
             }
             // The poller does not report input again that arrived before a change of state.
@@ -234,8 +234,8 @@
             }
             // Without this, a client that sends continuously would never be closed.
             self.report_phase(activity);
-            if self.must_close() && self.advance() == Progress::Over {
-                return Ok(Progress::Over);
+            if self.must_close() && self.advance() == Progress::Finished {
+                return Ok(Progress::Finished);
             }
         }
     }
@@ -296,7 +296,7 @@
     fn drop(&mut self) {
         self.service.remove(self.id);
         let reason = self.close_reason.unwrap_or(CloseReason::Finished);
-        request_log::connection_closed(self.id, reason, self.pending.len(), self.discarded);
+        request_log::connection_closed(self.id, reason, self.pending.len(), self.discarded_bytes);
         for request in self.pending.iter().filter_map(|pending| pending.request) {
             self.service.dispatcher.cancel(request);
         }
--- a/src/net/client/connection/submit.rs
+++ b/src/net/client/connection/submit.rs
@@ -81,7 +81,7 @@
                 Err(SubmitError::IdInUse) => return Err(Rejection::Malformed(RequestError::IdInUse)),
                 Err(SubmitError::Fenced { retry_after }) => return Err(Rejection::Fenced { retry_after }),
                 Err(SubmitError::PolicyChanging { request: returned, respond: callback }) => {
-                    request = self.wait_with(*returned)?;
+                    request = self.wait_for_policy_with(*returned)?;
                     respond = callback;
                 }
                 Err(SubmitError::Outdated { request: outdated, respond: callback }) => {
@@ -93,7 +93,7 @@
     }
 
     /// Waits for the policy with a request, whose budget decreases by the wait.
-    fn wait_with(&self, mut request: ClientRequest) -> Result<ClientRequest, Rejection> {
+    fn wait_for_policy_with(&self, mut request: ClientRequest) -> Result<ClientRequest, Rejection> {
         let started = Instant::now();
         self.wait_for_policy()?;
         request.budget = (request.budget - time_span(started.elapsed())).max(TimeSpan::ZERO);
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -184,8 +184,8 @@
     }
 
     /// The number of open connections.
-    pub fn open(&self) -> usize {
-        self.with_registry(|registry| registry.open())
+    pub fn open_connections(&self) -> usize {
+        self.with_registry(|registry| registry.open_connections())
     }
 
     /// Counts and logs a hold-up of the whole process.
--- a/src/net/client/registry.rs
+++ b/src/net/client/registry.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// The number of connections that are ordered to close at a time while the capacity is exhausted.
-const EVICTION_BATCH: usize = 8;
+const EVICTION_BATCH_SIZE: usize = 8;
 
 /// All client connections. Times are those of the clock of [`crate::net::descriptors`].
 pub(super) struct ConnectionRegistry {
@@ -76,7 +76,7 @@
     }
 
     /// The number of open connections.
-    pub(super) fn open(&self) -> usize {
+    pub(super) fn open_connections(&self) -> usize {
         self.table.open()
     }
 
@@ -107,7 +107,7 @@
 
     /// Close orders that make room for others.
     pub(super) fn make_room(&mut self, now: Timestamp) -> Vec<CloseOrder> {
-        self.table.make_room(now, EVICTION_BATCH)
+        self.table.make_room(now, EVICTION_BATCH_SIZE)
     }
 
     /// The handle of a connection, while it is open.
--- a/src/net/client/request.rs
+++ b/src/net/client/request.rs
@@ -19,7 +19,7 @@
 const HINT_LABEL: &str = "h";
 const REPEAT_LABEL: &str = "r";
 /// The value of [`REPEAT_LABEL`] that marks a repeat.
-const IS_REPEAT: &str = "1";
+const REPEAT_VALUE: &str = "1";
 const US_PER_MS: f64 = 1000.0;
 
 /// Why a request is malformed. Clients receive the text.
@@ -86,7 +86,7 @@
         }
         None => None,
     };
-    let repeat = label(labels, REPEAT_LABEL) == Some(IS_REPEAT);
+    let repeat = label(labels, REPEAT_LABEL) == Some(REPEAT_VALUE);
     Ok(ClientRequest {
         client,
         opaque: command.opaque,
--- a/src/net/deadline_stream.rs
+++ b/src/net/deadline_stream.rs
@@ -22,13 +22,13 @@
     /// # Errors
     ///
     /// Those of the socket; [`ErrorKind::WouldBlock`] if nothing is available.
-    fn read_now(&self, into: &mut [u8]) -> io::Result<usize>;
+    fn try_read(&self, into: &mut [u8]) -> io::Result<usize>;
     /// Writes as much as the socket takes, without waiting.
     ///
     /// # Errors
     ///
     /// Those of the socket; [`ErrorKind::WouldBlock`] if its buffer is full.
-    fn write_now(&self, bytes: &[u8]) -> io::Result<usize>;
+    fn try_write(&self, bytes: &[u8]) -> io::Result<usize>;
     /// Waits until there is something to read.
     ///
     /// # Errors
@@ -43,14 +43,14 @@
     fn shutdown(&self, how: Shutdown) -> io::Result<()>;
 }
 
-macro_rules! socket {
+macro_rules! impl_socket {
     ($kind:ty, $wait_readable:expr) => {
         impl Socket for $kind {
-            fn read_now(&self, into: &mut [u8]) -> io::Result<usize> {
+            fn try_read(&self, into: &mut [u8]) -> io::Result<usize> {
                 self.inner().read(into)
             }
 
-            fn write_now(&self, bytes: &[u8]) -> io::Result<usize> {
+            fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
                 self.inner().write(bytes)
             }
 
@@ -67,12 +67,12 @@
     };
 }
 
-socket!(TcpStream, |stream: &TcpStream, timeout| {
+impl_socket!(TcpStream, |stream: &TcpStream, timeout| {
     stream.set_read_timeout(Some(timeout))?;
     stream.peek(&mut [0]).map(drop)
 });
-socket!(PolledSocket<net::TcpStream>, PolledSocket::wait_readable);
-socket!(PolledSocket<UnixStream>, PolledSocket::wait_readable);
+impl_socket!(PolledSocket<net::TcpStream>, PolledSocket::wait_readable);
+impl_socket!(PolledSocket<UnixStream>, PolledSocket::wait_readable);
 
 /// A connected stream whose reads and writes have deadlines. Clones share the connection.
 #[derive(Debug)]
@@ -123,7 +123,7 @@
     /// Those of the socket; [`ErrorKind::TimedOut`] at the deadline.
     pub fn read(&self, into: &mut Vec<u8>, deadline: Instant) -> io::Result<usize> {
         loop {
-            match read_some(into, |room| self.0.read_now(room)) {
+            match read_some(into, |room| self.0.try_read(room)) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     let remaining = deadline.saturating_duration_since(Instant::now());
                     if remaining.is_zero() {
@@ -158,7 +158,7 @@
         condition: impl Fn() -> bool,
     ) -> io::Result<()> {
         while !bytes.is_empty() {
-            match self.0.write_now(bytes) {
+            match self.0.try_write(bytes) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => bytes = &bytes[count..],
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -197,7 +197,7 @@
 /// # Errors
 ///
 /// Those of the socket; [`ErrorKind::WouldBlock`] if nothing is available.
-pub fn read_now(mut stream: &net::TcpStream, into: &mut Vec<u8>) -> io::Result<usize> {
+pub fn try_read(mut stream: &net::TcpStream, into: &mut Vec<u8>) -> io::Result<usize> {
     read_some(into, |room| stream.read(room))
 }
 
--- a/src/net/discovery/lists.rs
+++ b/src/net/discovery/lists.rs
@@ -25,7 +25,7 @@
 /// Splits received bytes into lists.
 pub(super) struct ListReader {
     /// The received bytes that are not yet part of a complete list.
-    text: Vec<u8>,
+    buffer: Vec<u8>,
     /// The longest list, in bytes.
     max_length: usize,
 }
@@ -33,13 +33,13 @@
 impl ListReader {
     /// Creates a reader that accepts lists of up to `max_length` bytes.
     pub(super) fn new(max_length: usize) -> ListReader {
-        ListReader { text: Vec::new(), max_length }
+        ListReader { buffer: Vec::new(), max_length }
     }
 
     /// Whether only white space was received since the last list. Discovery sends it as a
     /// heartbeat.
     pub(super) fn is_empty(&self) -> bool {
-        self.text.is_empty()
+        self.buffer.is_empty()
     }
 
     /// Adds received bytes.
@@ -48,11 +48,11 @@
     ///
     /// [`ListError::TooLong`] if the buffer contains an incomplete list that is too long.
     pub(super) fn push(&mut self, bytes: &[u8]) -> Result<(), ListError> {
-        let bytes = if self.text.is_empty() { bytes.trim_ascii_start() } else { bytes };
-        self.text.extend_from_slice(bytes);
+        let bytes = if self.buffer.is_empty() { bytes.trim_ascii_start() } else { bytes };
+        self.buffer.extend_from_slice(bytes);
         // Complete lists are removed at once: more than one list and one fragment is an endless
         // list.
-        if self.text.len() > MAX_BUFFERED_LISTS * self.max_length {
+        if self.buffer.len() > MAX_BUFFERED_LISTS * self.max_length {
             return Err(ListError::TooLong);
         }
         Ok(())
@@ -65,19 +65,19 @@
     /// [`ListError`] if the received bytes are not a list.
     pub(super) fn next_list(&mut self) -> Result<Option<Catalog>, ListError> {
         // serde would accept an array as an object.
-        if self.text.first().is_some_and(|first| *first != b'{') {
+        if self.buffer.first().is_some_and(|first| *first != b'{') {
             return Err(ListError::NotAnObject);
         }
-        let mut values = serde_json::Deserializer::from_slice(&self.text).into_iter::<Catalog>();
+        let mut values = serde_json::Deserializer::from_slice(&self.buffer).into_iter::<Catalog>();
         let list = match values.next() {
             Some(Ok(list)) => Some(list),
             Some(Err(error)) if !error.is_eof() => return Err(ListError::Malformed(error)),
             None | Some(Err(_)) => None,
         };
         if list.is_some() {
-            let rest = self.text[values.byte_offset()..].trim_ascii_start().len();
-            self.text.drain(..self.text.len() - rest);
-        } else if self.text.len() > self.max_length {
+            let rest = self.buffer[values.byte_offset()..].trim_ascii_start().len();
+            self.buffer.drain(..self.buffer.len() - rest);
+        } else if self.buffer.len() > self.max_length {
             return Err(ListError::TooLong);
         }
         Ok(list)
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -29,7 +29,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The parameters of [`Discovery::start`].
-pub struct DiscoveryStart {
+pub struct DiscoveryParameters {
     /// Receives the endpoint lists.
     pub dispatcher: Arc<Dispatcher>,
     /// Counts watches and lists.
@@ -65,21 +65,21 @@
     ///
     /// Invariant: where lists are pushed, the first watch is opened here. The decision module does
     /// not subscribe then, and changes count as notified as soon as the agent has them.
-    pub fn start(start: DiscoveryStart) -> Arc<DiscoveryTarget> {
-        let target = Arc::new(DiscoveryTarget::new(start.address, start.subscribe));
+    pub fn start(parameters: DiscoveryParameters) -> Arc<DiscoveryTarget> {
+        let target = Arc::new(DiscoveryTarget::new(parameters.address, parameters.subscribe));
         let mut discovery = Discovery {
-            dispatcher: start.dispatcher,
-            counters: start.counters,
+            dispatcher: parameters.dispatcher,
+            counters: parameters.counters,
             target: Arc::clone(&target),
-            generation: start.cached.generation,
-            backoff: WatchBackoff::new(start.seed, start.delivery),
+            generation: parameters.cached.generation,
+            backoff: WatchBackoff::new(parameters.seed, parameters.delivery),
             last_received: None,
         };
-        discovery.update_endpoints(ListForm::Cached, start.cached.instances);
-        if start.delivery == ListDelivery::Pushed {
+        discovery.update_endpoints(ListForm::Cached, parameters.cached.instances);
+        if parameters.delivery == ListDelivery::Pushed {
             target.subscribe();
         }
-        let subscriptions = start.subscriptions;
+        let subscriptions = parameters.subscriptions;
         // Ends with the process.
         may::go!(move || discovery.run(&subscriptions));
         target
--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -27,41 +27,41 @@
 /// The timeout of connecting.
 const CONNECT_TIMEOUT: Duration = ms(750);
 /// The delay after a call that timed out.
-const TIMEOUT_DELAY: Range<Duration> = ms(100)..ms(300);
+const DELAY_AFTER_TIMEOUT: Range<Duration> = ms(100)..ms(300);
 /// The interval from the beginning of a call that failed again to the next call. It is random and
 /// counts from the beginning, because hundreds of proxies call a discovery that fails at once.
 const REPEATED_FAILURE_INTERVAL: Range<Duration> = ms(2000)..ms(2700);
 /// The delay after the first failure, and the least after any other. It is random, because a
 /// discovery that stops ends the watches of all proxies at the same moment.
-const FAILURE_DELAY: Range<Duration> = ms(300)..ms(1200);
+const DELAY_AFTER_FAILURE: Range<Duration> = ms(300)..ms(1200);
 /// The delay after a failure if an agent pushes lists: changes count as notified as soon as the
 /// agent has them, and no other proxy calls the agent.
-const PUSH_FAILURE_DELAY: Range<Duration> = ms(200)..ms(400);
+const DELAY_AFTER_PUSH_FAILURE: Range<Duration> = ms(200)..ms(400);
 /// The same as [`NOTIFICATION_TIME`] after the address of discovery has changed.
 const ADDRESS_CHANGE_NOTIFICATION_TIME: Duration = ms(4000);
 
 // A watch becomes silent at the moment of a change, and the next call times out.
 const _: () = assert_in_time(&[
     SILENCE_TIMEOUT,
-    TIMEOUT_DELAY.end,
+    DELAY_AFTER_TIMEOUT.end,
     SHORT_CALL_TIMEOUT,
-    TIMEOUT_DELAY.end,
+    DELAY_AFTER_TIMEOUT.end,
     SHORT_CALL_TIMEOUT,
 ]);
 // The next call is rejected at once, and so is the call after that.
-const _: () = assert_in_time(&[SILENCE_TIMEOUT, TIMEOUT_DELAY.end, FAILURE_DELAY.end]);
+const _: () = assert_in_time(&[SILENCE_TIMEOUT, DELAY_AFTER_TIMEOUT.end, DELAY_AFTER_FAILURE.end]);
 // The address changes while a connection to the old one is being established, and the first call at
 // the new one times out or is rejected.
 const _: () = assert!(
-    total_ms(&[CONNECT_TIMEOUT, SHORT_CALL_TIMEOUT, TIMEOUT_DELAY.end, SHORT_CALL_TIMEOUT])
+    total_ms(&[CONNECT_TIMEOUT, SHORT_CALL_TIMEOUT, DELAY_AFTER_TIMEOUT.end, SHORT_CALL_TIMEOUT])
         <= ADDRESS_CHANGE_NOTIFICATION_TIME.as_millis()
 );
 const _: () = assert!(
-    total_ms(&[CONNECT_TIMEOUT, FAILURE_DELAY.end, SHORT_CALL_TIMEOUT])
+    total_ms(&[CONNECT_TIMEOUT, DELAY_AFTER_FAILURE.end, SHORT_CALL_TIMEOUT])
         <= ADDRESS_CHANGE_NOTIFICATION_TIME.as_millis()
 );
 // A call begins at the moment at which discovery is back, and still times out, or is rejected.
-const _: () = assert_in_time(&[LONG_CALL_TIMEOUT, TIMEOUT_DELAY.end, LONG_CALL_TIMEOUT]);
+const _: () = assert_in_time(&[LONG_CALL_TIMEOUT, DELAY_AFTER_TIMEOUT.end, LONG_CALL_TIMEOUT]);
 const _: () = assert_in_time(&[REPEATED_FAILURE_INTERVAL.end, LONG_CALL_TIMEOUT]);
 
 const fn assert_in_time(waits: &[Duration]) {
@@ -141,12 +141,12 @@
         let failed_again = self.failed_before && failed_soon;
         self.failed_before = failed_soon;
         // Both are drawn each time, so that a seed always gives the same sequence of delays.
-        let delay = self.rng.gen_range(FAILURE_DELAY);
+        let delay = self.rng.gen_range(DELAY_AFTER_FAILURE);
         let repeated_interval = self.rng.gen_range(REPEATED_FAILURE_INTERVAL);
         if error.is_timeout() {
-            self.rng.gen_range(TIMEOUT_DELAY)
+            self.rng.gen_range(DELAY_AFTER_TIMEOUT)
         } else if self.delivery == ListDelivery::Pushed {
-            self.rng.gen_range(PUSH_FAILURE_DELAY)
+            self.rng.gen_range(DELAY_AFTER_PUSH_FAILURE)
         } else if failed_again {
             delay.max(repeated_interval.saturating_sub(lasted))
         } else {
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -75,6 +75,6 @@
 
     /// Requests in flight and open client connections.
     fn in_use(&self) -> usize {
-        self.dispatcher.pending_count() + self.clients.open()
+        self.dispatcher.pending_count() + self.clients.open_connections()
     }
 }
--- a/src/net/lifecycle/start/services.rs
+++ b/src/net/lifecycle/start/services.rs
@@ -7,7 +7,7 @@
 use crate::net::backend::{BackendService, BackendServiceParameters};
 use crate::net::client::{ClientService, ClientServiceParameters};
 use crate::net::counters::Counters;
-use crate::net::discovery::{Discovery, DiscoveryStart, DiscoveryTarget, ListDelivery};
+use crate::net::discovery::{Discovery, DiscoveryParameters, DiscoveryTarget, ListDelivery};
 use crate::net::dispatcher::{BackendCommand, Dispatcher, DispatcherParameters};
 use crate::net::hot_restart::{BudgetGrant, Handover};
 use crate::net::listener;
@@ -92,7 +92,7 @@
         cached: Catalog,
         subscriptions: SubscriptionChannel,
     ) -> Arc<DiscoveryTarget> {
-        Discovery::start(DiscoveryStart {
+        Discovery::start(DiscoveryParameters {
             dispatcher: Arc::clone(&self.dispatcher),
             counters: Arc::clone(&self.counters),
             address: config.discovery,
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -37,7 +37,7 @@
     /// Invariant: no coroutine waits while it holds this lock.
     mode: Mutex<AcceptMode>,
     /// When the queue was last seen empty. Guards this time only.
-    queued_since: Mutex<Instant>,
+    queue_last_empty_at: Mutex<Instant>,
 }
 
 /// Opens a listening socket.
@@ -68,7 +68,7 @@
         Ok(Listener {
             socket,
             mode: Mutex::new(AcceptMode::Accepting),
-            queued_since: Mutex::new(Instant::now()),
+            queue_last_empty_at: Mutex::new(Instant::now()),
         })
     }
 
@@ -107,13 +107,13 @@
     /// Waits for connections, or for a change of the mode.
     fn wait(&self) {
         self.socket.wait_io();
-        *self.queued_since.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
+        *self.queue_last_empty_at.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
     /// How long the connection that was accepted last may have been in the queue: the time since
     /// the queue was last seen empty.
     pub fn queue_time(&self) -> Duration {
-        self.queued_since.lock().unwrap_or_else(PoisonError::into_inner).elapsed()
+        self.queue_last_empty_at.lock().unwrap_or_else(PoisonError::into_inner).elapsed()
     }
 
     /// Stops permanently, after the connections that are in the queue.
