--- a/src/interface.rs
+++ b/src/interface.rs
@@ -68,16 +68,16 @@
     /// Its state.
     pub state: EndpointState,
     /// Its relative size; 1 where the list does not say.
-    pub size: f32,
+    pub weight: f32,
     /// When its process started; 0 means long ago.
-    pub started: Timestamp,
+    pub started_at: Timestamp,
 }
 
 impl EndpointInfo {
     /// Its relative size, or 1 where that is no positive number.
-    pub fn weight(&self) -> f64 {
-        if self.size.is_finite() && self.size > 0.0 {
-            f64::from(self.size)
+    pub fn effective_weight(&self) -> f64 {
+        if self.weight.is_finite() && self.weight > 0.0 {
+            f64::from(self.weight)
         } else {
             DEFAULT_WEIGHT
         }
@@ -142,11 +142,11 @@
     /// margin of `net::time_limits`.
     pub budget: TimeSpan,
     /// Expected work, where the client gave a hint.
-    pub hint: Option<TimeSpan>,
+    pub work_hint: Option<TimeSpan>,
     /// Whether the client marked it as a repeat of an earlier request; no decision uses it.
-    pub repeat: bool,
+    pub is_repeat: bool,
     /// Whether it is a write.
-    pub write: bool,
+    pub is_write: bool,
 }
 
 /// How one attempt of a request ended.
@@ -161,11 +161,11 @@
     /// Time since it was sent.
     pub latency: TimeSpan,
     /// Whether the request is over, with its response sent.
-    pub last: bool,
+    pub is_request_finished: bool,
     /// How it ended.
     pub outcome: Outcome,
     /// The backend's load report, if one came along.
-    pub report: Vec<f32>,
+    pub load_report: Vec<f32>,
 }
 
 /// This proxy's part of what all proxies may use together, as a fraction of 1.
@@ -208,10 +208,10 @@
         /// Whether it answered.
         answered: bool,
         /// Its load report.
-        report: Vec<f32>,
+        load_report: Vec<f32>,
     },
     /// A message from another proxy. No decision uses it.
-    Peer {
+    PeerMessage {
         /// The number of that proxy.
         from: u32,
         /// Its content.
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: which requests are shed while the cache nodes or the origin are overloaded. Read
 //! [`AdmissionControl`] first.
 
-use super::concurrency_limit::Pace;
+use super::concurrency_limit::Timeliness;
 use crate::interface::{GiveUpReason, Outcome};
 use crate::state::Tier;
 
@@ -38,14 +38,14 @@
 #[derive(Debug)]
 pub(super) struct AdmissionControl {
     /// To the cache nodes, when it arrives.
-    cache_nodes: f64,
+    node_probability: f64,
     /// To the origin, after a miss.
-    origin: f64,
+    origin_probability: f64,
 }
 
 impl Default for AdmissionControl {
     fn default() -> AdmissionControl {
-        AdmissionControl { cache_nodes: 1.0, origin: 1.0 }
+        AdmissionControl { node_probability: 1.0, origin_probability: 1.0 }
     }
 }
 
@@ -56,7 +56,7 @@
     pub(super) fn decide_arrival(&self, inputs: ArrivalInputs) -> AdmissionDecision {
         let priority_weight = inputs.priority_weight.max(MIN_PRIORITY_WEIGHT);
         let exponent = inputs.average_priority_weight / priority_weight;
-        if inputs.sample >= self.cache_nodes.powf(exponent) {
+        if inputs.sample >= self.node_probability.powf(exponent) {
             AdmissionDecision::Shed(GiveUpReason::FleetOverloaded)
         } else {
             AdmissionDecision::Admit
@@ -67,7 +67,7 @@
     /// Inputs: a random number from 0 to below 1.
     /// Reason: the origin is slow and shared, and queued fetches would all come too late.
     pub(super) fn decide_fetch(&self, sample: f64) -> AdmissionDecision {
-        if sample >= self.origin {
+        if sample >= self.origin_probability {
             AdmissionDecision::Shed(GiveUpReason::OriginOverloaded)
         } else {
             AdmissionDecision::Admit
@@ -79,24 +79,24 @@
     /// Reason: a proxy with a small quota has one attempt in flight at a backend, so that its
     /// concurrency limit cannot decrease any more; it sheds a fraction of its requests instead.
     /// Source: additive increase, multiplicative decrease (Chiu and Jain, 1989).
-    pub(super) fn record(&mut self, tier: Tier, pace: Pace) {
+    pub(super) fn record(&mut self, tier: Tier, timeliness: Timeliness) {
         let probability = match tier {
-            Tier::CacheNodes => &mut self.cache_nodes,
-            Tier::Origin => &mut self.origin,
+            Tier::CacheNodes => &mut self.node_probability,
+            Tier::Origin => &mut self.origin_probability,
         };
-        *probability = match pace {
-            Pace::Slow => (*probability * DECREASE_FACTOR).max(MIN_PROBABILITY),
-            Pace::InTime => (*probability + INCREASE_STEP).min(1.0),
+        *probability = match timeliness {
+            Timeliness::Slow => (*probability * DECREASE_FACTOR).max(MIN_PROBABILITY),
+            Timeliness::InTime => (*probability + INCREASE_STEP).min(1.0),
         };
     }
 }
 
 /// Decides: whether the probability of admission follows an attempt that ended.
-/// Inputs: how it ended; its pace; whether its backend's concurrency limit is the lowest.
+/// Inputs: how it ended; its timeliness; whether its backend's concurrency limit is the lowest.
 /// Reason: a slow response lowers the concurrency limit first; only where that cannot decrease any
 /// more does the proxy shed requests. An attempt that did not reach its backend shows no load.
-pub(super) fn follows(outcome: Outcome, pace: Pace, is_limit_lowest: bool) -> bool {
-    outcome.reached_backend() && (pace == Pace::InTime || is_limit_lowest)
+pub(super) fn should_adjust(outcome: Outcome, timeliness: Timeliness, is_limit_at_minimum: bool) -> bool {
+    outcome.reached_backend() && (timeliness == Timeliness::InTime || is_limit_at_minimum)
 }
 
 #[cfg(test)]
--- a/src/logic/admission/tests.rs
+++ b/src/logic/admission/tests.rs
@@ -8,7 +8,7 @@
 fn after_slow_responses(count: usize) -> AdmissionControl {
     let mut admission = AdmissionControl::default();
     for _ in 0..count {
-        admission.record(Tier::CacheNodes, Pace::Slow);
+        admission.record(Tier::CacheNodes, Timeliness::Slow);
     }
     admission
 }
@@ -26,7 +26,7 @@
     let mut admission = after_slow_responses(1);
     assert_eq!(admission.decide_arrival(arrival(1.0, 0.79)), AdmissionDecision::Admit);
     assert_eq!(admission.decide_arrival(arrival(1.0, 0.81)), shed);
-    admission.record(Tier::CacheNodes, Pace::InTime);
+    admission.record(Tier::CacheNodes, Timeliness::InTime);
     assert_eq!(admission.decide_arrival(arrival(1.0, 0.89)), AdmissionDecision::Admit);
     let lowest = after_slow_responses(100);
     assert_eq!(lowest.decide_arrival(arrival(1.0, 0.019)), AdmissionDecision::Admit);
@@ -46,16 +46,16 @@
 
 #[test]
 fn the_probability_follows_slow_responses_only_where_the_limit_is_the_lowest() {
-    assert!(follows(Outcome::Ok, Pace::InTime, false));
-    assert!(!follows(Outcome::Ok, Pace::Slow, false));
-    assert!(follows(Outcome::Timeout, Pace::Slow, true));
-    assert!(!follows(Outcome::ConnectFailed, Pace::InTime, true));
+    assert!(should_adjust(Outcome::Ok, Timeliness::InTime, false));
+    assert!(!should_adjust(Outcome::Ok, Timeliness::Slow, false));
+    assert!(should_adjust(Outcome::Timeout, Timeliness::Slow, true));
+    assert!(!should_adjust(Outcome::ConnectFailed, Timeliness::InTime, true));
 }
 
 #[test]
 fn the_origin_and_the_cache_nodes_have_probabilities_of_their_own() {
     let mut admission = AdmissionControl::default();
-    admission.record(Tier::Origin, Pace::Slow);
+    admission.record(Tier::Origin, Timeliness::Slow);
     assert_eq!(admission.decide_fetch(0.9), AdmissionDecision::Shed(GiveUpReason::OriginOverloaded));
     assert_eq!(admission.decide_arrival(arrival(1.0, 0.9)), AdmissionDecision::Admit);
 }
--- a/src/logic/balancer/attempts.rs
+++ b/src/logic/balancer/attempts.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use crate::interface::{Action, AttemptEnd, BackendId, GiveUpReason, Outcome, RequestId};
 use crate::logic::admission::{self, AdmissionDecision};
-use crate::logic::concurrency_limit::{self, Pace, PaceInputs, TimedAttempt};
+use crate::logic::concurrency_limit::{self, SlowThresholdInputs, TimedAttempt, Timeliness};
 use crate::logic::origin_fetch::{self, MissDecision};
 use crate::logic::outlier_ejection::{self, EndedAttempt, JITTER_FACTOR};
 use crate::logic::retry::{self, RetryCost, RetryTarget};
@@ -45,7 +45,7 @@
                 self.finish_fetch(fetch, out);
             }
         }
-        if end.last || end.outcome == Outcome::Ok {
+        if end.is_request_finished || end.outcome == Outcome::Ok {
             return self.close(end.id, out);
         }
         if must_wait {
@@ -75,7 +75,7 @@
             MissDecision::Wait => self.wait_for_fetch(miss.id, key),
             MissDecision::Fetch => {
                 self.fetches.begin(key, miss.id, miss.backend);
-                self.ask_origin(miss.id, out);
+                self.route_to_origin(miss.id, out);
             }
         }
     }
@@ -92,7 +92,7 @@
             return self.give_up(id, GiveUpReason::RetryBudgetEmpty, out);
         }
         match target {
-            RetryTarget::Origin => self.ask_origin(id, out),
+            RetryTarget::Origin => self.route_to_origin(id, out),
             RetryTarget::CacheNode => self.route(id, out),
         }
     }
@@ -102,7 +102,7 @@
     fn record_outcome(&mut self, end: &AttemptEnd) {
         let jitter = self.rng.gen_range(JITTER_FACTOR);
         let tier = self.tier(end.backend);
-        let pace = Pace::of(end.outcome, end.latency, self.slow_from(end.id, tier));
+        let timeliness = Timeliness::of(end.outcome, end.latency, self.slow_threshold(end.id, tier));
         let Some(backend) = self.backends.get_mut(&end.backend) else { return };
         if !backend.in_flight.remove(&AttemptId { request: end.id, number: end.attempt }) {
             return;
@@ -113,41 +113,41 @@
             jitter,
             max_ejection: self.settings.limits.idle_connection_timeout,
         };
-        outlier_ejection::record(&mut backend.outlier, ended);
+        outlier_ejection::record(&mut backend.outlier_history, ended);
         let timed = TimedAttempt {
             outcome: end.outcome,
             latency: end.latency,
-            pace,
+            timeliness,
             tier,
             in_flight: backend.in_flight.len() as f64 + 1.0,
             now: self.now,
         };
         concurrency_limit::record(&mut backend.limit, timed);
-        let is_limit_lowest = concurrency_limit::is_lowest(&backend.limit);
-        if admission::follows(end.outcome, pace, is_limit_lowest) {
-            self.adjust_admission(tier, pace);
+        let is_limit_at_minimum = concurrency_limit::is_at_minimum(&backend.limit);
+        if admission::should_adjust(end.outcome, timeliness, is_limit_at_minimum) {
+            self.adjust_admission(tier, timeliness);
         }
     }
 
     /// The latency beyond which an attempt of a request is slow. The class of a request that is gone
     /// is not known any more, and none of its attempts counts as slow.
-    fn slow_from(&self, id: RequestId, tier: Tier) -> TimeSpan {
+    fn slow_threshold(&self, id: RequestId, tier: Tier) -> TimeSpan {
         let Some(pending) = self.requests.get(&id) else { return TimeSpan::MAX };
         let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
-        let inputs = PaceInputs {
+        let inputs = SlowThresholdInputs {
             tier,
             latency_objective: pending.class.latency_objective,
             shortest_objective: objectives.fold(TimeSpan::MAX, TimeSpan::min),
             expected_work: pending.expected_work,
         };
-        inputs.slow_from()
+        inputs.slow_threshold()
     }
 
     /// Lets the probability of admission follow an attempt that ended, or one that is overdue, where
     /// this proxy's quota is small.
-    pub(super) fn adjust_admission(&mut self, tier: Tier, pace: Pace) {
+    pub(super) fn adjust_admission(&mut self, tier: Tier, timeliness: Timeliness) {
         if self.has_small_quota() {
-            self.admission.record(tier, pace);
+            self.admission.record(tier, timeliness);
         }
     }
 }
--- a/src/logic/balancer/backends.rs
+++ b/src/logic/balancer/backends.rs
@@ -37,8 +37,8 @@
                 unusable.insert(endpoint.backend);
             }
         }
-        self.update_node_size();
-        self.forget_removed();
+        self.update_mean_node_weight();
+        self.prune_removed_backends();
         // A draining or removed backend must not be chosen, and a new process has an empty cache.
         if !unusable.is_empty() {
             self.keys.remove_backends(|id| unusable.contains(&id));
@@ -61,8 +61,8 @@
         if process == ListedProcess::New {
             *backend = Backend::with_limit(limit);
         }
-        let started = listed.started.max(backend.info.started);
-        backend.info = EndpointInfo { started, ..listed };
+        let started_at = listed.started_at.max(backend.info.started_at);
+        backend.info = EndpointInfo { started_at, ..listed };
         process
     }
 
@@ -76,17 +76,17 @@
 
     /// Forgets the removed backends to which no pending request has been sent. Backends are replaced
     /// for as long as a balancer runs.
-    fn forget_removed(&mut self) {
+    fn prune_removed_backends(&mut self) {
         let attempts = self.requests.values().flat_map(|pending| &pending.attempts);
         let used: BTreeSet<BackendId> = attempts.map(|attempt| attempt.backend).collect();
         self.backends.retain(|id, backend| backend.info.state != EndpointState::Gone || used.contains(id));
     }
 
     /// Computes the average size of the cache nodes anew.
-    fn update_node_size(&mut self) {
+    fn update_mean_node_weight(&mut self) {
         let nodes = self.backends.values().filter(|backend| self.is_ready_node(backend));
-        let weights = nodes.map(|backend| backend.info.weight());
-        self.averages.node_size = weights.clone().sum::<f64>() / weights.count().max(1) as f64;
+        let weights = nodes.map(|backend| backend.info.effective_weight());
+        self.averages.mean_node_weight = weights.clone().sum::<f64>() / weights.count().max(1) as f64;
     }
 
     /// Takes over a quota, and scales the limits that were learned with the one before.
@@ -143,7 +143,7 @@
         LoadView {
             backends: &self.backends,
             settings: &self.settings,
-            mean_node_size: self.averages.node_size,
+            mean_node_weight: self.averages.mean_node_weight,
         }
     }
 
--- a/src/logic/balancer/mod.rs
+++ b/src/logic/balancer/mod.rs
@@ -60,7 +60,7 @@
             retry_budget: RetryBudget::new(),
             list_failures: 0,
             admission: AdmissionControl::default(),
-            quota: ProxyQuota::equal_part(settings.group_size),
+            quota: ProxyQuota::equal_share(settings.group_size),
             settings,
         }
     }
@@ -72,22 +72,23 @@
 
     /// Replaces the settings. Pending requests keep those that they arrived with.
     pub fn apply_settings(&mut self, settings: Settings) {
-        let is_regrouped = self.quota.is_equal_part() && settings.group_size != self.settings.group_size;
+        let is_group_size_changed =
+            self.quota.is_equal_share() && settings.group_size != self.settings.group_size;
         self.quota.set_group_size(settings.group_size);
         self.settings = settings;
-        if is_regrouped {
-            self.forget_learned_limits();
+        if is_group_size_changed {
+            self.reset_learned_limits();
         }
     }
 
     /// Limits and admission were learned as the part of another number of proxies.
-    fn forget_learned_limits(&mut self) {
+    fn reset_learned_limits(&mut self) {
         let divisor = self.quota.divisor(self.now);
         let origin_kind = self.settings.backend_kinds.origin_kind;
         for backend in self.backends.values_mut() {
             let is_origin = i64::from(backend.info.kind) == origin_kind;
             let tier = if is_origin { Tier::Origin } else { Tier::CacheNodes };
-            backend.limit.attempts = concurrency_limit::initial_limit(tier, divisor);
+            backend.limit.max_in_flight = concurrency_limit::initial_limit(tier, divisor);
         }
         self.admission = AdmissionControl::default();
     }
@@ -104,7 +105,7 @@
             Event::ClientGone(id) => self.close(id, out),
             Event::Timer(token) => self.on_timer(token, out),
             Event::Quota(quota) => self.on_quota(quota),
-            Event::Probed { .. } | Event::Peer { .. } => {}
+            Event::Probed { .. } | Event::PeerMessage { .. } => {}
         }
         if may_free_capacity {
             self.dispatch_queued(out);
--- a/src/logic/balancer/requests.rs
+++ b/src/logic/balancer/requests.rs
@@ -9,7 +9,7 @@
 use crate::logic::outlier_ejection::ExclusionScope;
 use crate::logic::retry::idempotency::{self, RepeatSafety};
 use crate::logic::retry::{self, OriginAvailability};
-use crate::logic::slow_start::{self, KeyLoad, WarmUpDraw};
+use crate::logic::slow_start::{self, KeyLoad, WarmUpInputs};
 use crate::logic::{origin_fetch, queue};
 use crate::rendezvous;
 use crate::state::{Backend, OriginFetch, PendingRequest, Stage, TimerKind};
@@ -25,7 +25,7 @@
 /// During a warm-up a proxy with a small quota draws a key's home among at least so many nodes.
 const MIN_WARM_UP_CANDIDATES: usize = 2;
 /// A key is drawn for warming backends as if for this one, which no list names.
-const WARM_UP_DRAW_ID: BackendId = BackendId(u32::MAX);
+const WARM_UP_SAMPLE_ID: BackendId = BackendId(u32::MAX);
 
 impl Balancer {
     pub(super) fn on_request(&mut self, mut request: Request, out: &mut Vec<Action>) {
@@ -35,9 +35,9 @@
         };
         let response_budget = if request.budget.is_finite() { request.budget } else { TimeSpan::ZERO };
         let response_budget = response_budget.max(TimeSpan::ZERO);
-        request.hint = request.hint.filter(|hint| hint.is_finite() && *hint > TimeSpan::ZERO);
+        request.work_hint = request.work_hint.filter(|hint| hint.is_finite() && *hint > TimeSpan::ZERO);
         let expected_work = self.expected_work(&request);
-        self.averages.work_ms.update_or_start(WORK_AVERAGE_WEIGHT, expected_work.as_ms());
+        self.averages.work_ms.update_or_init(WORK_AVERAGE_WEIGHT, expected_work.as_ms());
         self.averages.priority_weight.update(PRIORITY_AVERAGE_WEIGHT, class.priority_weight);
         let deadline = self.now + response_budget;
         let pending = PendingRequest::new(request, class, self.settings.limits, deadline, expected_work);
@@ -53,14 +53,14 @@
     /// How long a backend is expected to work on a request.
     fn expected_work(&self, request: &Request) -> TimeSpan {
         let average = self.averages.work_ms.value().max(MIN_EXPECTED_WORK_MS);
-        request.hint.unwrap_or(TimeSpan::from_ms(average))
+        request.work_hint.unwrap_or(TimeSpan::from_ms(average))
     }
 
     /// Sends a request that has just arrived on its way, or sheds it.
     fn admit(&mut self, id: RequestId, priority_weight: f64, out: &mut Vec<Action>) {
-        let is_write = self.requests.get(&id).is_some_and(|pending| pending.request.write);
+        let is_write = self.requests.get(&id).is_some_and(|pending| pending.request.is_write);
         if is_write && self.origin_availability() != OriginAvailability::NotConfigured {
-            return self.ask_origin(id, out);
+            return self.route_to_origin(id, out);
         }
         let decision = self.admission.decide_arrival(ArrivalInputs {
             priority_weight,
@@ -95,7 +95,7 @@
         let nodes = self.ready_nodes();
         let rules = EligibilityRules {
             exclusion: ExclusionScope::for_nodes(&nodes, self.now),
-            warm_up: self.warm_up_draw(&pending.request, &nodes),
+            warm_up: self.warm_up_inputs(&pending.request, &nodes),
             safety_limits: &self.settings.safety_limits,
             quota: &self.quota,
             backends: &self.backends,
@@ -105,28 +105,28 @@
     }
 
     /// The home of a request's key while a node warms up, and this proxy's draw for it.
-    fn warm_up_draw(&self, request: &Request, nodes: &[&Backend]) -> WarmUpDraw {
-        let key = self.spread_key(request, nodes.len());
+    fn warm_up_inputs(&self, request: &Request, nodes: &[&Backend]) -> WarmUpInputs {
+        let key = self.warm_up_key(request, nodes.len());
         let order = self.rendezvous_order();
         let limits = &self.settings.safety_limits;
         let is_any_warming_up = nodes.iter().any(|node| slow_start::is_warming_up(node, limits, self.now));
         let home = if is_any_warming_up {
             let loads = self.loads();
-            let is_anywhere = !stays_in_zone(&self.settings);
-            let near = nodes.iter().filter(|node| is_anywhere || loads.is_in_own_zone(node));
+            let includes_other_zones = !stays_in_zone(&self.settings);
+            let near = nodes.iter().filter(|node| includes_other_zones || loads.is_in_own_zone(node));
             order.home(key, near.map(|node| node.id()), MIN_WARM_UP_CANDIDATES)
         } else {
             None
         };
-        WarmUpDraw {
+        WarmUpInputs {
             home: home.map(|home| home.backend),
-            draw: rendezvous::unit(order.per_proxy_key(key), WARM_UP_DRAW_ID),
+            sample: rendezvous::uniform_hash(order.per_proxy_key(key), WARM_UP_SAMPLE_ID),
         }
     }
 
     /// The key by which a request is drawn during a warm-up: one of its own for each request of a hot
     /// key, and for each without a key.
-    fn spread_key(&self, request: &Request, nodes: usize) -> Key {
+    fn warm_up_key(&self, request: &Request, nodes: usize) -> Key {
         let frequency = self.keys.frequency(request.key);
         let load = KeyLoad {
             fraction: frequency.requests / frequency.total,
@@ -170,15 +170,15 @@
 
     /// Whether a new key is among the largest, by the hint of its request.
     fn is_large(&mut self, request: &Request) -> bool {
-        let Some(hint) = request.hint else { return false };
-        self.averages.large_hint_ms.is_exceeded_by(hint.as_ms(), LARGE_KEY_FRACTION)
+        let Some(hint) = request.work_hint else { return false };
+        self.averages.large_hint_ms.record_and_compare(hint.as_ms(), LARGE_KEY_FRACTION)
     }
 
     /// Sends queued requests while there is capacity, the heaviest first.
     pub(super) fn dispatch_queued(&mut self, out: &mut Vec<Action>) {
         while self.origin_with_capacity().is_some() {
             let Some(queued) = self.queue.pop_heaviest(Stage::QueuedForOrigin) else { break };
-            self.ask_origin(queued.id, out);
+            self.route_to_origin(queued.id, out);
             if self.queue.restore_weight(queued) {
                 break;
             }
@@ -193,7 +193,7 @@
     }
 
     /// Sends a request to the origin, or queues it for that.
-    pub(super) fn ask_origin(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn route_to_origin(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(origin) = self.origin_with_capacity() {
             return self.start_attempt(id, origin, out);
         }
@@ -237,7 +237,7 @@
     /// Ends a request that no backend served.
     pub(super) fn give_up(&mut self, id: RequestId, reason: GiveUpReason, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
-        let repeat = idempotency::anywhere(pending, self.decision_time());
+        let repeat = idempotency::safety_anywhere(pending, self.decision_time());
         let response = give_up::decide(reason, repeat, pending.limits.max_retry_after);
         out.push(final_response(id, response, reason));
         self.close(id, out);
--- a/src/logic/balancer/timers.rs
+++ b/src/logic/balancer/timers.rs
@@ -2,7 +2,7 @@
 
 use super::Balancer;
 use crate::interface::{Action, GiveUpReason};
-use crate::logic::concurrency_limit::Pace;
+use crate::logic::concurrency_limit::Timeliness;
 use crate::logic::queue;
 use crate::state::{PendingRequest, Stage, Tier, TimerKind};
 use crate::time::Timestamp;
@@ -24,7 +24,7 @@
                     self.give_up(timer.request, GiveUpReason::QueuedTooLong, out);
                 } else if pending.last_backend() != self.origin() {
                     // A node that has not answered by then is slow already.
-                    self.adjust_admission(Tier::CacheNodes, Pace::Slow);
+                    self.adjust_admission(Tier::CacheNodes, Timeliness::Slow);
                 }
             }
         }
--- a/src/logic/concurrency_limit/aimd.rs
+++ b/src/logic/concurrency_limit/aimd.rs
@@ -10,7 +10,7 @@
 /// The weight of an attempt in the average of slow attempts.
 const SLOW_AVERAGE_WEIGHT: f64 = 0.1;
 /// The origin is crowded while more than this fraction of its recent attempts was slow.
-const CROWDED_ORIGIN_SLOW_FRACTION: f64 = 0.25;
+const CONGESTED_ORIGIN_SLOW_FRACTION: f64 = 0.25;
 /// A limit is in use while this many times the attempts in flight exceed it.
 const IN_USE_MULTIPLE: f64 = 2.0;
 /// At the origin, an attempt is slow beyond this fraction of the shortest latency objective.
@@ -20,16 +20,16 @@
 
 /// How long an attempt took, against what its class asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Pace {
+pub(crate) enum Timeliness {
     /// No longer than it may.
     InTime,
     /// Longer, or it was not served in time at all.
     Slow,
 }
 
-/// What the pace of an attempt depends on.
+/// What the timeliness of an attempt depends on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PaceInputs {
+pub(crate) struct SlowThresholdInputs {
     /// The kind of backend.
     pub(crate) tier: Tier,
     /// The latency objective of the request's class.
@@ -40,12 +40,12 @@
     pub(crate) expected_work: TimeSpan,
 }
 
-impl PaceInputs {
+impl SlowThresholdInputs {
     /// Decides: beyond which latency an attempt is slow.
     /// Inputs: the latency objectives and the expected work, in ms.
     /// Reason: the time that an attempt takes beyond the expected work is spent in queues. The
     /// origin serves all classes, so that the most urgent one sets what is slow there.
-    pub(crate) fn slow_from(&self) -> TimeSpan {
+    pub(crate) fn slow_threshold(&self) -> TimeSpan {
         let queueing = match self.tier {
             Tier::Origin => self.shortest_objective * ORIGIN_OBJECTIVE_FRACTION,
             Tier::CacheNodes => self.latency_objective * NODE_OBJECTIVE_FRACTION,
@@ -54,13 +54,13 @@
     }
 }
 
-impl Pace {
-    /// The pace of an attempt that ended like this. One that was rejected or timed out is slow.
-    pub(crate) fn of(outcome: Outcome, latency: TimeSpan, slow_from: TimeSpan) -> Pace {
-        if latency > slow_from || matches!(outcome, Outcome::Full | Outcome::Timeout) {
-            Pace::Slow
+impl Timeliness {
+    /// The timeliness of an attempt that ended like this. One that was rejected or timed out is slow.
+    pub(crate) fn of(outcome: Outcome, latency: TimeSpan, slow_threshold: TimeSpan) -> Timeliness {
+        if latency > slow_threshold || matches!(outcome, Outcome::Full | Outcome::Timeout) {
+            Timeliness::Slow
         } else {
-            Pace::InTime
+            Timeliness::InTime
         }
     }
 }
@@ -73,7 +73,7 @@
     /// How long it took.
     pub(crate) latency: TimeSpan,
     /// How long it took against what its class asks for.
-    pub(crate) pace: Pace,
+    pub(crate) timeliness: Timeliness,
     /// The kind of backend.
     pub(crate) tier: Tier,
     /// The attempts in flight at the backend, this one included.
@@ -83,21 +83,21 @@
 }
 
 /// Decides: how a concurrency limit changes as an attempt ends.
-/// Inputs: the attempt's outcome, latency, pace and kind of backend; the attempts in flight; the
+/// Inputs: the attempt's outcome, latency, timeliness and kind of backend; the attempts in flight; the
 /// time now.
 /// Reason: a limit in use grows while responses come in time, and falls once for each time that
 /// the backend is crowded. Attempts sent before the last decrease do not decrease it again.
 /// Source: Chiu and Jain (1989); TCP's congestion avoidance (RFC 5681, section 3.1).
 pub(crate) fn record(limit: &mut ConcurrencyLimit, attempt: TimedAttempt) {
-    let is_slow = attempt.pace == Pace::Slow;
-    limit.slow_average.update(SLOW_AVERAGE_WEIGHT, if is_slow { 1.0 } else { 0.0 });
+    let is_slow = attempt.timeliness == Timeliness::Slow;
+    limit.slow_fraction.update(SLOW_AVERAGE_WEIGHT, if is_slow { 1.0 } else { 0.0 });
     let is_after_decrease = attempt.now - attempt.latency >= limit.last_decrease;
-    let is_in_use = attempt.in_flight * IN_USE_MULTIPLE > limit.attempts;
-    if is_slow && is_crowded(limit, attempt) && is_after_decrease {
-        limit.attempts = (limit.attempts * DECREASE_FACTOR).max(MIN_LIMIT);
+    let is_in_use = attempt.in_flight * IN_USE_MULTIPLE > limit.max_in_flight;
+    if is_slow && is_congested(limit, attempt) && is_after_decrease {
+        limit.max_in_flight = (limit.max_in_flight * DECREASE_FACTOR).max(MIN_LIMIT);
         limit.last_decrease = attempt.now;
     } else if !is_slow && attempt.outcome == Outcome::Ok && is_in_use {
-        limit.attempts += 1.0 / limit.attempts;
+        limit.max_in_flight += 1.0 / limit.max_in_flight;
     }
 }
 
@@ -107,10 +107,10 @@
 /// below what the origin can take: there a fraction of them has to be slow. A node that pauses
 /// rejects what has waited there, however few attempts are in flight; decreasing its limit would
 /// send its keys to nodes that lack them, and the misses to the origin.
-fn is_crowded(limit: &ConcurrencyLimit, attempt: TimedAttempt) -> bool {
+fn is_congested(limit: &ConcurrencyLimit, attempt: TimedAttempt) -> bool {
     let is_rejected = attempt.outcome == Outcome::Full;
     match attempt.tier {
-        Tier::Origin => is_rejected || limit.slow_average.value() > CROWDED_ORIGIN_SLOW_FRACTION,
-        Tier::CacheNodes => !is_rejected || attempt.in_flight * IN_USE_MULTIPLE >= limit.attempts,
+        Tier::Origin => is_rejected || limit.slow_fraction.value() > CONGESTED_ORIGIN_SLOW_FRACTION,
+        Tier::CacheNodes => !is_rejected || attempt.in_flight * IN_USE_MULTIPLE >= limit.max_in_flight,
     }
 }
--- a/src/logic/concurrency_limit/mod.rs
+++ b/src/logic/concurrency_limit/mod.rs
@@ -5,7 +5,7 @@
 mod aimd;
 mod quota;
 
-pub(super) use aimd::{record, Pace, PaceInputs, TimedAttempt};
+pub(super) use aimd::{record, SlowThresholdInputs, TimedAttempt, Timeliness};
 pub(super) use quota::ProxyQuota;
 
 use crate::interface::FleetLimits;
@@ -23,9 +23,9 @@
 /// The lowest concurrency limit.
 const MIN_LIMIT: f64 = 1.0;
 /// Below this limit a backend rests after a decrease.
-const REST_BELOW_LIMIT: f64 = 2.0;
+const COOLDOWN_BELOW_LIMIT: f64 = 2.0;
 /// How long a backend rests.
-const REST: TimeSpan = TimeSpan::from_ms(100.0);
+const COOLDOWN: TimeSpan = TimeSpan::from_ms(100.0);
 
 /// Whether a backend may get one more attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     /// As many attempts as are allowed are in flight.
     Full,
     /// Its limit was just decreased and cannot decrease much further.
-    Resting,
+    CoolingDown,
 }
 
 /// Decides: whether a backend may get one more attempt, as far as its concurrency limit goes.
@@ -49,10 +49,10 @@
     now: Timestamp,
 ) -> CapacityDecision {
     let limit = &backend.limit;
-    let is_rested = limit.attempts >= REST_BELOW_LIMIT || now - limit.last_decrease > REST;
-    let allowed = quota.allowed_attempts(limit.attempts, tier, now);
-    if !is_rested {
-        CapacityDecision::Resting
+    let has_cooled_down = limit.max_in_flight >= COOLDOWN_BELOW_LIMIT || now - limit.last_decrease > COOLDOWN;
+    let allowed = quota.allowed_attempts(limit.max_in_flight, tier, now);
+    if !has_cooled_down {
+        CapacityDecision::CoolingDown
     } else if (backend.in_flight.len() as f64) < allowed.floor() {
         CapacityDecision::Available
     } else {
@@ -72,12 +72,12 @@
 
 /// Scales a limit that was learned with another quota.
 pub(super) fn rescale(limit: &mut ConcurrencyLimit, factor: f64) {
-    limit.attempts = (limit.attempts * factor).max(MIN_LIMIT);
+    limit.max_in_flight = (limit.max_in_flight * factor).max(MIN_LIMIT);
 }
 
 /// Whether a limit cannot decrease any more.
-pub(super) fn is_lowest(limit: &ConcurrencyLimit) -> bool {
-    limit.attempts <= MIN_LIMIT
+pub(super) fn is_at_minimum(limit: &ConcurrencyLimit) -> bool {
+    limit.max_in_flight <= MIN_LIMIT
 }
 
 /// What all proxies together may have in flight at a backend of this kind.
--- a/src/logic/concurrency_limit/quota.rs
+++ b/src/logic/concurrency_limit/quota.rs
@@ -20,12 +20,12 @@
 
 impl ProxyQuota {
     /// The quota of one of `group_size` equal proxies.
-    pub(crate) fn equal_part(group_size: u32) -> ProxyQuota {
+    pub(crate) fn equal_share(group_size: u32) -> ProxyQuota {
         ProxyQuota { group_size, quota: None, learned_divisor: 1.0 }
     }
 
     /// Whether it is still that of one of a number of equal proxies.
-    pub(crate) fn is_equal_part(&self) -> bool {
+    pub(crate) fn is_equal_share(&self) -> bool {
         self.quota.is_none()
     }
 
@@ -58,7 +58,7 @@
     /// Replaces the quota. Returns the factor by which limits learned with the one before are to be
     /// scaled.
     pub(crate) fn replace(&mut self, quota: Quota, now: Timestamp) -> f64 {
-        let before = if self.is_equal_part() { self.divisor(now) } else { self.learned_divisor };
+        let before = if self.is_equal_share() { self.divisor(now) } else { self.learned_divisor };
         self.quota = Some(quota);
         self.learned_divisor = self.divisor(now);
         before / self.learned_divisor
--- a/src/logic/eligibility.rs
+++ b/src/logic/eligibility.rs
@@ -4,7 +4,7 @@
 use super::concurrency_limit::{self, CapacityDecision, ProxyQuota};
 use super::outlier_ejection::{self, ExclusionScope, OutlierDecision};
 use super::retry::idempotency;
-use super::slow_start::{self, SlowStartDecision, WarmUpDraw};
+use super::slow_start::{self, SlowStartDecision, WarmUpInputs};
 use crate::interface::BackendId;
 use crate::settings::SafetyLimits;
 use crate::state::{Backend, BackendTable, PendingRequest, Tier};
@@ -33,7 +33,7 @@
     /// Whether outliers and ejected nodes are excluded.
     pub(super) exclusion: ExclusionScope,
     /// What the request has to do with nodes that warm up.
-    pub(super) warm_up: WarmUpDraw,
+    pub(super) warm_up: WarmUpInputs,
     /// What the operators' rules allow.
     pub(super) safety_limits: &'a SafetyLimits,
     /// This proxy's quota.
@@ -56,14 +56,14 @@
             OutlierDecision::Eligible => {}
         }
         match concurrency_limit::decide_capacity(node, Tier::CacheNodes, self.quota, self.now) {
-            CapacityDecision::Full | CapacityDecision::Resting => return Eligibility::NoCapacity,
+            CapacityDecision::Full | CapacityDecision::CoolingDown => return Eligibility::NoCapacity,
             CapacityDecision::Available => {}
         }
         match slow_start::decide(node, self.safety_limits, self.warm_up, self.now) {
             SlowStartDecision::WarmingUp => return Eligibility::WarmingUp,
             SlowStartDecision::Warm | SlowStartDecision::WithinFraction => {}
         }
-        if idempotency::at_backend(pending, &node.info, self.backends).is_safe() {
+        if idempotency::safety_at_backend(pending, &node.info, self.backends).is_safe() {
             Eligibility::Eligible
         } else {
             Eligibility::RepeatUnsafe
--- a/src/logic/eligibility/tests.rs
+++ b/src/logic/eligibility/tests.rs
@@ -16,14 +16,14 @@
 }
 
 /// A request that must not run twice, after attempts at the node that ended like this.
-fn once(outcomes: &[Outcome]) -> PendingRequest {
+fn non_idempotent(outcomes: &[Outcome]) -> PendingRequest {
     pending(Idempotency::NotIdempotent, DeduplicationScope::All, outcomes)
 }
 
 fn fail(node: &mut Backend, outcome: Outcome) {
     let max_ejection = TimeSpan::from_ms(60_000.0);
     let ended = EndedAttempt { outcome, now: NOW, jitter: 1.0, max_ejection };
-    outlier_ejection::record(&mut node.outlier, ended);
+    outlier_ejection::record(&mut node.outlier_history, ended);
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let mut full = node();
     full.in_flight.insert(AttemptId { request: RequestId(9), number: 0 });
     let mut cold = node();
-    cold.info.started = NOW;
+    cold.info.started_at = NOW;
     let cases = [
         (node(), vec![], Eligibility::Eligible),
         (ejected, vec![], Eligibility::Ejected),
@@ -48,15 +48,15 @@
     for (node, outcomes, expected) in cases {
         let fleet = [&node, &Backend::default(), &Backend::default()];
         let backends = BackendTable::new();
-        let quota = ProxyQuota::equal_part(1);
+        let quota = ProxyQuota::equal_share(1);
         let rules = EligibilityRules {
             exclusion: ExclusionScope::for_nodes(&fleet, NOW),
-            warm_up: WarmUpDraw { home: None, draw: 0.0 },
+            warm_up: WarmUpInputs { home: None, sample: 0.0 },
             safety_limits: &SAFETY_LIMITS,
             quota: &quota,
             backends: &backends,
             now: NOW,
         };
-        assert_eq!(rules.decide(&node, &once(&outcomes)), expected);
+        assert_eq!(rules.decide(&node, &non_idempotent(&outcomes)), expected);
     }
 }
--- a/src/logic/endpoint_list.rs
+++ b/src/logic/endpoint_list.rs
@@ -28,7 +28,7 @@
 /// Reason: what is learned belongs to one process. A backend that was removed, or started later, is
 /// another; a list that is out of date states an earlier start and changes nothing.
 pub(super) fn compare(known: &EndpointInfo, listed: &EndpointInfo) -> ListedProcess {
-    if known.state == EndpointState::Gone || listed.started > known.started {
+    if known.state == EndpointState::Gone || listed.started_at > known.started_at {
         ListedProcess::New
     } else {
         ListedProcess::Known
--- a/src/logic/endpoint_list/tests.rs
+++ b/src/logic/endpoint_list/tests.rs
@@ -2,7 +2,7 @@
 use crate::time::Timestamp;
 
 fn entry(state: EndpointState, started_ms: f64) -> EndpointInfo {
-    EndpointInfo { state, started: Timestamp::from_ms(started_ms), ..EndpointInfo::default() }
+    EndpointInfo { state, started_at: Timestamp::from_ms(started_ms), ..EndpointInfo::default() }
 }
 
 #[test]
--- a/src/logic/endpoint_selection/load.rs
+++ b/src/logic/endpoint_selection/load.rs
@@ -20,7 +20,7 @@
     /// The settings in use.
     pub(in crate::logic) settings: &'a Settings,
     /// The mean relative size of a cache node.
-    pub(in crate::logic) mean_node_size: f64,
+    pub(in crate::logic) mean_node_weight: f64,
 }
 
 impl LoadView<'_> {
@@ -31,7 +31,8 @@
     /// Source: HyLARD, section 3.3 (active connections).
     pub(in crate::logic) fn load(&self, id: BackendId) -> f64 {
         let Some(backend) = self.backends.get(&id) else { return UNKNOWN_LOAD };
-        let in_flight = backend.in_flight.len() as f64 * self.mean_node_size / backend.info.weight();
+        let in_flight =
+            backend.in_flight.len() as f64 * self.mean_node_weight / backend.info.effective_weight();
         if self.is_in_own_zone(backend) {
             in_flight
         } else {
--- a/src/logic/endpoint_selection/rendezvous_order.rs
+++ b/src/logic/endpoint_selection/rendezvous_order.rs
@@ -6,7 +6,7 @@
 
 /// A proxy with a small quota draws a key's home among this many times as many backends as the
 /// key's fraction of all requests makes of the nodes.
-const CANDIDATES_PER_DUE_BACKEND: f64 = 2.0;
+const CANDIDATE_MULTIPLE: f64 = 2.0;
 /// The relative size of a backend that is not known.
 const UNKNOWN_WEIGHT: f64 = 1.0;
 /// The place of the home among the backends where each proxy takes the first.
@@ -65,8 +65,8 @@
             return SINGLE_CANDIDATE;
         }
         let frequency = self.keys.frequency(key);
-        let due = CANDIDATES_PER_DUE_BACKEND * (frequency.requests + 1.0) / frequency.total * backends as f64;
-        (due as usize).max(min_candidates)
+        let wanted = CANDIDATE_MULTIPLE * (frequency.requests + 1.0) / frequency.total * backends as f64;
+        (wanted as usize).max(min_candidates)
     }
 
     /// A key of this proxy's own: what is drawn by it differs between proxies, but not in time.
@@ -76,7 +76,7 @@
 
     /// The score of a backend for a key, the same at every proxy; the lowest is first.
     fn score(&self, key: Key, id: BackendId) -> f64 {
-        let weight = self.backends.get(&id).map_or(UNKNOWN_WEIGHT, |backend| backend.info.weight());
+        let weight = self.backends.get(&id).map_or(UNKNOWN_WEIGHT, |backend| backend.info.effective_weight());
         rendezvous::score(key, id, weight)
     }
 }
--- a/src/logic/endpoint_selection/tests.rs
+++ b/src/logic/endpoint_selection/tests.rs
@@ -57,8 +57,8 @@
 
 /// Backends 1 and 2 in zone 0, of relative sizes 1 and 4, and 3 in zone 1.
 fn backends() -> BackendTable {
-    let backend = |id, zone, size| {
-        let info = EndpointInfo { backend: BackendId(id), zone, size, ..EndpointInfo::default() };
+    let backend = |id, zone, weight| {
+        let info = EndpointInfo { backend: BackendId(id), zone, weight, ..EndpointInfo::default() };
         (BackendId(id), Backend { info, ..Backend::default() })
     };
     BackendTable::from([backend(1, 0, 1.0), backend(2, 0, 4.0), backend(3, 1, 1.0)])
@@ -67,7 +67,7 @@
 #[test]
 fn a_backend_in_another_zone_counts_as_loaded_by_the_cost_of_crossing() {
     let (backends, settings) = (backends(), settings());
-    let loads = LoadView { backends: &backends, settings: &settings, mean_node_size: 2.0 };
+    let loads = LoadView { backends: &backends, settings: &settings, mean_node_weight: 2.0 };
     assert_eq!([1, 2, 3, 9].map(|id| loads.load(BackendId(id))), [0.0, 0.0, 2.0, f64::MAX]);
 }
 
@@ -89,7 +89,7 @@
 #[test]
 fn a_set_drops_its_most_loaded_other_backend_a_minute_after_its_last_change() {
     let (backends, settings) = (backends(), settings());
-    let loads = LoadView { backends: &backends, settings: &settings, mean_node_size: 2.0 };
+    let loads = LoadView { backends: &backends, settings: &settings, mean_node_weight: 2.0 };
     let mut entry = KeyEntry::default();
     let changed = Timestamp::from_ms(1_000.0);
     entry.change_set(BackendId(1), None, changed);
--- a/src/logic/fixtures.rs
+++ b/src/logic/fixtures.rs
@@ -28,9 +28,9 @@
         tenant: 0,
         key: Key(5),
         budget: TimeSpan::from_ms(800.0),
-        hint: None,
-        repeat: false,
-        write: false,
+        work_hint: None,
+        is_repeat: false,
+        is_write: false,
     };
     let class = Class {
         latency_objective: TimeSpan::from_ms(400.0),
--- a/src/logic/outlier_ejection.rs
+++ b/src/logic/outlier_ejection.rs
@@ -26,7 +26,7 @@
 /// The weight of a broken connection in the failure average.
 const RESET_WEIGHT: f64 = 0.4;
 /// Backends are excluded only while this many times their number is no more than that of all nodes.
-const EXCLUDED_MULTIPLE: usize = 2;
+const MIN_NODES_PER_EXCLUDED: usize = 2;
 
 /// Whether a backend may get a request, as far as its failures go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,11 +55,11 @@
     /// the failing nodes would overload the others.
     /// Source: the "panic threshold" of outlier ejection in common proxies.
     pub(super) fn for_nodes(nodes: &[&Backend], now: Timestamp) -> ExclusionScope {
-        let outliers = nodes.iter().filter(|node| is_outlier(&node.outlier)).count();
-        let ejected = nodes.iter().filter(|node| now < node.outlier.ejected_until).count();
+        let outliers = nodes.iter().filter(|node| is_outlier(&node.outlier_history)).count();
+        let ejected = nodes.iter().filter(|node| now < node.outlier_history.ejected_until).count();
         ExclusionScope {
-            excludes_outliers: outliers * EXCLUDED_MULTIPLE <= nodes.len(),
-            excludes_ejected: ejected * EXCLUDED_MULTIPLE <= nodes.len(),
+            excludes_outliers: outliers * MIN_NODES_PER_EXCLUDED <= nodes.len(),
+            excludes_ejected: ejected * MIN_NODES_PER_EXCLUDED <= nodes.len(),
         }
     }
 }
@@ -71,7 +71,7 @@
 /// that it gets no attempt before its ejection ends.
 /// Source: passive health checks and half-open trials of a circuit breaker.
 pub(super) fn decide(backend: &Backend, scope: ExclusionScope, now: Timestamp) -> OutlierDecision {
-    let history = &backend.outlier;
+    let history = &backend.outlier_history;
     let is_trial_due = backend.in_flight.is_empty() && now >= history.next_trial;
     if now < history.ejected_until && (scope.excludes_ejected || !is_trial_due) {
         OutlierDecision::Ejected
@@ -83,7 +83,7 @@
 }
 
 fn is_outlier(history: &OutlierHistory) -> bool {
-    history.failure_average.value() > OUTLIER_FAILURE_FRACTION
+    history.failure_fraction.value() > OUTLIER_FAILURE_FRACTION
 }
 
 /// How an attempt ended, and what the next trial and ejection depend on.
@@ -118,7 +118,7 @@
         }
         Outcome::Ok | Outcome::Miss => {
             end_ejection(history);
-            history.failure_average.update(SUCCESS_WEIGHT, 0.0);
+            history.failure_fraction.update(SUCCESS_WEIGHT, 0.0);
         }
         Outcome::Full => end_ejection(history),
         Outcome::Error => {
@@ -144,7 +144,7 @@
 }
 
 fn record_failure(history: &mut OutlierHistory, weight: f64, next_trial: Timestamp) {
-    history.failure_average.update(weight, 1.0);
+    history.failure_fraction.update(weight, 1.0);
     if is_outlier(history) {
         history.next_trial = next_trial;
     }
--- a/src/logic/outlier_ejection/tests.rs
+++ b/src/logic/outlier_ejection/tests.rs
@@ -14,7 +14,7 @@
     let mut backend = Backend::default();
     for (ms, outcome) in attempts {
         let ended = EndedAttempt { outcome: *outcome, now: at(*ms), jitter: 1.0, max_ejection: MAX_EJECTION };
-        record(&mut backend.outlier, ended);
+        record(&mut backend.outlier_history, ended);
     }
     backend
 }
@@ -51,16 +51,19 @@
     for expected in [4_000.0, 16_000.0, 60_000.0, 60_000.0] {
         let failed =
             EndedAttempt { outcome: Outcome::ConnectFailed, now, jitter: 1.0, max_ejection: MAX_EJECTION };
-        record(&mut backend.outlier, failed);
+        record(&mut backend.outlier_history, failed);
         let until = now + TimeSpan::from_ms(expected);
-        assert_eq!(backend.outlier.ejected_until, until);
+        assert_eq!(backend.outlier_history.ejected_until, until);
         assert_eq!(decide(&backend, BOTH_EXCLUDED, now), OutlierDecision::Ejected);
-        record(&mut backend.outlier, failed);
-        assert_eq!(backend.outlier.ejected_until, until, "a failure during the ejection changes nothing");
+        record(&mut backend.outlier_history, failed);
+        assert_eq!(
+            backend.outlier_history.ejected_until, until,
+            "a failure during the ejection changes nothing"
+        );
         now = until;
     }
     let connected = EndedAttempt { outcome: Outcome::Full, now, jitter: 1.0, max_ejection: MAX_EJECTION };
-    record(&mut backend.outlier, connected);
+    record(&mut backend.outlier_history, connected);
     assert_eq!(decide(&backend, BOTH_EXCLUDED, now), OutlierDecision::Eligible);
 }
 
--- a/src/logic/retry/idempotency.rs
+++ b/src/logic/retry/idempotency.rs
@@ -37,7 +37,7 @@
 /// Inputs: the request with its class and attempts; the time.
 /// Reason: repeats are dropped within the deduplication window only.
 /// Source: rule 2 (docs/decisions.md).
-pub(in crate::logic) fn inside_window(pending: &PendingRequest, time: DecisionTime) -> RepeatSafety {
+pub(in crate::logic) fn safety_in_window(pending: &PendingRequest, time: DecisionTime) -> RepeatSafety {
     repeat_safety(pending, |first| is_inside_window(first, &pending.class, time))
 }
 
@@ -46,7 +46,7 @@
 /// of the others.
 /// Reason: repeats are dropped among the backends of the class's deduplication scope only.
 /// Source: rule 2 (docs/decisions.md).
-pub(in crate::logic) fn at_backend(
+pub(in crate::logic) fn safety_at_backend(
     pending: &PendingRequest,
     target: &EndpointInfo,
     backends: &BackendTable,
@@ -62,7 +62,7 @@
 /// Inputs: the request with its class and attempts; the time.
 /// Reason: a rejection invites the client to send the request again, and to any proxy.
 /// Source: rule 2 (docs/decisions.md).
-pub(in crate::logic) fn anywhere(pending: &PendingRequest, time: DecisionTime) -> RepeatSafety {
+pub(in crate::logic) fn safety_anywhere(pending: &PendingRequest, time: DecisionTime) -> RepeatSafety {
     let is_everywhere = pending.class.deduplication_scope == DeduplicationScope::All;
     repeat_safety(pending, |first| is_everywhere && is_inside_window(first, &pending.class, time))
 }
@@ -75,7 +75,7 @@
         return None;
     }
     let first = first_possible_execution(pending)?;
-    Some(first.sent + class.deduplication_window - time.now - usable_write_delay(class, time))
+    Some(first.sent_at + class.deduplication_window - time.now - usable_write_delay(class, time))
 }
 
 fn repeat_safety(pending: &PendingRequest, is_dropped: impl Fn(&Attempt) -> bool) -> RepeatSafety {
@@ -101,7 +101,7 @@
 /// Whether repeats of an attempt are still dropped when what is sent now arrives.
 fn is_inside_window(first: &Attempt, class: &Class, time: DecisionTime) -> bool {
     let usable_window = class.deduplication_window - usable_write_delay(class, time);
-    time.now - first.sent < usable_window - time.tick
+    time.now - first.sent_at < usable_window - time.tick
 }
 
 /// How long after its decision an attempt may be written, as far as its class's deduplication
--- a/src/logic/retry/mod.rs
+++ b/src/logic/retry/mod.rs
@@ -52,7 +52,7 @@
 ///
 /// The reason for which the request is given up.
 pub(super) fn check_attempt(pending: &PendingRequest, time: DecisionTime) -> Result<(), GiveUpReason> {
-    if !idempotency::inside_window(pending, time).is_safe() {
+    if !idempotency::safety_in_window(pending, time).is_safe() {
         Err(GiveUpReason::RepeatUnsafe)
     } else if pending.attempts.len() >= pending.limits.max_attempts as usize {
         Err(GiveUpReason::AttemptsUsedUp)
@@ -79,7 +79,7 @@
 ) -> Result<(), GiveUpReason> {
     let Some(target) = backends.get(&target) else { return Err(GiveUpReason::BackendUnknown) };
     check_attempt(pending, time)?;
-    if idempotency::at_backend(pending, &target.info, backends).is_safe() {
+    if idempotency::safety_at_backend(pending, &target.info, backends).is_safe() {
         Ok(())
     } else {
         Err(GiveUpReason::RepeatUnsafe)
@@ -115,8 +115,8 @@
 pub(super) fn target(pending: &PendingRequest, origin: OriginAvailability) -> RetryTarget {
     let has_missed = pending.has_outcome(Outcome::Miss);
     match origin {
-        OriginAvailability::Ready if has_missed || pending.request.write => RetryTarget::Origin,
-        OriginAvailability::NotReady if pending.request.write => RetryTarget::Origin,
+        OriginAvailability::Ready if has_missed || pending.request.is_write => RetryTarget::Origin,
+        OriginAvailability::NotReady if pending.request.is_write => RetryTarget::Origin,
         _ => RetryTarget::CacheNode,
     }
 }
--- a/src/logic/retry/tests.rs
+++ b/src/logic/retry/tests.rs
@@ -45,8 +45,8 @@
 #[test]
 fn a_keyed_request_is_repeated_inside_its_window_less_the_write_delay_and_the_tick() {
     let pending = pending(Idempotency::IdempotencyKey, DeduplicationScope::All, &[Outcome::Timeout]);
-    assert_eq!(idempotency::inside_window(&pending, at(278.0)), RepeatSafety::Deduplicated);
-    assert_eq!(idempotency::inside_window(&pending, at(279.0)), RepeatSafety::Unsafe);
+    assert_eq!(idempotency::safety_in_window(&pending, at(278.0)), RepeatSafety::Deduplicated);
+    assert_eq!(idempotency::safety_in_window(&pending, at(279.0)), RepeatSafety::Unsafe);
     assert_eq!(send_within(&pending, TimeSpan::from_ms(700.0), at(100.0)).as_ms(), 179.0);
 }
 
@@ -60,7 +60,7 @@
         let pending = pending(Idempotency::IdempotencyKey, scope, &[Outcome::Timeout]);
         let checked = check_attempt_at(&pending, BackendId(target), &backends, at(10.0));
         assert_eq!(checked.is_ok(), is_allowed, "{scope:?} {target}");
-        assert_eq!(idempotency::anywhere(&pending, at(10.0)).is_safe(), scope == All);
+        assert_eq!(idempotency::safety_anywhere(&pending, at(10.0)).is_safe(), scope == All);
     }
 }
 
@@ -76,7 +76,7 @@
     use OriginAvailability::{NotConfigured, NotReady, Ready};
     let read = |outcome| pending(Idempotency::Idempotent, DeduplicationScope::All, &[outcome]);
     let mut write = read(Outcome::Error);
-    write.request.write = true;
+    write.request.is_write = true;
     for (pending, origin, expected) in [
         (&read(Outcome::Error), Ready, RetryTarget::CacheNode),
         (&read(Outcome::Miss), Ready, RetryTarget::Origin),
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -8,7 +8,7 @@
 /// All proxies together send a warming backend this fraction of what would overload it.
 const OVERLOAD_FRACTION: f64 = 0.5;
 /// From this fraction on a backend is warm.
-const WARM: f64 = 1.0;
+const WARM_FRACTION: f64 = 1.0;
 /// The shortest time in which a backend warms up.
 const MIN_WARM_UP_TIME: TimeSpan = TimeSpan::from_ms(1.0);
 /// Where proxies are few, a key is hot from this fraction of one node's requests on.
@@ -27,11 +27,11 @@
 
 /// What a request has to do with the backends that warm up.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct WarmUpDraw {
+pub(super) struct WarmUpInputs {
     /// The home backend of the request's key; none if no backend warms up.
     pub(super) home: Option<BackendId>,
     /// A number between 0 and 1 that this proxy draws by the key.
-    pub(super) draw: f64,
+    pub(super) sample: f64,
 }
 
 /// Decides: whether a backend may get a request, as far as its warm-up goes.
@@ -46,13 +46,13 @@
 pub(super) fn decide(
     backend: &Backend,
     limits: &SafetyLimits,
-    request: WarmUpDraw,
+    request: WarmUpInputs,
     now: Timestamp,
 ) -> SlowStartDecision {
-    let fraction = admitted_fraction(backend.info.started, limits, now);
-    if fraction >= WARM {
+    let fraction = admitted_fraction(backend.info.started_at, limits, now);
+    if fraction >= WARM_FRACTION {
         SlowStartDecision::Warm
-    } else if request.home == Some(backend.id()) && request.draw < fraction {
+    } else if request.home == Some(backend.id()) && request.sample < fraction {
         SlowStartDecision::WithinFraction
     } else {
         SlowStartDecision::WarmingUp
@@ -61,7 +61,7 @@
 
 /// Whether a backend still warms up.
 pub(super) fn is_warming_up(backend: &Backend, limits: &SafetyLimits, now: Timestamp) -> bool {
-    admitted_fraction(backend.info.started, limits, now) < WARM
+    admitted_fraction(backend.info.started_at, limits, now) < WARM_FRACTION
 }
 
 /// Decides: which fraction of the requests for the keys whose home it is a backend may get.
@@ -74,7 +74,7 @@
     let capacity = limits.start_capacity + (1.0 - limits.start_capacity) * progress.clamp(0.0, 1.0);
     let fraction = OVERLOAD_FRACTION * limits.overload_multiple * capacity;
     if progress >= 1.0 {
-        fraction.max(WARM)
+        fraction.max(WARM_FRACTION)
     } else {
         fraction.max(0.0)
     }
--- a/src/logic/slow_start/tests.rs
+++ b/src/logic/slow_start/tests.rs
@@ -7,14 +7,14 @@
 fn backend(started_ms: f64) -> Backend {
     let info = EndpointInfo {
         backend: BackendId(1),
-        started: Timestamp::from_ms(started_ms),
+        started_at: Timestamp::from_ms(started_ms),
         ..EndpointInfo::default()
     };
     Backend { info, ..Backend::default() }
 }
 
 fn decision(home: u32, draw: f64, age_ms: f64) -> SlowStartDecision {
-    let request = WarmUpDraw { home: Some(BackendId(home)), draw };
+    let request = WarmUpInputs { home: Some(BackendId(home)), sample: draw };
     decide(&backend(STARTED), &SAFETY_LIMITS, request, Timestamp::from_ms(STARTED + age_ms))
 }
 
--- a/src/net/dispatcher/attempts.rs
+++ b/src/net/dispatcher/attempts.rs
@@ -37,9 +37,9 @@
             attempt,
             backend: self.backend,
             latency: TimeSpan::ZERO,
-            last: pending.is_none(),
+            is_request_finished: pending.is_none(),
             outcome: Outcome::Moot,
-            report: Vec::new(),
+            load_report: Vec::new(),
         }
     }
 }
@@ -151,9 +151,9 @@
             // The rest of a streamed value comes at the client's pace, so only the time to its
             // beginning measures the backend.
             latency: request.stream_began.unwrap_or(now) - attempt.sent,
-            last: request.pending.is_none(),
+            is_request_finished: request.pending.is_none(),
             outcome,
-            report: Vec::new(),
+            load_report: Vec::new(),
         };
         // The response does not depend on what the module decides, so it goes out first.
         if let Some((pending, payload)) = served {
--- a/src/net/dispatcher/endpoints.rs
+++ b/src/net/dispatcher/endpoints.rs
@@ -109,8 +109,8 @@
         let mut endpoints = Vec::with_capacity(list.len());
         for listed in list {
             let backend = self.endpoint_ids.get_or_assign(&listed.name);
-            let started = self.start_times.translate(backend, listed.info.started, clocks);
-            let endpoint = EndpointInfo { backend, started, ..listed.info };
+            let started = self.start_times.translate(backend, listed.info.started_at, clocks);
+            let endpoint = EndpointInfo { backend, started_at: started, ..listed.info };
             if self.update_endpoint(endpoint, listed.address) {
                 stale.push(backend);
             }
@@ -141,7 +141,7 @@
         let endpoint = Endpoint {
             address: address.into(),
             state: listed.state,
-            started: listed.started,
+            started: listed.started_at,
             is_origin: i64::from(listed.kind) == self.origin_kind,
         };
         let is_ready = endpoint.is_ready();
--- a/src/net/dispatcher/event_loop.rs
+++ b/src/net/dispatcher/event_loop.rs
@@ -155,7 +155,7 @@
         Event::EndpointList { .. }
         | Event::Timer(_)
         | Event::Probed { .. }
-        | Event::Peer { .. }
+        | Event::PeerMessage { .. }
         | Event::Quota(_) => None,
     }
 }
--- a/src/net/dispatcher/listed_endpoint.rs
+++ b/src/net/dispatcher/listed_endpoint.rs
@@ -34,8 +34,8 @@
             kind: names.kind(&instance.machine_type),
             cell: instance.cell,
             state,
-            size: instance.weight,
-            started: Timestamp::from_ms(instance.started_at_ms),
+            weight: instance.weight,
+            started_at: Timestamp::from_ms(instance.started_at_ms),
         };
         Some(ListedEndpoint { name: instance.instance_id, address: instance.host_port, info })
     }
--- a/src/net/dispatcher/submit.rs
+++ b/src/net/dispatcher/submit.rs
@@ -182,8 +182,8 @@
         tenant: request.tenant,
         key: key_number(&request.key),
         budget: response_budget(request.budget),
-        hint: request.hint,
-        repeat: request.repeat,
-        write: request.value.is_some(),
+        work_hint: request.hint,
+        is_repeat: request.repeat,
+        is_write: request.value.is_some(),
     }
 }
--- a/src/state/average.rs
+++ b/src/state/average.rs
@@ -26,7 +26,7 @@
     }
 
     /// The same, but the first sample that is not 0 becomes the average.
-    pub(crate) fn update_or_start(&mut self, weight: f64, sample: f64) {
+    pub(crate) fn update_or_init(&mut self, weight: f64, sample: f64) {
         self.0 += if self.0 == 0.0 { sample } else { weight * (sample - self.0) };
     }
 }
@@ -37,7 +37,7 @@
 
 impl RunningQuantile {
     /// Takes in a sample. Returns whether it is among the largest, of which there is this fraction.
-    pub(crate) fn is_exceeded_by(&mut self, sample: f64, fraction: f64) -> bool {
+    pub(crate) fn record_and_compare(&mut self, sample: f64, fraction: f64) -> bool {
         let threshold = if self.0 == 0.0 { sample * QUANTILE_START_MULTIPLE } else { self.0 };
         let is_above = sample >= threshold;
         let direction = if is_above { 1.0 - fraction } else { -fraction };
@@ -54,7 +54,7 @@
     /// Priority weight of a request, by its class.
     pub(crate) priority_weight: MovingAverage,
     /// Relative size of a cache node.
-    pub(crate) node_size: f64,
+    pub(crate) mean_node_weight: f64,
     /// The hint, in ms, from which on a key counts as large.
     pub(crate) large_hint_ms: RunningQuantile,
 }
@@ -64,7 +64,7 @@
         Averages {
             work_ms: MovingAverage::default(),
             priority_weight: MovingAverage::starting_at(1.0),
-            node_size: 1.0,
+            mean_node_weight: 1.0,
             large_hint_ms: RunningQuantile::default(),
         }
     }
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -27,13 +27,13 @@
     /// How many attempts it may have in flight.
     pub(crate) limit: ConcurrencyLimit,
     /// How its recent attempts failed.
-    pub(crate) outlier: OutlierHistory,
+    pub(crate) outlier_history: OutlierHistory,
 }
 
 impl Backend {
     /// A backend of which nothing is known but its concurrency limit.
-    pub(crate) fn with_limit(attempts: f64) -> Backend {
-        let limit = ConcurrencyLimit { attempts, ..ConcurrencyLimit::default() };
+    pub(crate) fn with_limit(max_in_flight: f64) -> Backend {
+        let limit = ConcurrencyLimit { max_in_flight, ..ConcurrencyLimit::default() };
         Backend { limit, ..Backend::default() }
     }
 
@@ -52,18 +52,18 @@
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyLimit {
     /// The most attempts in flight; additive increase, multiplicative decrease (AIMD).
-    pub(crate) attempts: f64,
+    pub(crate) max_in_flight: f64,
     /// When the limit was last decreased.
     pub(crate) last_decrease: Timestamp,
     /// The fraction of recent attempts that were slow.
-    pub(crate) slow_average: MovingAverage,
+    pub(crate) slow_fraction: MovingAverage,
 }
 
 /// How recent attempts at a backend failed, and for how long it is ejected.
 #[derive(Debug, Default)]
 pub(crate) struct OutlierHistory {
     /// The fraction of recent attempts that failed.
-    pub(crate) failure_average: MovingAverage,
+    pub(crate) failure_fraction: MovingAverage,
     /// When an outlier or ejected backend may next get a single trial attempt.
     pub(crate) next_trial: Timestamp,
     /// How long the last ejection was, without its random factor; 0 once the backend has answered.
--- a/src/state/key.rs
+++ b/src/state/key.rs
@@ -1,14 +1,14 @@
 //! What is known of a key: the set of backends that serve it, and how often it is requested.
 
 use crate::interface::{BackendId, Key};
-use crate::recent::Recent;
+use crate::recent::LruTable;
 use crate::time::Timestamp;
 
 /// The most keys that are remembered at a time.
 const MAX_KEYS: usize = 1 << 16;
 /// Added to the count of all requests, which keeps the fraction of a key small while few requests
 /// are counted.
-const UNCOUNTED_REQUESTS: f64 = 2.0;
+const TOTAL_PSEUDOCOUNT: f64 = 2.0;
 
 /// What is known of a key.
 #[derive(Debug, Default)]
@@ -46,12 +46,12 @@
 
 /// The keys used most recently.
 #[derive(Debug)]
-pub(crate) struct KeyTable(Recent<Key, KeyEntry>);
+pub(crate) struct KeyTable(LruTable<Key, KeyEntry>);
 
 impl KeyTable {
     /// A table without keys.
     pub(crate) fn new() -> KeyTable {
-        KeyTable(Recent::new(MAX_KEYS))
+        KeyTable(LruTable::new(MAX_KEYS))
     }
 
     /// What is known of a key.
@@ -68,7 +68,7 @@
     pub(crate) fn frequency(&self, key: Key) -> KeyFrequency {
         KeyFrequency {
             requests: self.get(key).map_or(0.0, |entry| entry.requests),
-            total: self.0.uses() as f64 + UNCOUNTED_REQUESTS,
+            total: self.0.use_count() as f64 + TOTAL_PSEUDOCOUNT,
         }
     }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -52,7 +52,7 @@
     /// Notes an attempt that is sent now; its name.
     pub(crate) fn begin_attempt(&mut self, backend: BackendId, now: Timestamp) -> AttemptId {
         let number = self.attempts.len() as u8;
-        self.attempts.push(Attempt { backend, sent: now, outcome: None });
+        self.attempts.push(Attempt { backend, sent_at: now, outcome: None });
         self.stage = Stage::InFlight;
         AttemptId { request: self.request.id, number }
     }
@@ -96,7 +96,7 @@
     /// The backend that it was sent to.
     pub(crate) backend: BackendId,
     /// When.
-    pub(crate) sent: Timestamp,
+    pub(crate) sent_at: Timestamp,
     /// How it ended, if it has.
     pub(crate) outcome: Option<Outcome>,
 }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -4,7 +4,7 @@
 use super::timer::FiredTimer;
 use super::{FetchTable, KeyEntry, MovingAverage, TimerKind};
 use crate::interface::{BackendId, Key, RequestId};
-use crate::recent::Recent;
+use crate::recent::LruTable;
 use crate::time::Timestamp;
 
 #[test]
@@ -51,22 +51,23 @@
 #[test]
 fn averages_move_towards_samples_and_a_quantile_settles_at_its_share() {
     let mut average = MovingAverage::default();
-    average.update_or_start(0.5, 8.0);
-    average.update_or_start(0.5, 4.0);
+    average.update_or_init(0.5, 8.0);
+    average.update_or_init(0.5, 4.0);
     assert!((average.value() - 6.0).abs() < 1e-9);
     let mut quantile = RunningQuantile::default();
-    let above = (0..10_000u64).filter(|n| quantile.is_exceeded_by((n * 7919 % 100 + 1) as f64, 0.2)).count();
+    let above =
+        (0..10_000u64).filter(|n| quantile.record_and_compare((n * 7919 % 100 + 1) as f64, 0.2)).count();
     assert!((1_800..2_200).contains(&above), "{above} of 10000");
 }
 
 #[test]
 fn a_full_table_forgets_what_was_not_used_lately() {
-    let mut table: Recent<u64, u32> = Recent::new(4);
+    let mut table: LruTable<u64, u32> = LruTable::new(4);
     for key in 1..=4 {
         *table.touch(key) = 1;
     }
     *table.touch(1) += 1;
     table.touch(5);
     assert_eq!((table.get(1), table.get(2), table.get(5)), (Some(&2), None, Some(&0)));
-    assert_eq!(table.uses(), 6);
+    assert_eq!(table.use_count(), 6);
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -11,8 +11,8 @@
 use thiserror::Error;
 
 /// The largest batch accepted, in bytes.
-pub const MAX_BATCH: u32 = 1 << 30;
-const BATCH_HEADER: u64 = 16;
+pub const MAX_BATCH_BYTES: u32 = 1 << 30;
+const BATCH_HEADER_BYTES: u64 = 16;
 
 /// What can be wrong with the input.
 #[derive(Debug, Error)]
@@ -98,8 +98,8 @@
 /// Says with its offset what is wrong: the input ends inside a batch, has a length or a value that
 /// the format does not know, or cannot be read.
 pub fn read_batch(input: &mut impl Read, offset: &mut u64) -> Result<Option<Batch>, WireError> {
-    let mut header = Vec::with_capacity(BATCH_HEADER as usize);
-    let got = input.by_ref().take(BATCH_HEADER).read_to_end(&mut header)?;
+    let mut header = Vec::with_capacity(BATCH_HEADER_BYTES as usize);
+    let got = input.by_ref().take(BATCH_HEADER_BYTES).read_to_end(&mut header)?;
     if got == 0 {
         return Ok(None);
     }
@@ -107,12 +107,12 @@
     let now = cursor.timestamp("the batch header")?;
     let length = cursor.u32("the batch header")?;
     let count = cursor.u32("the batch header")?;
-    if length > MAX_BATCH {
+    if length > MAX_BATCH_BYTES {
         return Err(WireError::Length { length: length.into(), at: *offset + 8 });
     }
     let mut body = Vec::new();
     let got = input.by_ref().take(length.into()).read_to_end(&mut body)?;
-    let base = *offset + BATCH_HEADER;
+    let base = *offset + BATCH_HEADER_BYTES;
     if got < length as usize {
         return Err(WireError::Truncated { what: "a batch", at: base + got as u64 });
     }
@@ -229,12 +229,12 @@
             cursor.f64("Health")?;
             let how = cursor.u16("Health")?;
             let backend = cursor.backend_id("Health")?;
-            Event::Probed { backend, answered: how == 1, report: cursor.report()? }
+            Event::Probed { backend, answered: how == 1, load_report: cursor.report()? }
         }
         9 => {
             let from = cursor.u32("Peer")?;
             let length = cursor.u16("Peer")?;
-            Event::Peer { from, payload: cursor.take(length.into(), "Peer content")?.to_vec() }
+            Event::PeerMessage { from, payload: cursor.take(length.into(), "Peer content")?.to_vec() }
         }
         10 => return Ok(AddressedMessage { instance, message: Message::Kill }),
         _ => return Err(WireError::Unknown { what: "record code", value: code.into(), at: offset }),
@@ -268,9 +268,9 @@
                 return Err(WireError::Unknown { what: "availability", value: other.into(), at: offset })
             }
         };
-        let size = cursor.f32("a list entry")?;
-        let started = cursor.timestamp("a list entry")?;
-        endpoints.push(EndpointInfo { backend, zone, kind, cell, state, size, started });
+        let weight = cursor.f32("a list entry")?;
+        let started_at = cursor.timestamp("a list entry")?;
+        endpoints.push(EndpointInfo { backend, zone, kind, cell, state, weight, started_at });
     }
     Ok(Event::EndpointList { form, endpoints })
 }
@@ -290,9 +290,9 @@
         tenant,
         key,
         budget,
-        hint: (flags & 1 != 0).then_some(hint),
-        repeat: flags & 2 != 0,
-        write: flags & 4 != 0,
+        work_hint: (flags & 1 != 0).then_some(hint),
+        is_repeat: flags & 2 != 0,
+        is_write: flags & 4 != 0,
     }))
 }
 
@@ -302,7 +302,7 @@
     cursor.u32("Answer")?;
     let attempt = cursor.u8("Answer")?;
     let backend = cursor.backend_id("Answer")?;
-    let last = cursor.u8("Answer")? != 0;
+    let is_request_finished = cursor.u8("Answer")? != 0;
     let offset = cursor.offset();
     let outcome = match cursor.u16("Answer")? {
         1 => Outcome::Ok,
@@ -316,8 +316,16 @@
         9 => Outcome::Miss,
         other => return Err(WireError::Unknown { what: "outcome", value: other.into(), at: offset }),
     };
-    let report = cursor.report()?;
-    Ok(Event::AttemptEnd(AttemptEnd { id, attempt, backend, latency, last, outcome, report }))
+    let load_report = cursor.report()?;
+    Ok(Event::AttemptEnd(AttemptEnd {
+        id,
+        attempt,
+        backend,
+        latency,
+        is_request_finished,
+        outcome,
+        load_report,
+    }))
 }
 
 /// A reply that is being put together: actions of instances, in order.
--- a/tests/backend_knowledge.rs
+++ b/tests/backend_knowledge.rs
@@ -7,15 +7,15 @@
 use pinetrail::settings::Settings;
 
 /// Sends reads of many keys until one is queued; the ids of those that were sent.
-fn fill(harness: &mut BalancerHarness, from: RequestNumber) -> Vec<RequestNumber> {
+fn send_until_queued(harness: &mut BalancerHarness, from: RequestNumber) -> Vec<RequestNumber> {
     (from..from + 100).take_while(|id| sent(&harness.request(read(*id, *id))).is_some()).collect()
 }
 
 /// The only node, with a new process that is warm by now.
-fn renewed(harness: &mut BalancerHarness) {
+fn restart_node(harness: &mut BalancerHarness) {
     harness.event(Event::EndpointList {
         form: ListForm::Delta,
-        endpoints: vec![EndpointInfo { started: time(harness.now - 20_000.0), ..endpoint(1) }],
+        endpoints: vec![EndpointInfo { started_at: time(harness.now - 20_000.0), ..endpoint(1) }],
     });
 }
 
@@ -23,9 +23,9 @@
 #[test]
 fn attempts_at_an_old_process_take_no_capacity_of_the_new_one() {
     let mut harness = BalancerHarness::without_origin(1);
-    let before = fill(&mut harness, 1);
-    renewed(&mut harness);
-    let after = fill(&mut harness, 1000);
+    let before = send_until_queued(&mut harness, 1);
+    restart_node(&mut harness);
+    let after = send_until_queued(&mut harness, 1000);
     // The one that was queued goes first.
     assert_eq!(after.len() + 1, before.len());
     for id in &before {
@@ -40,14 +40,14 @@
 fn late_ends_of_an_old_process_do_not_count_against_the_new_one() {
     for outcome in [Outcome::ConnectFailed, Outcome::Reset, Outcome::Error, Outcome::Timeout, Outcome::Full] {
         let mut harness = BalancerHarness::without_origin(1);
-        let before = fill(&mut harness, 1);
-        renewed(&mut harness);
+        let before = send_until_queued(&mut harness, 1);
+        restart_node(&mut harness);
         harness.now += 200.0;
         for id in &before {
             harness.event(Event::ClientGone(RequestId(*id)));
             harness.end_after(*id, 0, 1, outcome, 200.0);
         }
-        let after = fill(&mut harness, 1000);
+        let after = send_until_queued(&mut harness, 1000);
         assert!(after.len() + 1 >= before.len(), "{outcome:?}: {} of {}", after.len(), before.len());
     }
 }
@@ -57,7 +57,7 @@
 #[test]
 fn connections_that_fail_together_eject_a_node_no_longer_than_a_single_one() {
     let mut harness = BalancerHarness::without_origin(2);
-    let ids = fill(&mut harness, 1);
+    let ids = send_until_queued(&mut harness, 1);
     for id in &ids {
         harness.event(Event::ClientGone(RequestId(*id)));
     }
@@ -67,7 +67,7 @@
         }
     }
     harness.now += 5001.0;
-    assert!(fill(&mut harness, 1000).len() > 10, "both are tried after 5 s at the latest");
+    assert!(send_until_queued(&mut harness, 1000).len() > 10, "both are tried after 5 s at the latest");
 }
 
 /// Guards against a proxy that is partitioned for a moment and then tries no node for 4 s.
@@ -85,16 +85,16 @@
     };
     assert_eq!(fail(&mut harness, 1), 3);
     harness.now += 700.0;
-    assert!(fill(&mut harness, 50).is_empty(), "not at once");
+    assert!(send_until_queued(&mut harness, 50).is_empty(), "not at once");
     harness.now += 600.0;
-    let trials = fill(&mut harness, 100);
+    let trials = send_until_queued(&mut harness, 100);
     assert_eq!(trials.len(), 3, "one for each");
     for id in &trials {
         for server in 1..=3 {
             harness.end(*id, 0, server, Outcome::Ok);
         }
     }
-    assert!(fill(&mut harness, 200).len() > 20, "all serve again");
+    assert!(send_until_queued(&mut harness, 200).len() > 20, "all serve again");
     // One of three that is ejected gets no trial.
     let mut harness = BalancerHarness::without_origin(3);
     harness.request(read(1, 1));
@@ -128,7 +128,7 @@
 #[test]
 fn an_older_start_of_a_listed_node_does_not_make_it_warm() {
     let mut harness = BalancerHarness::without_origin(3);
-    let cold = |harness: &BalancerHarness, id| EndpointInfo { started: time(harness.now), ..endpoint(id) };
+    let cold = |harness: &BalancerHarness, id| EndpointInfo { started_at: time(harness.now), ..endpoint(id) };
     let list: Vec<EndpointInfo> = (1..=3).map(|id| cold(&harness, id)).collect();
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: list });
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: (1..=3).map(endpoint).collect() });
@@ -140,7 +140,7 @@
 #[test]
 fn a_write_goes_to_no_cache_node_when_the_origin_is_absent() {
     let mut harness = BalancerHarness::with_origin(4);
-    let write = |id| Request { write: true, ..read(id, id) };
+    let write = |id| Request { is_write: true, ..read(id, id) };
     assert_eq!(sent(&harness.request(write(1))), Some((1, ORIGIN)));
     harness.event(Event::EndpointList {
         form: ListForm::Delta,
@@ -203,7 +203,7 @@
     let (_, server) = sent(&harness.request(read(1, 5))).unwrap();
     // The origin has no capacity left.
     for id in 10..20 {
-        harness.request(Request { write: true, ..read(id, id) });
+        harness.request(Request { is_write: true, ..read(id, id) });
     }
     assert_eq!(
         finals(&harness.end(1, 0, server, Outcome::Miss)),
@@ -223,18 +223,18 @@
         Settings::from_json(json.as_bytes()).unwrap()
     };
     let mut harness = BalancerHarness::without_origin(1);
-    assert_eq!(fill(&mut harness, 1).len(), 10);
+    assert_eq!(send_until_queued(&mut harness, 1).len(), 10);
     harness.balancer.apply_settings(sized(2));
-    assert_eq!(fill(&mut harness, 1000).len(), 6, "16 in all");
+    assert_eq!(send_until_queued(&mut harness, 1000).len(), 6, "16 in all");
     harness.balancer.apply_settings(sized(30));
     for id in 1..=10 {
         harness.end(id, 0, 1, Outcome::Ok);
     }
-    assert!(fill(&mut harness, 2000).is_empty());
+    assert!(send_until_queued(&mut harness, 2000).is_empty());
 }
 
 /// One of many proxies whose only node was slow for so long that few are admitted.
-fn slowed() -> BalancerHarness {
+fn slowed_balancer() -> BalancerHarness {
     let mut harness = BalancerHarness::numbered(1, 1);
     for id in 1..200 {
         harness.now += 1000.0;
@@ -248,7 +248,7 @@
 /// Guards against attempts that reached no backend, taken for a sign of capacity.
 #[test]
 fn attempts_that_reach_no_backend_do_not_raise_admission() {
-    let mut harness = slowed();
+    let mut harness = slowed_balancer();
     let mut admitted = 0;
     for id in 1000..1400 {
         harness.now += 1000.0;
@@ -265,7 +265,7 @@
 /// group is large.
 #[test]
 fn a_group_that_shrinks_admits_every_request_again() {
-    let mut harness = slowed();
+    let mut harness = slowed_balancer();
     let admitted = |harness: &mut BalancerHarness, from: RequestNumber| {
         let ids = from..from + 20;
         ids.filter(|id| {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -18,40 +18,40 @@
 struct Scenario {
     proxies: u32,
     /// Settings of the site.
-    fall_multiple: f64,
+    overload_multiple: f64,
     start_capacity: f64,
-    cold: Milliseconds,
-    tip_after: Milliseconds,
+    warm_up_time: Milliseconds,
+    overload_time: Milliseconds,
     /// How many of ten nodes are replaced, one after the other, within how long.
     replaced: u32,
-    within: Milliseconds,
+    replaced_within: Milliseconds,
     /// The share of the fleet's capacity that is requested.
-    busy: f64,
+    utilization: f64,
     /// The share of requests that name one of a few keys, and how many these are.
-    hot: f64,
+    hot_fraction: f64,
     hot_keys: KeyNumber,
     /// How long a node takes for a response at most.
     latency: Milliseconds,
     /// Whether nodes miss what they were not asked for before, and an origin has it.
-    aside: bool,
+    cache_aside: bool,
     /// The share of attempts that fail.
-    fails: f64,
+    failure_fraction: f64,
 }
 
 const SCENARIO: Scenario = Scenario {
     proxies: 30,
-    fall_multiple: 3.0,
+    overload_multiple: 3.0,
     start_capacity: 0.13,
-    cold: 24_000.0,
-    tip_after: 3_000.0,
+    warm_up_time: 24_000.0,
+    overload_time: 3_000.0,
     replaced: 6,
-    within: 7_000.0,
-    busy: 0.8,
-    hot: 0.3,
+    replaced_within: 7_000.0,
+    utilization: 0.8,
+    hot_fraction: 0.3,
     hot_keys: 3,
     latency: 60.0,
-    aside: false,
-    fails: 0.02,
+    cache_aside: false,
+    failure_fraction: 0.02,
 };
 
 struct SentAttempt {
@@ -76,27 +76,27 @@
     scenario: Scenario,
     now: Milliseconds,
     rng: SmallRng,
-    hottest: KeyNumber,
+    first_hot_key: KeyNumber,
     agenda: BTreeMap<(u64, u64), FleetEvent>,
-    order: u64,
+    next_sequence: u64,
     balancers: Vec<Balancer>,
     attempts: BTreeMap<(usize, RequestNumber), u8>,
     /// The key of each request, where it missed, and what each node holds.
     keys: BTreeMap<RequestNumber, KeyNumber>,
     missed: BTreeMap<RequestNumber, Vec<BackendNumber>>,
-    holds: BTreeSet<(BackendNumber, KeyNumber)>,
+    cached: BTreeSet<(BackendNumber, KeyNumber)>,
     /// When each cold node started, and when it was sent attempts since.
-    cold: BTreeMap<BackendNumber, (Milliseconds, Vec<Milliseconds>)>,
+    cold_nodes: BTreeMap<BackendNumber, (Milliseconds, Vec<Milliseconds>)>,
 }
 
 impl FleetRun {
-    fn of(scenario: Scenario, seed: u64) -> FleetRun {
-        let json = settings_json(scenario.aside)
+    fn simulate(scenario: Scenario, seed: u64) -> FleetRun {
+        let json = settings_json(scenario.cache_aside)
             .replace(r#""GroupSize":3"#, &format!(r#""GroupSize":{}"#, scenario.proxies))
             .replace(r#""StartCapacity":0.2"#, &format!(r#""StartCapacity":{}"#, scenario.start_capacity))
-            .replace(r#""Cold":9000.0"#, &format!(r#""Cold":{}"#, scenario.cold))
-            .replace(r#""FallMultiple":3.0"#, &format!(r#""FallMultiple":{}"#, scenario.fall_multiple))
-            .replace(r#""TipAfter":1500.0"#, &format!(r#""TipAfter":{}"#, scenario.tip_after));
+            .replace(r#""Cold":9000.0"#, &format!(r#""Cold":{}"#, scenario.warm_up_time))
+            .replace(r#""FallMultiple":3.0"#, &format!(r#""FallMultiple":{}"#, scenario.overload_multiple))
+            .replace(r#""TipAfter":1500.0"#, &format!(r#""TipAfter":{}"#, scenario.overload_time));
         let balancer = |number| {
             let settings = Settings::from_json(json.as_bytes()).expect("the settings are legal");
             Balancer::new(Settings { my_number: number, ..settings }, seed ^ u64::from(number) << 32)
@@ -105,34 +105,34 @@
             scenario,
             now: 100_000.0,
             rng: SmallRng::seed_from_u64(seed),
-            hottest: 1 + seed % 90,
+            first_hot_key: 1 + seed % 90,
             agenda: BTreeMap::new(),
-            order: 0,
+            next_sequence: 0,
             balancers: (0..scenario.proxies).map(balancer).collect(),
             attempts: BTreeMap::new(),
             keys: BTreeMap::new(),
             missed: BTreeMap::new(),
-            holds: BTreeSet::new(),
-            cold: BTreeMap::new(),
+            cached: BTreeSet::new(),
+            cold_nodes: BTreeMap::new(),
         };
         let mut list: Vec<EndpointInfo> = (1..=NODES).map(endpoint).collect();
-        list.extend(scenario.aside.then(|| endpoint(ORIGIN)));
+        list.extend(scenario.cache_aside.then(|| endpoint(ORIGIN)));
         for at in 0..run.balancers.len() {
             run.feed(at, Event::EndpointList { form: ListForm::Full, endpoints: list.clone() });
         }
         // Tables are full by then.
         for number in 0..scenario.replaced {
-            let after = 8_000.0 + scenario.within * f64::from(number) / f64::from(scenario.replaced);
-            run.at(after, FleetEvent::NodeIsReplaced(number + 1));
+            let after = 8_000.0 + scenario.replaced_within * f64::from(number) / f64::from(scenario.replaced);
+            run.schedule(after, FleetEvent::NodeIsReplaced(number + 1));
         }
-        run.at(0.0, FleetEvent::RequestArrives);
-        run.run(8_000.0 + scenario.within + scenario.cold);
+        run.schedule(0.0, FleetEvent::RequestArrives);
+        run.run(8_000.0 + scenario.replaced_within + scenario.warm_up_time);
         run
     }
 
-    fn at(&mut self, after: Milliseconds, event: FleetEvent) {
-        self.order += 1;
-        self.agenda.insert((((self.now + after) * 1000.0) as u64, self.order), event);
+    fn schedule(&mut self, after: Milliseconds, event: FleetEvent) {
+        self.next_sequence += 1;
+        self.agenda.insert((((self.now + after) * 1000.0) as u64, self.next_sequence), event);
     }
 
     fn run(&mut self, length: Milliseconds) {
@@ -143,7 +143,7 @@
                 return;
             }
             match event {
-                FleetEvent::RequestArrives => self.ask(),
+                FleetEvent::RequestArrives => self.send_request(),
                 FleetEvent::TimerFires(at, token) => self.feed(at, Event::Timer(token)),
                 FleetEvent::AttemptEnds(at, attempt) => {
                     let outcome = self.outcome(attempt.id, attempt.server);
@@ -152,17 +152,17 @@
                         attempt: attempt.ordinal,
                         backend: BackendId(attempt.server),
                         latency: span(self.now - attempt.sent),
-                        last: outcome == Outcome::Ok,
+                        is_request_finished: outcome == Outcome::Ok,
                         outcome,
-                        report: Vec::new(),
+                        load_report: Vec::new(),
                     };
                     self.feed(at, Event::AttemptEnd(end));
                 }
                 FleetEvent::NodeIsReplaced(old) => {
                     let (new, started) = (NODES + old, self.now);
-                    self.cold.insert(new, (started, Vec::new()));
+                    self.cold_nodes.insert(new, (started, Vec::new()));
                     let gone = EndpointInfo { state: EndpointState::Gone, ..endpoint(old) };
-                    let change = vec![gone, EndpointInfo { started: time(started), ..endpoint(new) }];
+                    let change = vec![gone, EndpointInfo { started_at: time(started), ..endpoint(new) }];
                     for at in 0..self.balancers.len() {
                         self.feed(
                             at,
@@ -174,17 +174,17 @@
         }
     }
 
-    fn ask(&mut self) {
-        let rate = CAPACITY * f64::from(NODES) * self.scenario.busy / 1000.0;
+    fn send_request(&mut self) {
+        let rate = CAPACITY * f64::from(NODES) * self.scenario.utilization / 1000.0;
         let wait = -(1.0 - self.rng.gen::<f64>()).ln() / rate;
-        self.at(wait, FleetEvent::RequestArrives);
-        let key = if self.rng.gen_bool(self.scenario.hot) {
-            self.hottest + self.rng.gen_range(0..self.scenario.hot_keys)
+        self.schedule(wait, FleetEvent::RequestArrives);
+        let key = if self.rng.gen_bool(self.scenario.hot_fraction) {
+            self.first_hot_key + self.rng.gen_range(0..self.scenario.hot_keys)
         } else {
             100 + (3000.0 * self.rng.gen::<f64>().powi(3)) as KeyNumber
         };
         let at = self.rng.gen_range(0..self.balancers.len());
-        let id = self.order;
+        let id = self.next_sequence;
         self.keys.insert(id, key);
         self.feed(at, Event::Request(read(id, key)));
     }
@@ -193,12 +193,12 @@
         let key = self.keys[&id];
         if server == ORIGIN {
             // The value is stored where it missed.
-            self.holds.extend(self.missed.remove(&id).into_iter().flatten().map(|node| (node, key)));
-        } else if self.scenario.aside && !self.holds.contains(&(server, key)) {
+            self.cached.extend(self.missed.remove(&id).into_iter().flatten().map(|node| (node, key)));
+        } else if self.scenario.cache_aside && !self.cached.contains(&(server, key)) {
             self.missed.entry(id).or_default().push(server);
             return Outcome::Miss;
         }
-        if self.rng.gen_bool(self.scenario.fails) {
+        if self.rng.gen_bool(self.scenario.failure_fraction) {
             Outcome::Error
         } else {
             Outcome::Ok
@@ -215,16 +215,16 @@
                     let attempt = self.attempts.entry((at, id)).or_default();
                     let number = *attempt;
                     *attempt += 1;
-                    if let Some((_, sent)) = self.cold.get_mut(&server) {
+                    if let Some((_, sent)) = self.cold_nodes.get_mut(&server) {
                         sent.push(self.now);
                     }
                     let latency = self.rng.gen_range(5.0..self.scenario.latency);
                     let attempt = SentAttempt { id, ordinal: number, server, sent: self.now };
-                    self.at(latency, FleetEvent::AttemptEnds(at, attempt));
+                    self.schedule(latency, FleetEvent::AttemptEnds(at, attempt));
                 }
                 Action::SetTimer { delay: wait, token }
                 | Action::SetRequestTimer { delay: wait, token, .. } => {
-                    self.at(wait.as_ms().max(0.001), FleetEvent::TimerFires(at, token));
+                    self.schedule(wait.as_ms().max(0.001), FleetEvent::TimerFires(at, token));
                 }
                 _ => {}
             }
@@ -233,30 +233,31 @@
 
     /// The most that any cold node was sent beyond its budget in any span, over what chance may
     /// add: above 1 is too much.
-    fn worst(&self) -> f64 {
+    fn worst_excess(&self) -> f64 {
         let scenario = &self.scenario;
-        let mut worst = 0.0f64;
-        for (started, sent) in self.cold.values() {
+        let mut worst_excess = 0.0f64;
+        for (started, sent) in self.cold_nodes.values() {
             let mut from = 0;
             for (at, now) in sent.iter().enumerate() {
-                let age = (now - started) / scenario.cold;
+                let age = (now - started) / scenario.warm_up_time;
                 if age >= 1.0 {
                     break;
                 }
-                while sent[from] <= now - scenario.tip_after {
+                while sent[from] <= now - scenario.overload_time {
                     from += 1;
                 }
                 let capacity = scenario.start_capacity + (1.0 - scenario.start_capacity) * age;
-                let budget = scenario.fall_multiple * capacity * CAPACITY * scenario.tip_after / 1000.0;
+                let budget =
+                    scenario.overload_multiple * capacity * CAPACITY * scenario.overload_time / 1000.0;
                 let count = (at - from + 1) as f64;
-                worst = worst.max((count - budget) / (2.0 * budget.sqrt() + 2.0));
+                worst_excess = worst_excess.max((count - budget) / (2.0 * budget.sqrt() + 2.0));
             }
         }
-        worst
+        worst_excess
     }
 
-    fn sent(&self) -> usize {
-        self.cold.values().map(|(_, sent)| sent.len()).sum()
+    fn attempts_at_cold_nodes(&self) -> usize {
+        self.cold_nodes.values().map(|(_, sent)| sent.len()).sum()
     }
 }
 
@@ -270,29 +271,36 @@
         // idle node.
         Scenario { proxies: 1, latency: 300.0, ..SCENARIO },
         Scenario { proxies: 3, latency: 300.0, ..SCENARIO },
-        Scenario { proxies: 3, replaced: 1, latency: 300.0, busy: 0.95, ..SCENARIO },
+        Scenario { proxies: 3, replaced: 1, latency: 300.0, utilization: 0.95, ..SCENARIO },
         // Budgets of a few requests.
-        Scenario { tip_after: 500.0, start_capacity: 0.05, ..SCENARIO },
-        Scenario { fall_multiple: 2.0, start_capacity: 0.05, tip_after: 1_000.0, ..SCENARIO },
+        Scenario { overload_time: 500.0, start_capacity: 0.05, ..SCENARIO },
+        Scenario { overload_multiple: 2.0, start_capacity: 0.05, overload_time: 1_000.0, ..SCENARIO },
         // Fast to warm, slow to warm, and all of the fleet but one.
-        Scenario { cold: 6_000.0, ..SCENARIO },
-        Scenario { cold: 60_000.0, ..SCENARIO },
-        Scenario { replaced: 9, within: 20_000.0, ..SCENARIO },
+        Scenario { warm_up_time: 6_000.0, ..SCENARIO },
+        Scenario { warm_up_time: 60_000.0, ..SCENARIO },
+        Scenario { replaced: 9, replaced_within: 20_000.0, ..SCENARIO },
         // Nearly all requests name a few keys.
-        Scenario { hot: 0.9, ..SCENARIO },
-        Scenario { proxies: 1, hot: 0.9, ..SCENARIO },
+        Scenario { hot_fraction: 0.9, ..SCENARIO },
+        Scenario { proxies: 1, hot_fraction: 0.9, ..SCENARIO },
         // More than all can take, and misses that wait for another's fetch.
-        Scenario { busy: 1.2, ..SCENARIO },
-        Scenario { proxies: 3, busy: 1.2, fails: 0.2, latency: 300.0, ..SCENARIO },
+        Scenario { utilization: 1.2, ..SCENARIO },
+        Scenario { proxies: 3, utilization: 1.2, failure_fraction: 0.2, latency: 300.0, ..SCENARIO },
         // One key of a third or of a tenth of all requests, wherever it lives.
         Scenario { hot_keys: 1, ..SCENARIO },
         Scenario { hot_keys: 1, proxies: 300, ..SCENARIO },
         Scenario { hot_keys: 1, proxies: 3, latency: 300.0, ..SCENARIO },
         Scenario { hot_keys: 1, proxies: 1, latency: 300.0, ..SCENARIO },
-        Scenario { hot: 0.1, hot_keys: 1, proxies: 3, ..SCENARIO },
-        Scenario { hot: 0.1, hot_keys: 1, proxies: 30, busy: 1.2, latency: 300.0, ..SCENARIO },
-        Scenario { aside: true, ..SCENARIO },
-        Scenario { aside: true, proxies: 3, hot: 0.6, latency: 200.0, ..SCENARIO },
+        Scenario { hot_fraction: 0.1, hot_keys: 1, proxies: 3, ..SCENARIO },
+        Scenario {
+            hot_fraction: 0.1,
+            hot_keys: 1,
+            proxies: 30,
+            utilization: 1.2,
+            latency: 300.0,
+            ..SCENARIO
+        },
+        Scenario { cache_aside: true, ..SCENARIO },
+        Scenario { cache_aside: true, proxies: 3, hot_fraction: 0.6, latency: 200.0, ..SCENARIO },
     ]
 }
 
@@ -300,9 +308,13 @@
 fn a_cold_node_exceeds_its_budget_only_by_what_chance_adds() {
     for (at, scenario) in scenarios().into_iter().enumerate() {
         for seed in 0..4 {
-            let run = FleetRun::of(scenario, seed + 10 * at as u64);
-            assert!(run.sent() > 10, "they get something: {} {scenario:?}", run.sent());
-            assert!(run.worst() <= 1.0, "seed {seed}: {:.2} {scenario:?}", run.worst());
+            let run = FleetRun::simulate(scenario, seed + 10 * at as u64);
+            assert!(
+                run.attempts_at_cold_nodes() > 10,
+                "they get something: {} {scenario:?}",
+                run.attempts_at_cold_nodes()
+            );
+            assert!(run.worst_excess() <= 1.0, "seed {seed}: {:.2} {scenario:?}", run.worst_excess());
         }
     }
 }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -218,7 +218,7 @@
         self.feed(
             proxy,
             self.proxies[proxy].incarnation,
-            Event::Request(Request { class, budget: span(budget), write, ..read(id, key) }),
+            Event::Request(Request { class, budget: span(budget), is_write: write, ..read(id, key) }),
         );
     }
 
@@ -308,15 +308,15 @@
         if proxy.incarnation != attempt.incarnation || !proxy.alive {
             return;
         }
-        let mut last = !proxy.open.contains_key(&attempt.id);
+        let mut is_request_finished = !proxy.open.contains_key(&attempt.id);
         match outcome {
             Outcome::Miss => {
                 if let Some(open) = proxy.open.get_mut(&attempt.id) {
                     open.missed_at.push(attempt.server);
                 }
             }
-            Outcome::Ok if !last => {
-                last = true;
+            Outcome::Ok if !is_request_finished => {
+                is_request_finished = true;
                 let served = proxy.open.remove(&attempt.id).unwrap_or_default();
                 for server in &served.missed_at {
                     self.node(*server).keys.insert(served.key);
@@ -334,9 +334,9 @@
             attempt: attempt.ordinal,
             backend: BackendId(attempt.server),
             latency: span(self.now - attempt.sent),
-            last,
+            is_request_finished,
             outcome,
-            report: Vec::new(),
+            load_report: Vec::new(),
         };
         self.feed(attempt.proxy, attempt.incarnation, Event::AttemptEnd(end));
     }
--- a/tests/common/fleet/faults.rs
+++ b/tests/common/fleet/faults.rs
@@ -63,7 +63,7 @@
                 let address = recorded_events::place(server);
                 self.recorder
                     .record(now, HistoryEvent::BackendStarted { address, capacity: NODE_WORK_PER_MS });
-                self.change(EndpointInfo { started: time(now), ..endpoint(server) });
+                self.change(EndpointInfo { started_at: time(now), ..endpoint(server) });
             }
             Fault::Kill(proxy) => {
                 let state = &mut self.proxies[proxy];
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -79,8 +79,8 @@
         kind: u8::from(server == ORIGIN),
         cell: (server % 3) as u16,
         state: EndpointState::Ready,
-        size: 1.0,
-        started: Timestamp::ZERO,
+        weight: 1.0,
+        started_at: Timestamp::ZERO,
     }
 }
 
@@ -91,9 +91,9 @@
         tenant: 0,
         key: Key(key),
         budget: span(800.0),
-        hint: Some(span(10.0)),
-        repeat: false,
-        write: false,
+        work_hint: Some(span(10.0)),
+        is_repeat: false,
+        is_write: false,
     }
 }
 
@@ -186,15 +186,15 @@
         outcome: Outcome,
         latency: Milliseconds,
     ) -> Vec<Action> {
-        let last = outcome == Outcome::Ok;
+        let is_request_finished = outcome == Outcome::Ok;
         self.event(Event::AttemptEnd(AttemptEnd {
             id: RequestId(id),
             attempt,
             backend: BackendId(server),
             latency: span(latency),
-            last,
+            is_request_finished,
             outcome,
-            report: vec![],
+            load_report: vec![],
         }))
     }
 
--- a/tests/common/recorded_events.rs
+++ b/tests/common/recorded_events.rs
@@ -100,7 +100,7 @@
             EndpointState::Draining => seen::State::Draining,
             EndpointState::Gone => seen::State::Gone,
         },
-        started: member.started.as_ms(),
+        started: member.started_at.as_ms(),
     }
 }
 
--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -15,7 +15,7 @@
         let started = harness.now;
         harness.event(Event::EndpointList {
             form: ListForm::Delta,
-            endpoints: vec![EndpointInfo { started: time(started), ..endpoint(3) }],
+            endpoints: vec![EndpointInfo { started_at: time(started), ..endpoint(3) }],
         });
         for n in 0..20 {
             match harness.served(n + 1, u64::from(number) * 100 + n + 1) {
@@ -35,7 +35,7 @@
     for number in 0..300 {
         let mut harness = BalancerHarness::numbered(number, 0);
         let started = harness.now;
-        let list = (1..=8).map(|id| EndpointInfo { started: time(started), ..endpoint(id) }).collect();
+        let list = (1..=8).map(|id| EndpointInfo { started_at: time(started), ..endpoint(id) }).collect();
         harness.event(Event::EndpointList { form: ListForm::Full, endpoints: list });
         for n in 1..=10 {
             if let Some((id, server)) = sent(&harness.request(read(n, u64::from(number) * 100 + n))) {
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -78,7 +78,7 @@
     for id in 1..100 {
         assert_ne!(harness.served(id, id), 0);
     }
-    let large = |id| Request { hint: Some(span(500.0)), ..read(id, 7777) };
+    let large = |id| Request { work_hint: Some(span(500.0)), ..read(id, 7777) };
     let home = sent(&harness.request(large(1000))).unwrap().1;
     for id in 1001..1006 {
         assert_eq!(sent(&harness.request(large(id))).unwrap().1, home);
@@ -91,7 +91,7 @@
     for id in 1..100 {
         assert_ne!(harness.served(id, id), 0);
     }
-    let large = |id| Request { hint: Some(span(500.0)), ..read(id, 7777) };
+    let large = |id| Request { work_hint: Some(span(500.0)), ..read(id, 7777) };
     let home = sent(&harness.request(large(1000))).unwrap().1;
     let hosts: Vec<BackendNumber> =
         (1001..1030).map(|id| sent(&harness.request(large(id))).map_or(0, |s| s.1)).collect();
@@ -104,7 +104,7 @@
 fn a_key_without_a_valid_hint_counts_as_small() {
     for hint in [None, Some(f64::NAN), Some(-1.0), Some(0.0), Some(f64::INFINITY)] {
         let mut harness = BalancerHarness::without_origin(6);
-        let odd = |id| Request { hint: hint.map(span), ..read(id, 5) };
+        let odd = |id| Request { work_hint: hint.map(span), ..read(id, 5) };
         let hosts: Vec<BackendNumber> =
             (1..=5).map(|id| sent(&harness.request(odd(id))).unwrap().1).collect();
         assert_ne!(hosts[0], hosts[4], "{hint:?}: a small key's set grows");
@@ -124,7 +124,7 @@
     let mut harness = BalancerHarness::without_origin(4);
     harness.event(Event::EndpointList {
         form: ListForm::Delta,
-        endpoints: vec![EndpointInfo { size: 3.0, ..endpoint(1) }],
+        endpoints: vec![EndpointInfo { weight: 3.0, ..endpoint(1) }],
     });
     let at_first = (1..600).filter(|key| harness.served(*key, *key) == 1).count();
     assert!((240..360).contains(&at_first), "{at_first} of 600, half expected");
@@ -269,14 +269,14 @@
     assert!(harness.end(99, 3, 77, Outcome::Ok).is_empty());
     assert!(harness.event(Event::Timer(u64::MAX)).is_empty());
     assert!(harness.event(Event::ClientGone(RequestId(4))).is_empty());
-    harness.event(Event::Probed { backend: BackendId(5), answered: false, report: vec![f32::NAN] });
-    harness.event(Event::Peer { from: 9, payload: vec![1] });
+    harness.event(Event::Probed { backend: BackendId(5), answered: false, load_report: vec![f32::NAN] });
+    harness.event(Event::PeerMessage { from: 9, payload: vec![1] });
     assert!(finals(&harness.request(Request { class: 250, ..read(1, 1) })).len() == 1);
     for (id, budget) in [(2, f64::NAN), (3, -5.0), (4, 0.0)] {
         let actions = harness.request(Request { budget: span(budget), ..read(id, 0) });
         assert_eq!(finals(&actions).len() + finals(&harness.event(Event::Timer(1 << 60 | id))).len(), 1);
     }
-    let odd = EndpointInfo { size: f32::NAN, started: time(f64::NAN), ..endpoint(2) };
+    let odd = EndpointInfo { weight: f32::NAN, started_at: time(f64::NAN), ..endpoint(2) };
     harness.event(Event::EndpointList { form: ListForm::Delta, endpoints: vec![odd] });
     assert!(sent(&harness.request(read(5, 0))).is_some());
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: vec![] });
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -17,11 +17,11 @@
     Wait(f64),
     Arrive { class: u8, key: KeyNumber, budget: f64, write: bool },
     End { pick: usize, outcome: u8 },
-    Leave { pick: usize },
-    Change { server: BackendNumber, state: u8, restart: bool },
+    Disconnect { pick: usize },
+    ChangeEndpoint { server: BackendNumber, state: u8, restart: bool },
     CompleteList { mask: u8, form: u8 },
     ListFailed,
-    Retune { shift: u8, most: u32 },
+    ChangeSettings { class_shift: u8, max_attempts: u32 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -30,12 +30,12 @@
         6 => (0..5u8, 0..12u64, 0.0..900.0f64, any::<bool>())
             .prop_map(|(class, key, budget, write)| Step::Arrive { class, key, budget, write }),
         6 => (any::<usize>(), 0..9u8).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
-        1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
+        1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
         1 => (1..6u32, 0..3u8, any::<bool>())
-            .prop_map(|(server, state, restart)| Step::Change { server, state, restart }),
+            .prop_map(|(server, state, restart)| Step::ChangeEndpoint { server, state, restart }),
         1 => (any::<u8>(), 0..2u8).prop_map(|(mask, form)| Step::CompleteList { mask, form }),
         1 => Just(Step::ListFailed),
-        1 => (0..5u8, 1..5u32).prop_map(|(shift, most)| Step::Retune { shift, most }),
+        1 => (0..5u8, 1..5u32).prop_map(|(class_shift, max_attempts)| Step::ChangeSettings { class_shift, max_attempts }),
     ]
 }
 
@@ -46,12 +46,12 @@
     /// The requests without a final response, and how many attempts each has had.
     open: BTreeMap<RequestNumber, u8>,
     /// The attempts in flight.
-    out: Vec<SentAttempt>,
+    in_flight: Vec<SentAttempt>,
     /// When timers fire, and their tokens.
     timers: Vec<(Milliseconds, u64)>,
-    next: RequestNumber,
+    next_request: RequestNumber,
     /// By how many places the classes have moved in the active settings.
-    shift: u8,
+    class_shift: u8,
 }
 
 struct SentAttempt {
@@ -72,10 +72,10 @@
             harness: BalancerHarness::with_origin(4),
             recorder: EventRecorder::default(),
             open: BTreeMap::new(),
-            out: vec![],
+            in_flight: vec![],
             timers: vec![],
-            next: 1,
-            shift: 0,
+            next_request: 1,
+            class_shift: 0,
         };
         proxy.record_active_settings(4);
         let list: Vec<EndpointInfo> = (1..=4).chain([ORIGIN]).map(endpoint).collect();
@@ -102,7 +102,7 @@
                     let number = self.recorder.record_attempt(now, PROXY, &id.to_string(), server, 10.0);
                     let attempts =
                         self.open.get_mut(&id).expect("nothing is sent for a request that is over");
-                    self.out.push(SentAttempt { id, ordinal: *attempts, server, sent: now, number });
+                    self.in_flight.push(SentAttempt { id, ordinal: *attempts, server, sent: now, number });
                     *attempts += 1;
                 }
                 Action::Reject { request: id, .. } => self.answer(id.0, Answer::Rejected),
@@ -120,7 +120,7 @@
         self.recorder.record_response(self.harness.now, &id.to_string(), answer);
     }
 
-    fn tell(&mut self, form: ListForm, list: Vec<EndpointInfo>) {
+    fn send_list(&mut self, form: ListForm, list: Vec<EndpointInfo>) {
         self.recorder.record_list(self.harness.now, PROXY, form != ListForm::Delta, &list);
         self.feed(Event::EndpointList { form, endpoints: list });
         // What is sent from now on is sent later.
@@ -146,42 +146,50 @@
             Step::Wait(time) => self.wait(time),
             Step::Arrive { class, key, budget, write } => self.arrive(class, key, budget, write),
             Step::End { pick, outcome } => self.end(pick, outcome),
-            Step::Leave { pick } => self.leave(pick),
-            Step::Change { server, state, restart } => {
+            Step::Disconnect { pick } => self.disconnect(pick),
+            Step::ChangeEndpoint { server, state, restart } => {
                 let state =
                     [EndpointState::Gone, EndpointState::Ready, EndpointState::Draining][usize::from(state)];
                 let started = if restart { self.harness.now } else { 0.0 };
-                self.tell(
+                self.send_list(
                     ListForm::Delta,
-                    vec![EndpointInfo { state, started: time(started), ..endpoint(server) }],
+                    vec![EndpointInfo { state, started_at: time(started), ..endpoint(server) }],
                 );
             }
             Step::CompleteList { mask, form } => {
                 let list: Vec<EndpointInfo> = (1..6).filter(|id| mask >> id & 1 == 1).map(endpoint).collect();
-                self.tell([ListForm::Full, ListForm::Cached][usize::from(form)], list);
+                self.send_list([ListForm::Full, ListForm::Cached][usize::from(form)], list);
+            }
+            Step::ChangeSettings { class_shift, max_attempts } => {
+                self.change_settings(class_shift, max_attempts)
             }
-            Step::Retune { shift, most } => self.retune(shift, most),
             Step::ListFailed => self.feed(Event::EndpointList { form: ListForm::Failed, endpoints: vec![] }),
         }
     }
 
     fn arrive(&mut self, class: u8, key: KeyNumber, budget: f64, write: bool) {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_request;
+        self.next_request += 1;
         self.open.insert(id, 0);
-        let class_name = CLASSES[usize::from((class + self.shift) % 5)].to_owned();
+        let class_name = CLASSES[usize::from((class + self.class_shift) % 5)].to_owned();
         let request = id.to_string();
         let asked = HistoryEvent::RequestSent { proxy: PROXY.into(), request, class: class_name, budget };
         self.recorder.record(self.harness.now, asked);
         let hint = (!key.is_multiple_of(3)).then_some(span(10.0 * key as f64));
-        self.feed(Event::Request(Request { class, budget: span(budget), write, hint, ..read(id, key) }));
+        self.feed(Event::Request(Request {
+            class,
+            budget: span(budget),
+            is_write: write,
+            work_hint: hint,
+            ..read(id, key)
+        }));
     }
 
     fn end(&mut self, pick: usize, outcome: u8) {
-        if self.out.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let attempt = self.out.remove(pick % self.out.len());
+        let attempt = self.in_flight.remove(pick % self.in_flight.len());
         let id = attempt.id;
         let outcome = ALL_OUTCOMES[usize::from(outcome)];
         let value = format!("{id} {}", attempt.ordinal);
@@ -194,13 +202,13 @@
             attempt: attempt.ordinal,
             backend: BackendId(attempt.server),
             latency: span(self.harness.now - attempt.sent),
-            last: !self.open.contains_key(&id),
+            is_request_finished: !self.open.contains_key(&id),
             outcome,
-            report: vec![],
+            load_report: vec![],
         }));
     }
 
-    fn leave(&mut self, pick: usize) {
+    fn disconnect(&mut self, pick: usize) {
         let ids: Vec<RequestNumber> = self.open.keys().copied().collect();
         if let Some(id) = ids.get(pick % ids.len().max(1)) {
             self.open.remove(id);
@@ -210,12 +218,12 @@
         }
     }
 
-    fn retune(&mut self, shift: u8, most: u32) {
-        self.shift = shift;
-        self.record_active_settings(most as usize);
+    fn change_settings(&mut self, class_shift: u8, max_attempts: u32) {
+        self.class_shift = class_shift;
+        self.record_active_settings(max_attempts as usize);
         let mut settings = Settings::from_json(settings_json(true).as_bytes()).unwrap();
-        settings.classes.rotate_left(usize::from(shift));
-        settings.limits.max_attempts = most;
+        settings.classes.rotate_left(usize::from(class_shift));
+        settings.limits.max_attempts = max_attempts;
         self.harness.balancer.apply_settings(settings);
     }
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -63,7 +63,7 @@
     let event = quota(&harness, 1.0 / 4.0, 3_000.0);
     harness.event(event);
     let writes = (1..=20).filter(|id| {
-        let write = Request { class: KEYED_ALL, write: true, ..read(*id, *id) };
+        let write = Request { class: KEYED_ALL, is_write: true, ..read(*id, *id) };
         sent(&harness.request(write)).is_some()
     });
     // The concurrency limit begins at 8 for all together, and at two at least: below a quarter of
@@ -102,22 +102,34 @@
         let event = match rng.gen_range(0..10) {
             0..=3 => Event::Request(Request {
                 class: rng.gen_range(0..5),
-                write: with_origin && rng.gen_bool(0.1),
+                is_write: with_origin && rng.gen_bool(0.1),
                 ..read(id, rng.gen_range(0..200))
             }),
             4 if !timers.is_empty() => Event::Timer(timers.swap_remove(rng.gen_range(0..timers.len()))),
             5 if rng.gen_bool(0.02) => Event::EndpointList {
                 form: ListForm::Delta,
-                endpoints: vec![EndpointInfo { started: time(harness.now), ..endpoint(rng.gen_range(1..7)) }],
+                endpoints: vec![EndpointInfo {
+                    started_at: time(harness.now),
+                    ..endpoint(rng.gen_range(1..7))
+                }],
             },
             _ if !out.is_empty() => {
                 let (id, backend, attempt) = out.swap_remove(rng.gen_range(0..out.len()));
                 let outcomes =
                     [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Miss, Outcome::Full, Outcome::Timeout];
                 let outcome = outcomes[rng.gen_range(0..outcomes.len())];
-                let (latency, last) = (span(rng.gen_range(1.0..300.0)), outcome == Outcome::Ok);
-                let report = Vec::new();
-                Event::AttemptEnd(AttemptEnd { id, attempt, backend, latency, last, outcome, report })
+                let (latency, is_request_finished) =
+                    (span(rng.gen_range(1.0..300.0)), outcome == Outcome::Ok);
+                let load_report = Vec::new();
+                Event::AttemptEnd(AttemptEnd {
+                    id,
+                    attempt,
+                    backend,
+                    latency,
+                    is_request_finished,
+                    outcome,
+                    load_report,
+                })
             }
             _ => continue,
         };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,7 +5,7 @@
 use common::*;
 use pinetrail::interface::*;
 
-fn has_never_run(outcome: Outcome) -> bool {
+fn never_executed(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
 }
 
@@ -17,26 +17,27 @@
             let mut harness = BalancerHarness::without_origin(4);
             let arrival = harness.request(read(1, 5));
             let (_, server) = sent(&arrival).unwrap();
-            let (mut answers, mut over) = (0, false);
+            let (mut responses, mut is_over) = (0, false);
             for step in order {
                 let actions = match step {
                     0 => harness.end(1, 0, server, outcome),
                     1 => harness.deadline(&arrival),
                     _ => harness.event(Event::ClientGone(RequestId(1))),
                 };
-                if over {
+                if is_over {
                     assert!(
                         sends(&actions).is_empty() && finals(&actions).is_empty(),
                         "{outcome:?} {order:?}"
                     );
                 }
-                answers += finals(&actions).len() + usize::from(step == 0 && !over && outcome == Outcome::Ok);
-                over |= answers > 0 || step == 2;
+                responses +=
+                    finals(&actions).len() + usize::from(step == 0 && !is_over && outcome == Outcome::Ok);
+                is_over |= responses > 0 || step == 2;
             }
-            assert!(answers <= 1, "{outcome:?} {order:?}");
-            let left_first = order[0] == 2;
-            let resent = order[0] == 0 && order[1] == 2;
-            assert!(answers == 1 || left_first || resent, "{outcome:?} {order:?}: {answers}");
+            assert!(responses <= 1, "{outcome:?} {order:?}");
+            let disconnected_first = order[0] == 2;
+            let retried = order[0] == 0 && order[1] == 2;
+            assert!(responses == 1 || disconnected_first || retried, "{outcome:?} {order:?}: {responses}");
         }
     }
 }
@@ -60,25 +61,25 @@
                 let (_, first) = sent(&arrival).unwrap();
                 harness.now += if late { 350.0 } else { 5.0 };
                 let actions = harness.end(1, 0, first, outcome);
-                let what = format!("{class} {outcome:?} late {late}: {actions:?}");
-                let free = has_never_run(outcome) || class == SAFE;
+                let context = format!("{class} {outcome:?} late {late}: {actions:?}");
+                let is_safe = never_executed(outcome) || class == SAFE;
                 for (_, server) in sends(&actions) {
                     let (a, b) = (endpoint(first), endpoint(server));
-                    let together = match class {
+                    let deduplicated = match class {
                         KEYED_ALL => true,
                         KEYED_ZONE => a.zone == b.zone,
                         KEYED_CELL => a.cell == b.cell,
                         _ => false,
                     };
-                    assert!(free || (together && !late), "{what}");
+                    assert!(is_safe || (deduplicated && !late), "{context}");
                 }
-                let refused = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
-                assert!(!refused || free || (class == KEYED_ALL && !late), "{what}");
-                if free {
-                    assert_eq!(sends(&actions).len(), 1, "{what}");
+                let is_rejected = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
+                assert!(!is_rejected || is_safe || (class == KEYED_ALL && !late), "{context}");
+                if is_safe {
+                    assert_eq!(sends(&actions).len(), 1, "{context}");
                 }
-                if class == UNSAFE && !free {
-                    assert_eq!(finals(&actions), vec![&unsafe_to_repeat(1)], "{what}");
+                if class == UNSAFE && !is_safe {
+                    assert_eq!(finals(&actions), vec![&unsafe_to_repeat(1)], "{context}");
                 }
             }
         }
@@ -87,19 +88,19 @@
 
 #[test]
 fn an_attempt_in_flight_counts_as_possibly_run() {
-    for (class, refuse) in [(SAFE, true), (KEYED_ALL, false), (KEYED_ZONE, false), (UNSAFE, false)] {
+    for (class, is_rejected) in [(SAFE, true), (KEYED_ALL, false), (KEYED_ZONE, false), (UNSAFE, false)] {
         let mut harness = BalancerHarness::without_origin(4);
         let arrival = harness.request(Request { class, ..read(1, 5) });
         let end = harness.deadline(&arrival);
         // At 800 ms the window of 300 ms is over: only what is idempotent may be rejected.
-        assert_eq!(matches!(finals(&end)[0], Action::Reject { .. }), refuse, "{class}");
+        assert_eq!(matches!(finals(&end)[0], Action::Reject { .. }), is_rejected, "{class}");
     }
 }
 
 #[test]
 fn writes_go_straight_to_the_origin() {
     let mut harness = BalancerHarness::with_origin(4);
-    let arrival = harness.request(Request { class: UNSAFE, write: true, ..read(1, 5) });
+    let arrival = harness.request(Request { class: UNSAFE, is_write: true, ..read(1, 5) });
     assert_eq!(sent(&arrival), Some((1, ORIGIN)));
 }
 
@@ -182,7 +183,7 @@
 }
 
 /// Sends steady traffic for 1.5 s; the work sent to backend 9 and to all others.
-fn flood(harness: &mut BalancerHarness, outcome: Outcome) -> (f64, f64) {
+fn send_steady_traffic(harness: &mut BalancerHarness, outcome: Outcome) -> (f64, f64) {
     let (mut cold, mut warm) = (0.0, 0.0);
     let base = harness.now as u64 * 1000;
     for step in 0..150u64 {
@@ -214,13 +215,13 @@
         if known {
             harness.event(Event::EndpointList { form: ListForm::Delta, endpoints: vec![endpoint(9)] });
         }
-        flood(&mut harness, Outcome::Ok);
+        send_steady_traffic(&mut harness, Outcome::Ok);
         let started = harness.now;
         harness.event(Event::EndpointList {
             form: ListForm::Delta,
-            endpoints: vec![EndpointInfo { started: time(started), ..endpoint(9) }],
+            endpoints: vec![EndpointInfo { started_at: time(started), ..endpoint(9) }],
         });
-        let (cold, warm) = flood(&mut harness, outcome);
+        let (cold, warm) = send_steady_traffic(&mut harness, outcome);
         // Start capacity 0.2 rising to 0.33 in the time, multiple 3: at most half of what makes it
         // collapse, even if warm backends are at their full capacity.
         assert!(cold > 0.0 && cold <= warm * 0.5 * 3.0 * 0.34, "known {known} {outcome:?}: {cold} {warm}");
@@ -234,13 +235,13 @@
     let (mut cold, mut warm) = (0.0, 0.0);
     for _ in 0..4 {
         let mut harness = BalancerHarness::without_origin(4);
-        flood(&mut harness, Outcome::Ok);
+        send_steady_traffic(&mut harness, Outcome::Ok);
         let started = harness.now;
         harness.event(Event::EndpointList {
             form: ListForm::Delta,
-            endpoints: vec![EndpointInfo { started: time(started), ..endpoint(9) }],
+            endpoints: vec![EndpointInfo { started_at: time(started), ..endpoint(9) }],
         });
-        let (to_cold, to_warm) = flood(&mut harness, Outcome::Ok);
+        let (to_cold, to_warm) = send_steady_traffic(&mut harness, Outcome::Ok);
         cold += to_cold;
         warm += to_warm;
     }
@@ -251,7 +252,7 @@
 fn a_cold_backend_gets_little_from_a_proxy_that_knows_no_load_yet() {
     let mut harness = BalancerHarness::without_origin(0);
     let started = harness.now;
-    let cold = |id| EndpointInfo { started: time(started), ..endpoint(id) };
+    let cold = |id| EndpointInfo { started_at: time(started), ..endpoint(id) };
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: (1..=3).map(cold).collect() });
     let burst: usize = (1..50).map(|id| sends(&harness.request(read(id, id))).len()).sum();
     // Half of multiple 3 times start capacity 0.2 of the keys, wherever else they are rejected.
@@ -264,7 +265,7 @@
     let started = harness.now;
     harness.event(Event::EndpointList {
         form: ListForm::Delta,
-        endpoints: vec![EndpointInfo { started: time(started), ..endpoint(9) }],
+        endpoints: vec![EndpointInfo { started_at: time(started), ..endpoint(9) }],
     });
     let (mut from_cold, mut all) = (0, 0);
     for id in 1..600 {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -61,8 +61,8 @@
                 kind: 2,
                 cell: 4,
                 state: EndpointState::Draining,
-                size: 1.5,
-                started: Timestamp::from_ms(6100.0),
+                weight: 1.5,
+                started_at: Timestamp::from_ms(6100.0),
             }],
         }),
         Message::Event(Event::Request(Request {
@@ -71,9 +71,9 @@
             tenant: 1,
             key: Key(0xaa),
             budget: TimeSpan::from_ms(100.0),
-            hint: Some(TimeSpan::from_ms(12.0)),
-            repeat: false,
-            write: true,
+            work_hint: Some(TimeSpan::from_ms(12.0)),
+            is_repeat: false,
+            is_write: true,
         })),
         Message::Event(Event::StreamBegan(RequestId(17))),
         Message::Event(Event::AttemptEnd(AttemptEnd {
@@ -81,14 +81,14 @@
             attempt: 1,
             backend: BackendId(9),
             latency: TimeSpan::from_ms(18.0),
-            last: false,
+            is_request_finished: false,
             outcome: Outcome::Miss,
-            report: vec![1.0],
+            load_report: vec![1.0],
         })),
         Message::Event(Event::ClientGone(RequestId(17))),
         Message::Event(Event::Timer(0x4d)),
-        Message::Event(Event::Probed { backend: BackendId(9), answered: true, report: vec![] }),
-        Message::Event(Event::Peer { from: 2, payload: b"hi".to_vec() }),
+        Message::Event(Event::Probed { backend: BackendId(9), answered: true, load_report: vec![] }),
+        Message::Event(Event::PeerMessage { from: 2, payload: b"hi".to_vec() }),
         Message::Kill,
     ];
     assert_eq!(messages, expected);
@@ -132,20 +132,20 @@
 
 #[test]
 fn malformed_frames_are_named_with_their_offset() {
-    let says = |bytes: &[u8]| decode(bytes).unwrap_err().to_string();
-    assert_eq!(says(&[1, 2, 3]), "input ends inside the batch header at offset 0");
-    assert_eq!(says(&frame(0.0, 1, &hex("63 00000001"))), "unknown record code 99 at offset 16");
-    assert_eq!(says(&frame(0.0, 1, &hex("07 00000001 0000"))), "input ends inside Alarm at offset 21");
-    assert_eq!(says(&frame(0.0, 0, &[7])), "1 bytes left behind the last record at offset 16");
+    let error_text = |bytes: &[u8]| decode(bytes).unwrap_err().to_string();
+    assert_eq!(error_text(&[1, 2, 3]), "input ends inside the batch header at offset 0");
+    assert_eq!(error_text(&frame(0.0, 1, &hex("63 00000001"))), "unknown record code 99 at offset 16");
+    assert_eq!(error_text(&frame(0.0, 1, &hex("07 00000001 0000"))), "input ends inside Alarm at offset 21");
+    assert_eq!(error_text(&frame(0.0, 0, &[7])), "1 bytes left behind the last record at offset 16");
     let mut huge = frame(0.0, 0, &[]);
     huge[8] = 0xff;
-    assert!(says(&huge).starts_with("impossible length"));
+    assert!(error_text(&huge).starts_with("impossible length"));
     let mut short = frame(0.0, 1, &hex("0a 00000003"));
     short.pop();
-    assert_eq!(says(&short), "input ends inside a batch at offset 20");
+    assert_eq!(error_text(&short), "input ends inside a batch at offset 20");
     // A count far beyond the data must not reserve memory for it.
     let list = hex("02 00000003 01 00000007 ffffffff");
-    assert_eq!(says(&frame(0.0, 1, &list)), "input ends inside a list entry at offset 30");
+    assert_eq!(error_text(&frame(0.0, 1, &list)), "input ends inside a list entry at offset 30");
 }
 
 #[test]
