--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -1,5 +1,5 @@
-//! Accepts connections within the capacity of descriptors for clients. Read
-//! [`ClientService::accept_until_stopped`].
+//! Accepts client connections while the descriptor budget allows more. Read
+//! [`ClientService::accept_until_stopped`] first.
 
 use super::connection::Connection;
 use super::registry::{ConnectionHandle, ConnectionRegistry};
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The interval of attempts to accept while that fails or the capacity is exhausted.
+/// The interval between attempts to accept while accepting fails or the capacity is exhausted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Whether one more client connection can be accepted.
@@ -35,7 +35,7 @@
                 }
                 Ok(None) => return,
                 Err(error) => {
-                    log_fault(&format!("accept: {error}"));
+                    log_fault(&format!("accepting a client connection failed, retrying: {error}"));
                     sleep(ACCEPT_RETRY_INTERVAL);
                 }
             }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Updates the limit of connections.
+    /// Updates the limit of client connections; returns whether one more can be accepted.
     ///
     /// Decides: whether one more client connection can be accepted.
     /// Inputs: the open client connections, and the descriptor budget.
@@ -69,13 +69,13 @@
         })
     }
 
-    /// Orders connections to close to make room for others.
+    /// Orders connections to close, to make room for new ones.
     fn evict_connections(&self) {
         let now = self.descriptors.now();
         self.issue_close_orders(|registry| registry.make_room(now));
     }
 
-    /// Passes close orders to their connections, with the registry's lock released.
+    /// Passes the close orders of `decide` to their connections, after the registry is unlocked.
     pub(super) fn issue_close_orders(&self, decide: impl FnOnce(&mut ConnectionRegistry) -> Vec<CloseOrder>) {
         let orders: Vec<(CloseOrder, Arc<ConnectionHandle>)> = self.with_registry(|registry| {
             let orders = decide(registry);
@@ -86,10 +86,10 @@
         }
     }
 
-    /// Serves a connection, which may have been in the accept queue for `queue_time`. Its coroutine
-    /// ends with the connection.
+    /// Registers a connection and serves it on a coroutine of its own, which ends with the
+    /// connection. `queue_time` is how long the connection may have been in the accept queue.
     fn serve_connection(self: &Arc<Self>, id: ConnectionId, stream: Stream, queue_time: Duration) {
-        // If the client has disconnected, the first read notices it.
+        // An error means that the client has disconnected, which the first read reports.
         let _ = stream.inner().set_nodelay(true);
         let now = self.descriptors.now();
         let handle = Arc::new(ConnectionHandle::new(stream.waker(), now));
--- a/src/net/client/connection/close.rs
+++ b/src/net/client/connection/close.rs
@@ -1,26 +1,26 @@
-//! The end of a client connection: close orders, and the states up to the close. Read
-//! [`Connection::advance`] first.
+//! Closes client connections: applies close orders, and moves a connection through the states that
+//! precede its close. Read [`Connection::advance`] first.
 
 use super::{Activity, Connection, State};
 use crate::net::request_log::CloseReason;
 use pinetrail_connection_limits::{Phase, Reason, Timestamp};
 use std::net::Shutdown;
 
-/// Whether a connection continues.
+/// Whether a connection continues after a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
     /// The connection is still open.
     Continues,
-    /// The connection is finished and is closed.
+    /// The connection has ended and is to be closed.
     Finished,
 }
 
 impl Connection<'_> {
-    /// Applies a close order, and enters the next state if it is due.
+    /// Applies a close order if there is one, and enters the next state if that is due.
     ///
-    /// Note: a close with unread bytes resets the connection, and the last response may be lost
-    /// with it. The end of the sending direction is sent first, and what still arrives is discarded
-    /// until the client has closed the connection too.
+    /// Note: closing a socket with unread input resets the connection, and the reset may discard
+    /// the last response. Therefore the sending direction is shut down first, and input is
+    /// discarded until the client has closed the connection too.
     pub(super) fn advance(&mut self) -> Progress {
         if let Some(reason) = self.handle.close_reason(self.reported.seq) {
             if self.apply_close_order(reason) == Progress::Finished {
@@ -48,8 +48,8 @@
     ///
     /// Decides: whether a connection closes at once, closes after an error response, or stays open.
     /// Inputs: the reason of the order, the connection's phase and state, and its unread input.
-    /// Reason: a command that arrives while its connection is closed would be lost by a reset, so
-    /// unread input is read first.
+    /// Reason: a reset would lose a command that arrives during the close, so unread input is read
+    /// first.
     /// Source: docs/connection-limits.md.
     fn apply_close_order(&mut self, reason: Reason) -> Progress {
         let is_open = self.state == State::Open;
@@ -58,14 +58,14 @@
             Phase::PartialFirstCommand | Phase::PartialCommand if is_open => {
                 self.count_close(reason);
                 self.respond_malformed("CLIENT_ERROR no whole command in time");
-                // Output that the socket does not take now is not waited for.
+                // The close does not wait for output that the socket does not take now.
                 let _ = self.write();
                 self.state = State::Finishing;
             }
             Phase::CommandOpen => {}
-            // The connection has a command that is not read yet.
+            // The unread input may contain a command, so it is read before the close.
             Phase::Silent | Phase::Idle if is_open && self.has_unread_input() => {}
-            // The descriptor is not needed, so the connection ends without a reset.
+            // No other connection needs the descriptor, so this one is closed without a reset.
             Phase::Silent | Phase::Idle if is_open && reason == Reason::Overdue => {
                 self.count_close(reason);
                 self.state = State::Finishing;
@@ -78,7 +78,7 @@
         Progress::Continues
     }
 
-    /// Counts a close order, and records its reason for the log.
+    /// Counts a close order, and records its reason for the request log.
     fn count_close(&mut self, reason: Reason) {
         self.service.count_close(reason);
         self.close_reason = Some(match reason {
@@ -89,13 +89,14 @@
         });
     }
 
-    /// Whether clients are directed to other proxies, and this one is due to disconnect.
+    /// Returns whether the connection is due to close because clients are directed to other
+    /// proxies.
     ///
-    /// Decides: whether the connection closes now if it is idle. It does after a response, or at
-    /// its time in the schedule. For a while a partial command keeps it open.
+    /// Decides: whether the connection closes now if it is idle: after a response since the
+    /// schedule began, or at its time in the schedule. A partial command keeps it open for a while.
     /// Inputs: the schedule, the time since it began, the arrival of the connection and its last
     /// response, in ms of the connection table's clock, and its unexecuted input.
-    /// Reason: the rest of a command that arrives during a close would be lost by a reset.
+    /// Reason: a reset would lose the rest of a command that arrives during a close.
     /// Source: docs/daily-operation.md.
     fn is_due_to_disconnect(&self) -> bool {
         let Some(disconnecting) = self.service.disconnecting() else { return false };
@@ -109,7 +110,7 @@
         has_responded_since || disconnecting.is_due(self.id, self.handle.arrived, now)
     }
 
-    /// Whether the connection is to close, for any reason.
+    /// Returns whether the connection is to close, for any reason.
     pub(super) fn must_close(&self) -> bool {
         self.service.closes_when_idle()
             || self.is_due_to_disconnect()
--- a/src/net/client/connection/commands.rs
+++ b/src/net/client/connection/commands.rs
@@ -1,5 +1,5 @@
-//! Executes the commands of a client, and appends their responses. Read [`Connection::execute`]
-//! first.
+//! Executes the commands of a client connection, and queues their responses. Read
+//! [`Connection::execute`] first.
 
 use super::submit::Rejection;
 use super::{Connection, EncodedResponse, PendingCommand, ResponseSlot, State, REQUEST_OVERHEAD_BYTES};
@@ -18,14 +18,14 @@
 /// The result of executing a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Execution {
-    /// It was executed, and its response is pending.
+    /// The command was executed, and its response is pending.
     Done,
-    /// There is no memory for it now, so it must be executed again later.
+    /// There is no memory for the command now, so it must be executed again later.
     NoMemory,
 }
 
 impl Connection<'_> {
-    /// Executes a command.
+    /// Executes a command, or leaves it for later while there is no memory for it.
     pub(super) fn execute(&mut self, command: Command) -> Execution {
         match command {
             Command::Noop => self.respond_to_noop(),
@@ -39,7 +39,8 @@
         Execution::Done
     }
 
-    /// Responds to `mn`, the clients' health check of the proxy.
+    /// Responds to `mn`, the clients' health check of the proxy: with an error while the proxy is
+    /// out of service or fenced.
     fn respond_to_noop(&mut self) {
         let is_out_of_service = self.service.disconnecting().is_some() || self.service.dispatcher.is_fenced();
         let text = if is_out_of_service { "SERVER_ERROR out of service\r\n" } else { "MN\r\n" };
@@ -78,7 +79,8 @@
         Execution::Done
     }
 
-    /// Submits a request. Its response is stored in a slot, and wakes the connection to write it.
+    /// Submits a request. Its callback stores the response in a slot, and wakes the connection to
+    /// write it.
     fn submit_request(&mut self, request: ClientRequest, memory: MemoryReservation) {
         let slot = ResponseSlot::default();
         let respond = self.response_callback(&request, Arc::clone(&slot));
@@ -95,7 +97,8 @@
         }
     }
 
-    /// The callback that encodes a response and stores it in the slot.
+    /// Returns the callback that encodes a response, stores it in the slot and wakes the
+    /// connection.
     ///
     /// Note: a response after the client's deadline is counted and logged as a fault.
     fn response_callback(&self, request: &ClientRequest, slot: ResponseSlot) -> ResponseCallback {
@@ -107,7 +110,7 @@
             if let Some(late) = Instant::now().checked_duration_since(deadline) {
                 counters.responses_late.increment();
                 log_fault(&format!(
-                    "the response to {opaque} comes {} ms after its deadline",
+                    "the response to request {opaque} is {} ms past the client's deadline",
                     late.as_millis()
                 ));
             }
@@ -121,7 +124,7 @@
         })
     }
 
-    /// Responds to a malformed command with an error.
+    /// Counts a malformed command, and responds with the error.
     pub(super) fn respond_malformed(&mut self, error: impl Display) {
         self.service.counters.commands_malformed.increment();
         self.had_errors = true;
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Appends an immediate response.
+    /// Queues a response that is available at once.
     fn respond(&mut self, text: String) {
         let response = EncodedResponse { bytes: text.into_bytes(), body: None };
         self.pending.push_back(PendingCommand {
--- a/src/net/client/connection/input.rs
+++ b/src/net/client/connection/input.rs
@@ -1,5 +1,5 @@
-//! The input of a client connection: reads commands and executes them in their order, until a limit
-//! is reached or the client disconnects. Read [`Connection::read`] first, then
+//! Reads the input of a client connection, and executes its commands in order until a limit is
+//! reached or the client disconnects. Read [`Connection::read`] first, then
 //! [`Connection::execute_input`].
 
 use super::commands::Execution;
@@ -10,22 +10,22 @@
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant};
 
-/// How much input is discarded after the end of a connection was announced.
+/// The maximum number of bytes that are discarded after the sending direction was shut down.
 ///
-/// Note: a connection that closes with unread input is reset, and its last response may be lost
-/// with it.
+/// Note: closing a socket with unread input resets the connection, and the reset may discard the
+/// last response.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// The most that is subtracted from a deadline for the time in the accept queue. The time of a
-/// single connection is unknown while many keep the queue from getting empty.
+/// The most time in the accept queue that is subtracted from a request's budget. How long a single
+/// connection was in the queue is unknown while others keep the queue from becoming empty.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(250);
 
 impl Connection<'_> {
-    /// Fails if the client has disconnected.
+    /// Returns an error if the client has disconnected.
     ///
     /// Note: while reading pauses, the end of the stream stays unread, and after a pause much input
-    /// may precede it. Requests of such a client must not be forwarded, so its end is checked
-    /// without reading.
+    /// may precede it. Requests of a disconnected client must not be forwarded, so the end of the
+    /// stream is detected without reading.
     pub(super) fn check_client_present(&self) -> io::Result<()> {
         if has_hung_up(self.stream.inner()) {
             Err(ErrorKind::UnexpectedEof.into())
@@ -34,17 +34,17 @@
         }
     }
 
-    /// Whether the socket has unread input.
+    /// Returns whether the socket has unread input.
     pub(super) fn has_unread_input(&self) -> bool {
         self.stream.inner().peek(&mut [0]).is_ok_and(|count| count > 0)
     }
 
     /// Reads the input that is available; returns whether there may be more.
     ///
-    /// Invariant: it reads nothing while commands wait for execution. Otherwise the input of a
-    /// pipeline of small commands would be stored without a limit.
+    /// Invariant: nothing is read while commands wait for execution. Otherwise the input of a
+    /// pipeline of small commands would be buffered without a limit.
     pub(super) fn read(&mut self) -> io::Result<bool> {
-        // Commands that waited for earlier responses have their whole budget from now on.
+        // The budget of commands that waited for earlier responses starts now.
         self.unread_time = Duration::ZERO;
         if self.is_reading_paused() {
             self.check_client_present()?;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Executes the complete commands that were read, as far as limits allow more responses.
+    /// Executes the complete commands in the input buffer, as far as limits allow more responses.
     pub(super) fn execute_input(&mut self) {
         let used = self.execute_complete_commands();
         self.input.drain(..used);
@@ -94,7 +94,7 @@
             self.input = Vec::new();
         }
         if self.input.is_empty() {
-            // Many connections stay open, so none keeps the allocation of a large value.
+            // Many connections are open at a time, so none keeps the allocation of a large value.
             if self.input.capacity() > REQUEST_OVERHEAD_BYTES {
                 self.input = Vec::new();
             }
@@ -111,7 +111,8 @@
             match memcache::parse_command(&self.input[used..]) {
                 Err(Unparsed::Incomplete) => break,
                 Ok(Parsed { message: command, length }) => {
-                    // A pipeline waits while memory is short, since its own responses free some.
+                    // A pipeline waits while memory is short, since its own responses will free
+                    // some.
                     self.waits_for_memory = self.execute(command) == Execution::NoMemory;
                     if self.waits_for_memory {
                         break;
--- a/src/net/client/connection/mod.rs
+++ b/src/net/client/connection/mod.rs
@@ -32,15 +32,15 @@
 const MAX_PENDING_COMMANDS: usize = 64;
 /// The size of unwritten responses at which reading pauses.
 const MAX_OUTPUT_BYTES: usize = MAX_VALUE_BYTES;
-/// The memory of a request beside the values of its command and its response.
+/// The memory of a request in addition to the values of its command and its response.
 const REQUEST_OVERHEAD_BYTES: usize = 4 * 1024;
-/// The number of rounds before a connection yields, so that a client which sends continuously does
-/// not occupy the worker.
+/// The number of rounds of reading and writing before a connection yields, so that a client which
+/// sends continuously does not occupy the worker.
 const ROUNDS_PER_TURN: usize = 8;
-/// How long a connection yields to others.
+/// How long a connection sleeps to yield to others.
 const YIELD_TIME: Duration = Duration::from_millis(1);
-/// How long a connection pauses after malformed commands, so that resending them at once gains
-/// nothing.
+/// How long a connection pauses after malformed commands, which limits the rate at which a client
+/// can resend them.
 const PAUSE_AFTER_ERRORS: Duration = Duration::from_millis(20);
 
 /// A response in the client's protocol.
@@ -68,7 +68,7 @@
 enum State {
     /// Commands are read and executed.
     Open,
-    /// No more commands are executed; open ones still get their responses.
+    /// No more commands are executed; pending ones still get their responses.
     Finishing,
     /// All responses are written, and the sending direction is closed. Further input is discarded.
     Lingering,
@@ -77,11 +77,11 @@
 /// The input that the client has sent so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Received {
-    /// Nothing.
+    /// The client has sent nothing.
     Nothing,
-    /// Something, but no complete command.
+    /// The client has sent input, but no complete command.
     PartialCommand,
-    /// At least one complete command.
+    /// The client has sent at least one complete command.
     CompleteCommand,
 }
 
@@ -128,21 +128,23 @@
     has_unexecuted_input: bool,
     /// Whether a command was malformed since the last pause.
     had_errors: bool,
-    /// How many bytes were discarded while lingering.
+    /// The number of bytes that were discarded while lingering.
     discarded_bytes: usize,
     /// The bytes to write next.
     output: Vec<u8>,
     /// The streamed value of the first pending command.
     body: Option<BodyReceiver>,
-    /// Whether the streamed value broke off. The connection ends once `output` is written.
+    /// Whether the streamed value ended before it was complete. The connection ends once `output`
+    /// is written.
     body_broken: bool,
     /// The memory that is reserved for the responses in `output`.
     output_memory: Vec<MemoryReservation>,
     /// Commands without a written response, in their order.
     pending: VecDeque<PendingCommand>,
-    /// When the last response was written, by the clock of the connection table; its start before.
+    /// When the last response was written, by the clock of the connection table; zero before the
+    /// first.
     last_response_at: Timestamp,
-    /// Why it ends, for the log.
+    /// Why the connection ends, for the request log.
     close_reason: Option<CloseReason>,
 }
 
@@ -182,7 +184,8 @@
         }
     }
 
-    /// Records that the client has disconnected, or that its response cannot be completed.
+    /// Records that the connection closes because the client has disconnected, or because a
+    /// response cannot be completed.
     pub(super) fn record_disconnect(&mut self) {
         let reason = if self.body_broken { CloseReason::BodyBroken } else { CloseReason::ClientGone };
         self.close_reason.get_or_insert(reason);
@@ -192,7 +195,7 @@
     ///
     /// # Errors
     ///
-    /// If the client has disconnected, or a streamed value broke off.
+    /// If the client has disconnected, or a streamed value ended before it was complete.
     pub(super) fn serve(&mut self) -> io::Result<()> {
         loop {
             if self.serve_without_waiting()? == Progress::Finished {
@@ -202,14 +205,15 @@
             if self.advance() == Progress::Finished {
                 return Ok(());
             }
-            // The poller does not report input again that arrived before a change of state.
+            // After a change of state the connection is served again before the wait: the poller
+            // does not report earlier input a second time.
             if self.state == before {
                 self.stream.wait_io();
             }
         }
     }
 
-    /// Reads, executes and writes until it would have to wait for the socket.
+    /// Reads, executes and writes until the connection would have to wait for the socket.
     fn serve_without_waiting(&mut self) -> io::Result<Progress> {
         let mut rounds = 0;
         loop {
@@ -218,7 +222,8 @@
             self.execute_input();
             let has_written = self.write()?;
             let activity = if has_written || may_have_more { Activity::Transferred } else { Activity::None };
-            // The poller does not report input again that a limit left unread.
+            // The poller does not report input a second time, so input that a limit left unread is
+            // read as soon as the limit allows it.
             let is_full = self.is_full() || (self.waits_for_memory && !self.is_idle());
             let may_read_again = was_full && !is_full;
             rounds += 1;
@@ -232,7 +237,8 @@
                 sleep(YIELD_TIME);
                 self.check_client_present()?;
             }
-            // Without this, a client that sends continuously would never be closed.
+            // Without this check, the connection of a client that sends continuously would never be
+            // closed.
             self.report_phase(activity);
             if self.must_close() && self.advance() == Progress::Finished {
                 return Ok(Progress::Finished);
@@ -262,12 +268,12 @@
         }
     }
 
-    /// Whether every command has its response written.
+    /// Returns whether the responses to all commands are written.
     fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.output.is_empty()
     }
 
-    /// Whether reading pauses until responses have been written.
+    /// Returns whether reading pauses until responses have been written.
     ///
     /// Decides: whether more commands may be read and executed.
     /// Inputs: the number of pending commands, the size of unwritten responses in bytes, and the
@@ -281,8 +287,8 @@
             || (!self.pending.is_empty() && self.is_reading_stopped())
     }
 
-    /// Whether clients have been directed to other proxies for so long that reading stops while
-    /// commands are open.
+    /// Returns whether clients have been directed to other proxies for so long that reading stops
+    /// while commands are open.
     fn is_reading_stopped(&self) -> bool {
         let Some(disconnecting) = self.service.disconnecting() else { return false };
         let elapsed = disconnecting.elapsed(self.service.descriptors.now());
--- a/src/net/client/connection/output.rs
+++ b/src/net/client/connection/output.rs
@@ -1,4 +1,4 @@
-//! The output of a client connection: writes responses in the order of their commands. Read
+//! Writes the responses of a client connection in the order of their commands. Read
 //! [`Connection::write`] first.
 
 use super::{Connection, EncodedResponse, REQUEST_OVERHEAD_BYTES};
@@ -7,14 +7,14 @@
 use std::io::{self, ErrorKind, Write};
 use std::sync::{Arc, PoisonError};
 
-/// How far the output was written.
+/// How much of the output was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Flush {
-    /// All of it.
+    /// The whole output was written.
     Complete,
-    /// A part, until the socket's buffer was full.
+    /// A part of the output was written before the socket's buffer was full.
     Partial,
-    /// Nothing: the socket's buffer was full.
+    /// Nothing was written, because the socket's buffer was full.
     Blocked,
 }
 
@@ -34,7 +34,8 @@
                 Flush::Blocked => return Ok(has_written),
             }
         }
-        // The rest of the value never arrives, and only the end of the connection can signal that.
+        // The rest of the value will never arrive, and only closing the connection can signal that
+        // to the client.
         if self.body_broken {
             return Err(ErrorKind::ConnectionAborted.into());
         }
@@ -66,8 +67,8 @@
         Ok(Flush::Complete)
     }
 
-    /// Fills `output` with a window of the streamed value, or else with the available responses up
-    /// to the next streamed value.
+    /// Fills `output` up to the window size with the streamed value, or else with the available
+    /// responses up to the next streamed value.
     fn fill_output(&mut self) {
         while self.output.len() < WINDOW_BYTES && !self.body_broken {
             let has_more = if self.body.is_some() { self.take_piece() } else { self.take_response() };
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Takes the next piece of the streamed value; returns whether there may be more to take.
+    /// Moves the next piece of the streamed value to `output`; returns whether more may be
+    /// available.
     fn take_piece(&mut self) -> bool {
         let Some(body) = &self.body else { return true };
         match body.receive() {
@@ -93,7 +95,8 @@
         true
     }
 
-    /// Takes the response to the first pending command; returns whether it was available.
+    /// Moves the response to the first pending command to `output`; returns whether it was
+    /// available.
     fn take_response(&mut self) -> bool {
         let Some(first) = self.pending.front() else { return false };
         let response = first.response.lock().unwrap_or_else(PoisonError::into_inner).take();
--- a/src/net/client/connection/submit.rs
+++ b/src/net/client/connection/submit.rs
@@ -1,5 +1,6 @@
-//! Submits requests to the dispatcher while settings and the fleet's policy change. Read
-//! [`Connection::submit`] first.
+//! Submits requests to the dispatcher. A request is parsed again after a change of the settings,
+//! and waits while a change of the fleet's policy is being decided. Read [`Connection::submit`]
+//! first.
 
 use super::Connection;
 use crate::interface::RequestId;
@@ -19,24 +20,24 @@
 /// Why a request is not accepted.
 #[derive(Debug)]
 pub(super) enum Rejection {
-    /// It is malformed.
+    /// The request is malformed.
     Malformed(RequestError),
-    /// This process may not admit requests now.
+    /// This process is fenced, so it may not admit requests now.
     Fenced {
         /// How long the client should wait before it sends the request again.
         retry_after: Duration,
     },
-    /// Its client has disconnected.
+    /// The client has disconnected.
     ClientDisconnected,
 }
 
 impl Connection<'_> {
-    /// Parses a command.
+    /// Parses a command by the names of the active policy.
     ///
     /// Decides: whether a command is parsed, malformed or fenced.
     /// Inputs: the labels of the command, the version of the names, and the admission lease.
-    /// Reason: the active policy defines which commands are malformed, so such a response needs an
-    /// active policy too.
+    /// Reason: the active policy defines which commands are malformed, so a response that rejects a
+    /// malformed command needs an active policy too.
     /// Source: docs/policy-design.md.
     pub(super) fn parse_by_active_policy(&self, command: RequestCommand) -> Result<ClientRequest, Rejection> {
         let dispatcher = &self.service.dispatcher;
@@ -63,13 +64,14 @@
         Arc::clone(&self.presence)
     }
 
-    /// Waits one interval for the policy change that is being decided.
+    /// Waits one interval for the policy change that is being decided. Fails if the client has
+    /// disconnected by then.
     fn wait_for_policy(&self) -> Result<(), Rejection> {
         sleep(POLICY_POLL_INTERVAL);
         self.check_client_present().map_err(|_| Rejection::ClientDisconnected)
     }
 
-    /// Submits a request. It is parsed again whenever other settings become active first.
+    /// Submits a request. If other settings become active first, the request is parsed again.
     pub(super) fn submit(
         &self,
         mut request: ClientRequest,
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Waits for the policy with a request, whose budget decreases by the wait.
+    /// Waits one interval for the policy change, and subtracts the wait from the request's budget.
     fn wait_for_policy_with(&self, mut request: ClientRequest) -> Result<ClientRequest, Rejection> {
         let started = Instant::now();
         self.wait_for_policy()?;
@@ -100,8 +102,8 @@
         Ok(request)
     }
 
-    /// Parses a request by the settings that are active now. Its budget does not increase, since it
-    /// may have waited.
+    /// Parses a request by the settings that are active now. The budget does not increase, since
+    /// the request may have waited.
     fn parse_again(&self, outdated: ClientRequest) -> Result<ClientRequest, Rejection> {
         let ClientRequest { key, opaque, labels, value, budget, .. } = outdated;
         let mut request = self.parse_by_active_policy(RequestCommand { key, opaque, labels, value })?;
--- a/src/net/client/disconnecting.rs
+++ b/src/net/client/disconnecting.rs
@@ -1,26 +1,28 @@
-//! Which connections are due to close while clients are directed to other proxies. Read
-//! [`Disconnecting`].
+//! Decides which connections are due to close while clients are directed to other proxies. Read
+//! [`Disconnecting`] first.
 
 use crate::net::drain::DisconnectSchedule;
 use pinetrail_connection_limits::{ConnectionId, Timestamp};
 use std::time::Duration;
 
-/// The state while clients are directed to other proxies. Times are of the connection table's
-/// clock.
+/// The schedule that is in force while clients are directed to other proxies. Times are by the
+/// connection table's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Disconnecting {
-    /// When it began.
+    /// When the schedule began.
     pub started_at: Timestamp,
-    /// When each connection is closed.
+    /// The times at which connections are closed, counted from `started_at`.
     pub schedule: DisconnectSchedule,
 }
 
 impl Disconnecting {
-    /// The time since it began.
+    /// Returns the time since the schedule began.
     pub(super) fn elapsed(&self, now: Timestamp) -> Duration {
         now.saturating_duration_since(self.started_at)
     }
 
+    /// Returns whether a connection is due to close.
+    ///
     /// Decides: whether a connection closes now if it is idle.
     /// Inputs: its id, its arrival and the present moment, by the connection table's clock (ms).
     /// Reason: closes are spread over time, so that not all clients reconnect elsewhere at once.
--- a/src/net/client/encode.rs
+++ b/src/net/client/encode.rs
@@ -1,10 +1,10 @@
-//! Responses in the clients' protocol: [`encode_response`].
+//! Encodes responses in the clients' protocol: [`encode_response`].
 
 use crate::net::dispatcher::{Payload, Response};
 use pinetrail_codec::memcache::{self, ClientResponse};
 
-/// Encodes a response to the request with this opaque id; of a value that streams, only what
-/// precedes the value.
+/// Encodes the response to the request with this opaque id. Of a streamed value, only the part that
+/// precedes the value is encoded.
 pub(super) fn encode_response(opaque: &str, response: &Response) -> Vec<u8> {
     let response = match response {
         Response::Complete(Payload::Value(value)) => ClientResponse::Value(value),
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -2,9 +2,9 @@
 //! the order of each connection's commands. Read [`ClientService`] first, then
 //! `connection::Connection`: one coroutine per connection both reads and writes.
 //!
-//! `accept` accepts, `registry` has the open connections and passes on the close orders of
-//! [`pinetrail_connection_limits::ConnectionTable`], `disconnecting` closes connections by a
-//! schedule while clients are directed to other proxies.
+//! `accept` accepts connections, `registry` keeps the open ones and passes on the close orders of
+//! [`pinetrail_connection_limits::ConnectionTable`], `disconnecting` decides which connections are
+//! due to close while clients are directed to other proxies.
 
 mod accept;
 mod connection;
@@ -33,10 +33,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How often the limits of connections and the guard of requests are checked.
+/// The interval between checks of the connection limits and of overdue requests.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A hold-up of at least this length is counted and logged.
+/// The shortest hold-up that is counted and logged.
 const MIN_REPORTED_HOLD_UP: Duration = Duration::from_millis(50);
 
 /// The parameters of a new [`ClientService`].
@@ -53,30 +53,31 @@
     pub socket: TcpListener,
 }
 
-/// The clients of one proxy.
+/// Accepts and serves the client connections of one proxy.
 pub struct ClientService {
     dispatcher: Arc<Dispatcher>,
     counters: Arc<Counters>,
     memory: Arc<MemoryBudget>,
     descriptors: Arc<Descriptors>,
     hold_up_monitor: HoldUpMonitor,
-    /// Guards the listener only; none once the service has stopped listening.
+    /// The listener; `None` once the service has stopped listening. The lock guards only this
+    /// value.
     listener: Mutex<Option<Arc<Listener>>>,
     address: SocketAddr,
-    /// Guards the open connections.
+    /// The open connections.
     ///
     /// Invariant: no coroutine waits while it holds this lock.
     registry: Mutex<ConnectionRegistry>,
     /// Whether connections close as soon as they are idle.
     closes_when_idle: AtomicBool,
-    /// Guards the schedule only; none unless clients are directed to other proxies.
+    /// The schedule by which clients are directed to other proxies, if they are.
     ///
     /// Invariant: no other lock is taken while this one is held.
     disconnecting: Mutex<Option<Disconnecting>>,
 }
 
 impl ClientService {
-    /// Accepts on a listening socket, and holds as many connections as the descriptors allow. The
+    /// Starts to accept connections on a listening socket, as many as the descriptors allow. The
     /// coroutine that accepts ends once the service has stopped listening; the one that checks
     /// limits runs until the process ends.
     ///
@@ -107,7 +108,8 @@
             let late = checker.hold_up_monitor.tick(Instant::now());
             checker.report_hold_up(late);
             checker.check_limits();
-            // After a hold-up the timers of requests are still about to run.
+            // After a hold-up the timers of requests are late but not lost, so none is expired
+            // here.
             if late < TIMER_LATENCY {
                 checker.dispatcher.expire_requests();
             }
@@ -115,8 +117,8 @@
         Ok(service)
     }
 
-    /// Stops listening, after the connections that are in the queue. Open connections are still
-    /// served.
+    /// Stops listening after the connections in the accept queue are accepted. Open connections are
+    /// still served.
     pub fn stop_listening(&self) {
         // The socket is closed once the accepting coroutine has ended too.
         if let Some(listener) = self.take_listener() {
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Stops listening immediately and leaves the queue to the other process that holds the socket.
-    /// Open connections are still served.
+    /// Stops listening immediately, and leaves the accept queue to the other process that holds the
+    /// socket. Open connections are still served.
     pub fn release_listener(&self) {
         if let Some(listener) = self.take_listener() {
             listener.release();
@@ -146,7 +148,7 @@
         }
     }
 
-    /// The listener, until the service stops listening.
+    /// Returns the listener; `None` once the service has stopped listening.
     pub fn listener(&self) -> Option<Arc<Listener>> {
         self.listener.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -156,7 +158,7 @@
     }
 
     /// Starts to direct clients to other proxies: the response to `mn` is an error, and connections
-    /// are closed by this schedule. A schedule that has begun continues.
+    /// are closed by this schedule. A schedule that is in force already continues.
     pub fn start_disconnecting(&self, schedule: DisconnectSchedule) {
         let started_at = self.descriptors.now();
         self.disconnecting_guard().get_or_insert(Disconnecting { started_at, schedule });
@@ -178,12 +180,12 @@
         self.with_registry(|registry| registry.wake_all());
     }
 
-    /// The address it listens on.
+    /// Returns the address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.with_registry(|registry| registry.open_connections())
     }
@@ -218,7 +220,7 @@
         });
     }
 
-    /// The schedule by which clients are directed to other proxies, if they are.
+    /// Returns the schedule by which clients are directed to other proxies, if they are.
     fn disconnecting(&self) -> Option<Disconnecting> {
         *self.disconnecting_guard()
     }
--- a/src/net/client/presence.rs
+++ b/src/net/client/presence.rs
@@ -1,12 +1,13 @@
-//! Whether a client is still connected, checked at the moment at which an attempt is written for
-//! it: [`SocketPresence`].
+//! Checks whether a client is still connected at the moment when an attempt is written for it:
+//! [`SocketPresence`].
 
 use crate::net::deadline_stream::has_hung_up;
 use crate::net::dispatcher::ClientPresence;
 use crate::net::listener::Stream;
 use std::sync::{Arc, Weak};
 
-/// The presence of the client of a connection. It does not keep the connection open.
+/// The connection state of a client, as its socket reports it. The weak reference does not keep the
+/// connection open.
 #[derive(Debug)]
 pub(super) struct SocketPresence(Weak<Stream>);
 
--- a/src/net/client/registry.rs
+++ b/src/net/client/registry.rs
@@ -1,5 +1,5 @@
-//! The registry of client connections: the open connections, how each is woken, and their close
-//! orders. Read [`ConnectionRegistry`] first, then [`ConnectionHandle`].
+//! Keeps the open client connections, the handles that wake them, and their close orders. Read
+//! [`ConnectionRegistry`] first, then [`ConnectionHandle`].
 
 use may::io::WaitIoWaker;
 use pinetrail_connection_limits::{
@@ -12,16 +12,16 @@
 /// The number of connections that are ordered to close at a time while the capacity is exhausted.
 const EVICTION_BATCH_SIZE: usize = 8;
 
-/// All client connections. Times are those of the clock of [`crate::net::descriptors`].
+/// All client connections. Times are by the clock of [`crate::net::descriptors`].
 pub(super) struct ConnectionRegistry {
     table: ConnectionTable,
     handles: BTreeMap<ConnectionId, Arc<ConnectionHandle>>,
 }
 
-/// The handle by which others wake a connection or order it to close.
+/// The handle by which other coroutines wake a connection or order it to close.
 pub(super) struct ConnectionHandle {
     waker: WaitIoWaker,
-    /// When it arrived.
+    /// When the connection arrived.
     pub arrived: Timestamp,
     /// The last close order as [`encode_order`] encodes it; 0 for none.
     order: AtomicU64,
@@ -43,7 +43,7 @@
         self.wake();
     }
 
-    /// The reason of the close order, if there is one for this phase.
+    /// Returns the reason of the close order, if there is one for this phase.
     pub(super) fn close_reason(&self, seq: Seq) -> Option<Reason> {
         let order = self.order.load(Ordering::Acquire);
         let reasons = [Reason::Overdue, Reason::UnlikelyToReturn, Reason::OverBudget, Reason::Evicted];
@@ -51,8 +51,8 @@
     }
 }
 
-/// Encodes a close order as one number, so that it is stored atomically: the phase's count, and the
-/// reason in the low byte, counted from 1.
+/// Encodes a close order as one number that can be stored atomically: the count of the phase, and
+/// the reason in the low byte, counted from 1.
 fn encode_order(seq: Seq, reason: Reason) -> u64 {
     const REASON_BITS: u32 = 8;
     u64::from(seq) << REASON_BITS | (reason as u64 + 1)
@@ -75,7 +75,7 @@
         self.table.stop_accepting();
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub(super) fn open_connections(&self) -> usize {
         self.table.open()
     }
@@ -100,17 +100,17 @@
         self.table.record_request(id);
     }
 
-    /// Close orders for connections that have been in their phase for too long.
+    /// Returns close orders for connections that have been in their phase for too long.
     pub(super) fn expired(&mut self, now: Timestamp) -> Vec<CloseOrder> {
         self.table.expired(now)
     }
 
-    /// Close orders that make room for others.
+    /// Returns close orders that make room for other connections.
     pub(super) fn make_room(&mut self, now: Timestamp) -> Vec<CloseOrder> {
         self.table.make_room(now, EVICTION_BATCH_SIZE)
     }
 
-    /// The handle of a connection, while it is open.
+    /// Returns the handle of a connection while it is open.
     pub(super) fn handle(&self, id: ConnectionId) -> Option<Arc<ConnectionHandle>> {
         self.handles.get(&id).cloned()
     }
--- a/src/net/client/request.rs
+++ b/src/net/client/request.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The longest budget of a request. A longer deadline of a client counts as this one.
+/// The longest budget of a request. A longer deadline of a client is reduced to it.
 const MAX_BUDGET: TimeSpan = TimeSpan::from_ms(60_000.0);
 
-// The labels of the protocol.
+// The labels of the clients' protocol.
 const CLASS_LABEL: &str = "c";
 const IDEMPOTENCY_KEY_LABEL: &str = "k";
 const TENANT_LABEL: &str = "t";
-/// Its value is in ms.
+/// The label of the client's deadline, in ms.
 const DEADLINE_LABEL: &str = "d";
-/// Its value is in microseconds.
+/// The label of the expected work, in microseconds.
 const HINT_LABEL: &str = "h";
 const REPEAT_LABEL: &str = "r";
 /// The value of [`REPEAT_LABEL`] that marks a repeat.
@@ -31,7 +31,7 @@
     /// The settings have no such class, or none is named.
     #[error("unknown class")]
     UnknownClass,
-    /// Without its key a backend cannot distinguish a repeat from a second write.
+    /// A keyed write has no key, so a backend could not distinguish a repeat from a second write.
     #[error("no key for a keyed write")]
     MissingKey,
     /// The settings have no such tenant.
@@ -43,7 +43,7 @@
     /// The hint is not a number of microseconds.
     #[error("bad hint")]
     BadHint,
-    /// Another open request has the id, so their responses would be indistinguishable.
+    /// Another open request has the same id, so their responses would be indistinguishable.
     #[error("the id is in use")]
     IdInUse,
 }
@@ -57,7 +57,7 @@
 ///
 /// # Errors
 ///
-/// Why the command is malformed.
+/// If the command is malformed; the error says why.
 pub(super) fn parse_request(
     dispatcher: &Dispatcher,
     client: Arc<dyn ClientPresence>,
@@ -94,7 +94,8 @@
         class,
         tenant,
         version: names.version,
-        // Timers last as long as the budget, so an unlimited one would accumulate them.
+        // A timer lasts as long as its request's budget, so without a limit timers would
+        // accumulate.
         budget: TimeSpan::from_ms(deadline_ms).min(MAX_BUDGET),
         hint,
         repeat,
