--- a/src/net/discovery/lists.rs
+++ b/src/net/discovery/lists.rs
@@ -1,32 +1,32 @@
-//! The endpoint lists in the response of a watch: a stream of JSON objects with any indentation, in
-//! fragments of any size. Read [`ListReader`] first. It is bounded in size, skips unknown keys of
-//! any depth without recursion, and does no I/O.
+//! Parses the endpoint lists in the response of a watch: a stream of JSON objects with any
+//! indentation, in fragments of any size. Read [`ListReader`] first. The reader is bounded in size,
+//! skips unknown keys of any depth without recursion, and does no I/O.
 
 use pinetrail_config::Catalog;
 use thiserror::Error;
 
-/// How many lists of the longest length fit in the buffer.
+/// The size limit of the buffer, in lists of the maximum length.
 const MAX_BUFFERED_LISTS: usize = 2;
 
-/// Why the received bytes are not a list. The watch cannot continue after it.
+/// Why the received bytes are not an endpoint list. The watch cannot continue after such an error.
 #[derive(Debug, Error)]
 pub(super) enum ListError {
-    /// The list is too long.
-    #[error("a list too long")]
+    /// The list exceeds the maximum length.
+    #[error("the endpoint list exceeds the maximum length")]
     TooLong,
-    /// It does not begin with `{`.
-    #[error("something that is no list")]
+    /// The received bytes do not begin with `{`.
+    #[error("the endpoint list is not a JSON object")]
     NotAnObject,
-    /// It is not JSON, or not an endpoint list.
-    #[error("something that is no list")]
+    /// The received bytes are not JSON, or not an endpoint list.
+    #[error("the endpoint list is malformed: {0}")]
     Malformed(#[source] serde_json::Error),
 }
 
-/// Splits received bytes into lists.
+/// Splits the received bytes of a watch into endpoint lists.
 pub(super) struct ListReader {
     /// The received bytes that are not yet part of a complete list.
     buffer: Vec<u8>,
-    /// The longest list, in bytes.
+    /// The maximum length of a list, in bytes.
     max_length: usize,
 }
 
@@ -36,8 +36,8 @@
         ListReader { buffer: Vec::new(), max_length }
     }
 
-    /// Whether only white space was received since the last list. Discovery sends it as a
-    /// heartbeat.
+    /// Returns whether only white space was received since the last list. Discovery sends white
+    /// space as a heartbeat.
     pub(super) fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
@@ -46,12 +46,12 @@
     ///
     /// # Errors
     ///
-    /// [`ListError::TooLong`] if the buffer contains an incomplete list that is too long.
+    /// [`ListError::TooLong`] if the buffer exceeds its limit because of an incomplete list.
     pub(super) fn push(&mut self, bytes: &[u8]) -> Result<(), ListError> {
         let bytes = if self.buffer.is_empty() { bytes.trim_ascii_start() } else { bytes };
         self.buffer.extend_from_slice(bytes);
-        // Complete lists are removed at once: more than one list and one fragment is an endless
-        // list.
+        // Complete lists are removed at once, so more than one list and one fragment means that the
+        // list is endless.
         if self.buffer.len() > MAX_BUFFERED_LISTS * self.max_length {
             return Err(ListError::TooLong);
         }
@@ -64,7 +64,7 @@
     ///
     /// [`ListError`] if the received bytes are not a list.
     pub(super) fn next_list(&mut self) -> Result<Option<Catalog>, ListError> {
-        // serde would accept an array as an object.
+        // serde would also accept a JSON array for a struct.
         if self.buffer.first().is_some_and(|first| *first != b'{') {
             return Err(ListError::NotAnObject);
         }
--- a/src/net/discovery/lists/tests.rs
+++ b/src/net/discovery/lists/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the lists in a watch: fragmented and malformed.
+//! Tests of endpoint lists that arrive in fragments, are malformed, or exceed the bounds.
 
 use super::*;
 
@@ -24,7 +24,11 @@
 
         let parts = text.as_bytes().chunks(step).map(|part| read_lists(&mut reader, part));
 
-        assert_eq!(parts.collect::<Result<Vec<_>, _>>().unwrap().concat(), expected, "{step}");
+        assert_eq!(
+            parts.collect::<Result<Vec<_>, _>>().unwrap().concat(),
+            expected,
+            "fragments of {step} bytes"
+        );
         assert!(reader.is_empty());
     }
 }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! Discovery: the cached endpoint list at the start, then a watch as soon as the decision module
-//! subscribes. Read [`Discovery`] first. `target` has the address of discovery, `watch` is one
-//! watch, `lists` splits its response, `timing` decides the timeouts and the backoff between
-//! watches.
+//! Passes endpoint lists to the dispatcher: the cached list at the start, then those of a watch as
+//! soon as the decision module subscribes. Read [`Discovery`] first. `target` holds the address of
+//! discovery, `watch` runs one watch, `lists` splits its response into lists, `timing` decides the
+//! timeouts and the backoff between watches.
 
 mod error;
 mod lists;
@@ -25,7 +25,7 @@
 use target::TargetAddress;
 use timing::WatchBackoff;
 
-/// How often a backoff checks whether the address of discovery has changed.
+/// The interval at which a backoff checks whether the address of discovery has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The parameters of [`Discovery::start`].
@@ -48,7 +48,7 @@
     pub subscriptions: Receiver<()>,
 }
 
-/// The watches of one proxy, of which one is open at a time.
+/// Runs the watches of one proxy, of which one is open at a time.
 pub struct Discovery {
     dispatcher: Arc<Dispatcher>,
     counters: Arc<Counters>,
@@ -63,8 +63,8 @@
 impl Discovery {
     /// Passes the cached list to the dispatcher, then watches once the decision module subscribes.
     ///
-    /// Invariant: where lists are pushed, the first watch is opened here. The decision module does
-    /// not subscribe then, and changes count as notified as soon as the agent has them.
+    /// Invariant: if lists are pushed, the first watch is opened here, because the decision module
+    /// does not subscribe then and changes count as notified as soon as the agent has them.
     pub fn start(parameters: DiscoveryParameters) -> Arc<DiscoveryTarget> {
         let target = Arc::new(DiscoveryTarget::new(parameters.address, parameters.subscribe));
         let mut discovery = Discovery {
@@ -80,7 +80,7 @@
             target.subscribe();
         }
         let subscriptions = parameters.subscriptions;
-        // Ends with the process.
+        // The coroutine ends with the process.
         may::go!(move || discovery.run(&subscriptions));
         target
     }
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Watches until the watch fails or ends. It starts again whenever the address changes.
+    /// Watches until a watch fails or ends. After a change of the address, another watch starts at
+    /// once.
     fn watch_until_failure(&mut self) -> FailedWatch {
         loop {
             let started = Instant::now();
@@ -109,7 +110,7 @@
             let has_changed = self.target.detach_stream(target);
             if !has_changed {
                 self.counters.watches_failed.increment();
-                log(&format!("watch: {error}"));
+                log(&format!("the watch of discovery failed, opening another: {error}"));
                 let delay = self.backoff.next_delay(&error, started.elapsed());
                 return FailedWatch { target, delay };
             }
--- a/src/net/discovery/target.rs
+++ b/src/net/discovery/target.rs
@@ -1,4 +1,5 @@
-//! The address of discovery, which a reload may change while a watch is open.
+//! Holds the address of discovery, which a reload may change while a watch is open. Read
+//! [`DiscoveryTarget`] first.
 
 use crate::net::deadline_stream::DeadlineStream;
 use may::sync::mpsc::Sender;
@@ -14,7 +15,7 @@
 /// The state that a change of the address affects.
 struct TargetState {
     address: SocketAddr,
-    /// How often the address has changed.
+    /// The number of changes of the address.
     revision: u64,
     /// The connection of the open watch, which a change of the address closes.
     stream: Option<DeadlineStream>,
@@ -32,7 +33,7 @@
         DiscoveryTarget { state: Mutex::new(TargetState { address, revision: 0, stream: None }), subscribe }
     }
 
-    /// Changes the address: the open watch ends, and another begins at once at the new address.
+    /// Changes the address. The open watch ends, and another begins at once at the new address.
     pub fn change_address(&self, address: SocketAddr) {
         let stream = self.with_state(|state| {
             state.address = address;
@@ -51,12 +52,12 @@
         let _ = self.subscribe.send(());
     }
 
-    /// The present address.
+    /// Returns the present address.
     pub(super) fn current(&self) -> TargetAddress {
         self.with_state(|state| TargetAddress { address: state.address, revision: state.revision })
     }
 
-    /// Whether the address has changed since it was `target`, even if it is the same again.
+    /// Returns whether the address has changed since it was `target`, even if it has changed back.
     pub(super) fn has_changed_since(&self, target: TargetAddress) -> bool {
         self.with_state(|state| state.revision != target.revision)
     }
--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -13,31 +13,34 @@
     Duration::from_millis(ms)
 }
 
-/// How long after discovery has a change and can be reached the change counts as notified.
+/// The time after which a change counts as notified, from the moment when discovery has the change
+/// and can be reached.
 const NOTIFICATION_TIME: Duration = ms(6000);
-/// A watch that is silent for this long has failed: discovery sends at least an empty line every 2
-/// s.
+/// The time without input after which a watch has failed. Discovery sends at least an empty line
+/// every 2 s.
 pub(super) const SILENCE_TIMEOUT: Duration = ms(2500);
-/// The timeout of a call until its watch has begun, as long as the changes since the last line do
-/// not count as notified: after a timeout, another call is still in time.
+/// The timeout of a call until its watch has begun, as long as changes since the last input do not
+/// count as notified. After such a timeout, another call is still in time.
 const SHORT_CALL_TIMEOUT: Duration = ms(1400);
-/// The same once they count as notified. Discovery accepts calls in turn, and many may precede this
-/// one.
+/// The timeout of a call until its watch has begun, once changes since the last input count as
+/// notified. The timeout is longer, because discovery accepts calls in turn and many may precede
+/// this one.
 const LONG_CALL_TIMEOUT: Duration = ms(2600);
-/// The timeout of connecting.
+/// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = ms(750);
 /// The delay after a call that timed out.
 const DELAY_AFTER_TIMEOUT: Range<Duration> = ms(100)..ms(300);
-/// The interval from the beginning of a call that failed again to the next call. It is random and
-/// counts from the beginning, because hundreds of proxies call a discovery that fails at once.
+/// The interval from the beginning of a call that failed again to the next call. The interval is
+/// random and counts from the beginning, because hundreds of proxies may call a failing discovery
+/// at once.
 const REPEATED_FAILURE_INTERVAL: Range<Duration> = ms(2000)..ms(2700);
-/// The delay after the first failure, and the least after any other. It is random, because a
-/// discovery that stops ends the watches of all proxies at the same moment.
+/// The delay after the first failure, and the minimum delay after any other. The delay is random,
+/// because a discovery that stops ends the watches of all proxies at the same moment.
 const DELAY_AFTER_FAILURE: Range<Duration> = ms(300)..ms(1200);
-/// The delay after a failure if an agent pushes lists: changes count as notified as soon as the
-/// agent has them, and no other proxy calls the agent.
+/// The delay after a failure if an agent pushes lists. The delay is short, because changes count as
+/// notified as soon as the agent has them, and no other proxy calls the agent.
 const DELAY_AFTER_PUSH_FAILURE: Range<Duration> = ms(200)..ms(400);
-/// The same as [`NOTIFICATION_TIME`] after the address of discovery has changed.
+/// The equivalent of [`NOTIFICATION_TIME`] after a change of the address of discovery.
 const ADDRESS_CHANGE_NOTIFICATION_TIME: Duration = ms(4000);
 
 // A watch becomes silent at the moment of a change, and the next call times out.
@@ -81,9 +84,9 @@
 /// The timeouts of a call, both counted from its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CallTimeouts {
-    /// Until its watch has begun.
+    /// The timeout until the watch has begun.
     pub(super) watch_start: Duration,
-    /// Until its connection is established.
+    /// The timeout until the connection is established.
     pub(super) connect: Duration,
 }
 
@@ -105,7 +108,7 @@
 pub enum ListDelivery {
     /// Discovery responds to the watches that the decision module subscribes to.
     Watched,
-    /// An agent that serves only this proxy sends them, from the start.
+    /// An agent that serves only this proxy sends lists from the start.
     Pushed,
 }
 
@@ -124,7 +127,7 @@
         WatchBackoff { rng: SmallRng::seed_from_u64(seed), delivery, failed_before: false }
     }
 
-    /// Clears the failures, after the address of discovery has changed.
+    /// Forgets earlier failures, after the address of discovery has changed.
     pub(super) fn reset(&mut self) {
         self.failed_before = false;
     }
--- a/src/net/discovery/timing/tests.rs
+++ b/src/net/discovery/timing/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the backoff between calls of discovery, and of their timeouts.
+
 use super::*;
 use std::io::ErrorKind;
 
@@ -15,7 +17,7 @@
 fn a_call_follows_soon_after_a_timeout() {
     for seed in SEEDS {
         let delay = backoff(seed).next_delay(&silent(), ms(2500));
-        assert!(DELAY_AFTER_TIMEOUT.contains(&delay), "{seed}: {delay:?}");
+        assert!(DELAY_AFTER_TIMEOUT.contains(&delay), "seed {seed}: {delay:?}");
     }
 }
 
@@ -29,10 +31,10 @@
         backoff.reset();
         let after_address_change = backoff.next_delay(&WatchError::Rejected, ms(1));
 
-        assert!(DELAY_AFTER_FAILURE.contains(&first), "{seed}: {first:?}");
-        assert!(second + ms(1) >= REPEATED_FAILURE_INTERVAL.start, "{seed}: {second:?}");
-        assert!(second < REPEATED_FAILURE_INTERVAL.end, "{seed}: {second:?}");
-        assert!(DELAY_AFTER_FAILURE.contains(&after_address_change), "{seed}: {after_address_change:?}");
+        assert!(DELAY_AFTER_FAILURE.contains(&first), "seed {seed}: {first:?}");
+        assert!(second + ms(1) >= REPEATED_FAILURE_INTERVAL.start, "seed {seed}: {second:?}");
+        assert!(second < REPEATED_FAILURE_INTERVAL.end, "seed {seed}: {second:?}");
+        assert!(DELAY_AFTER_FAILURE.contains(&after_address_change), "seed {seed}: {after_address_change:?}");
     }
 }
 
@@ -44,7 +46,7 @@
         backoff.next_delay(&WatchError::ConnectionEnded, ms(60_000));
         let delay = backoff.next_delay(&WatchError::ConnectionEnded, ms(1));
 
-        assert!(DELAY_AFTER_FAILURE.contains(&delay), "{seed}: {delay:?}");
+        assert!(DELAY_AFTER_FAILURE.contains(&delay), "seed {seed}: {delay:?}");
     }
 }
 
@@ -53,7 +55,7 @@
     for seed in SEEDS {
         let mut backoff = WatchBackoff::new(seed, ListDelivery::Pushed);
         let delay = backoff.next_delay(&WatchError::ConnectionEnded, ms(1));
-        assert!(DELAY_AFTER_PUSH_FAILURE.contains(&delay), "{seed}: {delay:?}");
+        assert!(DELAY_AFTER_PUSH_FAILURE.contains(&delay), "seed {seed}: {delay:?}");
     }
 }
 
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! One watch, from its connection to its end. Read [`Discovery::watch`] first.
+//! Runs one watch, from its connection to its end. Read [`Discovery::watch`] first.
 
 use super::error::WatchError;
 use super::lists::{ListError, ListReader};
@@ -14,9 +14,9 @@
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-/// The longest list of a watch, in bytes.
+/// The maximum length of a list, in bytes.
 const MAX_LIST_BYTES: usize = 1 << 20;
-/// The most bytes that are buffered of the response of a watch.
+/// The maximum size of the buffered response of a watch, in bytes.
 const MAX_BUFFER_BYTES: usize = 2 * MAX_LIST_BYTES;
 const STATUS_OK: u16 = 200;
 
@@ -28,7 +28,7 @@
 }
 
 impl Discovery {
-    /// Watches until the watch fails or ends.
+    /// Opens a watch, and applies its lists until the watch fails or ends.
     pub(super) fn watch(&mut self, target: TargetAddress) -> Result<Infallible, WatchError> {
         let mut response = self.open_watch(target)?;
         self.last_received = Some(Instant::now());
@@ -83,7 +83,7 @@
         Ok(WatchStream { stream, buffer })
     }
 
-    /// Applies a list.
+    /// Applies a list, unless it is older than the present one.
     ///
     /// Decides: whether a list is applied, or rejected as older than the present one; then the next
     /// watch requests the whole list.
