--- a/src/net/backend/attempt.rs
+++ b/src/net/backend/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at a backend: connect, write, read the response, and report the outcome. Read
-//! [`BackendService::run_attempt`] first.
+//! Makes one attempt at a backend: connects, writes the request, reads the response, and reports
+//! the outcome. Read [`BackendService::run_attempt`] first.
 
 use super::encode::encode_request;
 use super::pool::{ConnectError, Connection, ReuseDelay};
@@ -16,24 +16,24 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A backend writes a response without pauses. One that has begun and pauses for longer is
-/// malformed.
+/// The longest pause within a response. Backends write a response without pauses, so a response
+/// that has begun and pauses for longer counts as malformed.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a backend may pause between two pieces of a streamed value.
+/// The longest pause of a backend between two pieces of a streamed value.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(5000);
 
 /// Where the connection of an attempt comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionSource {
-    /// It was idle in the pool.
+    /// The connection was idle in the pool.
     Pool,
-    /// It was opened for the attempt.
+    /// The connection was opened for the attempt.
     New,
 }
 
 impl BackendService {
-    /// Makes an attempt. Its connection is pooled or closed before this returns, so that the next
-    /// attempt of the request never finds this one still in flight.
+    /// Makes an attempt. Its connection is returned to the pool or closed before the result is
+    /// reported, so that the next attempt of the request never finds this one still in flight.
     pub(super) fn run_attempt(&self, attempt: &AttemptRequest) -> AttemptResult {
         loop {
             let idle = self.pool.take_idle(attempt.backend, &attempt.address);
@@ -45,8 +45,8 @@
                     Err(outcome) => return outcome.into(),
                 },
             };
-            // Encoding reads the clock, so it precedes the last check: after a hold-up between the
-            // two, the attempt is not written.
+            // Encoding reads the clock for the remaining time, so it precedes the last check: after
+            // a hold-up between the two, the attempt is not written.
             let bytes = encode_request(attempt);
             if !self.dispatcher.permits_write(attempt) {
                 self.release(attempt, connection, ConnectionReuse::AfterShortDelay);
@@ -66,8 +66,8 @@
         }
     }
 
-    /// The outcome of an attempt whose last byte was not written; none if it continues on another
-    /// connection.
+    /// Returns the outcome of an attempt whose last byte was not written; `None` if the attempt
+    /// continues on another connection.
     ///
     /// Decides: whether the attempt continues, was not sent, timed out, or could not connect.
     /// Inputs: the error, the source of the connection, the deadline on the monotonic clock, and
@@ -105,7 +105,7 @@
                 self.counters.backend_connections.increment();
                 Ok(connection)
             }
-            // The limit on descriptors is this proxy's own, so it is no fault of the backend.
+            // The limit on descriptors is the proxy's own, so the backend is not at fault.
             Err(ConnectError::NoDescriptor) => Err(Outcome::Moot),
             Err(ConnectError::Failed(error)) => match error.kind() {
                 // The attempt may not be sent any more, even if the connection is established
@@ -162,7 +162,8 @@
     /// Returns a connection to the pool, if it may be reused.
     ///
     /// Invariant: the pool checks with its lock held that the backend is still the same ready
-    /// process. A backend that drains or restarts later has its idle connections closed after that.
+    /// process. If the backend drains or restarts later, its idle connections are closed after that
+    /// check.
     fn release(&self, attempt: &AttemptRequest, connection: Connection, reuse: ConnectionReuse) {
         let delay = match reuse {
             ConnectionReuse::AfterShortDelay => ReuseDelay::Short,
@@ -174,7 +175,8 @@
         });
     }
 
-    /// Forwards a long value in pieces; `bytes` has its head and its beginning.
+    /// Forwards a long value to the client in pieces. `bytes` holds the head of the response and
+    /// the beginning of the value.
     fn stream_value(
         &self,
         attempt: &AttemptRequest,
@@ -219,7 +221,8 @@
     }
 }
 
-/// Reports the result of an attempt when it is dropped, also if the attempt's coroutine panics.
+/// Reports the result of an attempt when the reporter is dropped, also if the attempt's coroutine
+/// panics.
 ///
 /// Invariant: each attempt is reported exactly once, since the dispatcher counts it as in flight
 /// until then.
@@ -246,12 +249,13 @@
     }
 }
 
-/// The outcome of an attempt whose last byte was not written.
+/// Returns the outcome of an attempt whose last byte was not written.
 ///
 /// Decides: whether a failed write is a timeout or a failed connection.
 /// Inputs: the kind of the error.
-/// Reason: a backend that reads nothing is up. Reported as a failed connection, it would be ejected
-/// at once, and the next attempt would not count against the retry budget.
+/// Reason: a backend that accepts connections but reads nothing is up. If the attempt were reported
+/// as a failed connection, the backend would be ejected at once, and the next attempt would not
+/// count against the retry budget.
 pub(super) fn unsent_outcome(error: ErrorKind) -> Outcome {
     match error {
         ErrorKind::TimedOut => Outcome::Timeout,
--- a/src/net/backend/encode.rs
+++ b/src/net/backend/encode.rs
@@ -1,11 +1,11 @@
-//! Requests in the protocol of their backend: [`encode_request`].
+//! Encodes requests in the protocol of their backend: [`encode_request`].
 
 use crate::net::dispatcher::AttemptRequest;
 use crate::net::time_limits::remaining_deadline_ms;
 use pinetrail_codec::{http, memcache};
 use std::time::Instant;
 
-/// The label that states the remaining time of the deadline, in ms.
+/// The label of the remaining time until the deadline, in ms.
 const DEADLINE_LABEL: &str = "d";
 
 /// Encodes the request of an attempt: memcache for a cache node, HTTP for the origin.
@@ -21,7 +21,7 @@
     }
 }
 
-/// The labels as the client sent them, but with the remaining time of the deadline.
+/// Encodes the labels as the client sent them, but with the remaining time until the deadline.
 fn encode_labels(attempt: &AttemptRequest) -> String {
     let remaining_ms = remaining_deadline_ms(attempt.deadline, Instant::now()).to_string();
     let encode_label = |(name, value): &(String, String)| {
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -1,6 +1,6 @@
 //! Makes the attempts that the dispatcher asks for, one coroutine each, and reports their outcomes.
-//! Read [`BackendService`] first, then `attempt`. It selects no backend, and sends no attempt
-//! twice.
+//! The service neither selects a backend nor sends an attempt twice. Read [`BackendService`] first,
+//! then `attempt`.
 //!
 //! `pool` holds idle connections, `encode` encodes requests in the backend's protocol, `response`
 //! parses its responses.
@@ -22,7 +22,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How often stale idle connections are closed.
+/// The interval at which stale idle connections are closed.
 const CLOSE_STALE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The parameters of a new [`BackendService`].
@@ -46,14 +46,14 @@
     dispatcher: Arc<Dispatcher>,
     counters: Arc<Counters>,
     pool: Pool,
-    /// Guards this time only.
+    /// The timeout for establishing a connection. The lock guards only this value.
     connect_timeout: Mutex<Duration>,
 }
 
 impl BackendService {
     /// Starts the service, which holds as many connections as the descriptors allow. The coroutine
-    /// that applies commands ends with their sender; the one that closes stale connections runs
-    /// until the process ends.
+    /// that applies commands ends when their sender is dropped; the one that closes stale
+    /// connections runs until the process ends.
     pub fn start(parameters: BackendServiceParameters) -> Arc<BackendService> {
         let commands = parameters.commands;
         let service = Arc::new(BackendService {
@@ -76,7 +76,7 @@
         service
     }
 
-    /// The timeout for establishing a connection.
+    /// Returns the timeout for establishing a connection.
     pub fn connect_timeout(&self) -> Duration {
         *self.connect_timeout.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -92,7 +92,7 @@
         match command {
             BackendCommand::Attempt(attempt) => {
                 let service = Arc::clone(self);
-                // The coroutine ends by the attempt's deadline, or with its streamed value.
+                // The coroutine ends by the attempt's deadline, or at the end of a streamed value.
                 may::go!(move || {
                     let mut reporter = OutcomeReporter::new(&service, attempt.id);
                     reporter.result = Some(service.run_attempt(&attempt));
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -11,32 +11,32 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// A connection is reused within this fraction of the backend's idle timeout. A request written
-/// after the timeout is lost.
+/// The fraction of the backends' idle timeout within which an idle connection is reused. A request
+/// that is written after the timeout is lost.
 const SAFE_IDLE_FRACTION: f64 = 0.6;
-/// See [`ReuseDelay::Short`].
+/// The duration of [`ReuseDelay::Short`].
 const SHORT_REUSE_DELAY: Duration = Duration::from_millis(5);
-/// See [`ReuseDelay::Long`].
+/// The duration of [`ReuseDelay::Long`].
 const LONG_REUSE_DELAY: Duration = Duration::from_millis(100);
 
 /// A connection and the descriptor that it holds.
 #[derive(Debug)]
 pub(super) struct Connection {
-    /// The connection itself.
+    /// The connected stream.
     pub stream: DeadlineStream,
     address: Arc<str>,
     /// Released when the connection is closed.
     _descriptor: BackendDescriptor,
 }
 
-/// Why there is no connection.
+/// Why no connection was opened.
 #[derive(Debug, Error)]
 pub(super) enum ConnectError {
     /// All descriptors are in use, and no connection is idle.
-    #[error("no descriptor is left for a connection")]
+    #[error("all descriptors for backend connections are in use")]
     NoDescriptor,
-    /// It was not established.
-    #[error("the connection was not established")]
+    /// The connection could not be established.
+    #[error("the backend connection could not be established: {0}")]
     Failed(#[source] io::Error),
 }
 
@@ -55,13 +55,14 @@
 /// response, they arrive within this time and the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReuseDelay {
-    /// The last response named its request, so a duplicate cannot pass for the next response. If no
-    /// connection has completed its delay, one of these is reused earlier.
+    /// The last response carried the id of its request, so a duplicate of it cannot be taken for
+    /// the response to the next request. If no connection has completed its delay, one with a short
+    /// delay is reused early.
     Short,
-    /// The last response did not name its request.
+    /// The last response did not carry the id of its request.
     ///
-    /// Note: a duplicate of that response would pass for the response to the next request, so the
-    /// delay is longer and is never skipped.
+    /// Note: a duplicate of that response would be taken for the response to the next request, so
+    /// the delay is longer and is never skipped.
     Long,
 }
 
@@ -84,22 +85,22 @@
     }
 }
 
-/// All connections of this proxy to backends.
+/// The idle connections of this proxy to its backends. The pool also opens new ones.
 #[derive(Debug)]
 pub(super) struct Pool {
-    /// Guards the idle connections.
+    /// The idle connections.
     ///
-    /// Invariant: no coroutine waits while it holds this lock. The dispatcher's lock is taken
-    /// inside it, never the other way round.
+    /// Invariant: no coroutine waits while it holds this lock. The dispatcher's lock may be taken
+    /// while this one is held, but never the reverse.
     idle: Mutex<IdleConnections>,
     descriptors: Arc<Descriptors>,
-    /// Guards this time only.
+    /// The time for which an idle connection may be reused. The lock guards only this value.
     max_idle: Mutex<Duration>,
 }
 
 impl Pool {
-    /// A pool of as many connections as the descriptors allow. Backends close idle ones after
-    /// `idle_timeout`.
+    /// Creates a pool of as many connections as the descriptors allow. Backends close idle
+    /// connections after `idle_timeout`.
     pub(super) fn new(descriptors: Arc<Descriptors>, idle_timeout: Duration) -> Pool {
         let max_idle = Mutex::new(idle_timeout.mul_f64(SAFE_IDLE_FRACTION));
         Pool { idle: Mutex::default(), descriptors, max_idle }
@@ -115,7 +116,7 @@
         *self.max_idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an idle connection to a backend.
+    /// Takes a usable idle connection to a backend from the pool.
     ///
     /// Decides: which idle connection is reused. Of those that have completed their delay it is the
     /// one used last, so that surplus connections get old and are closed.
@@ -159,7 +160,7 @@
         Ok(Connection { stream, address: Arc::clone(address), _descriptor: descriptor })
     }
 
-    /// The connection that has been idle longest, whatever its backend.
+    /// Takes the connection that has been idle longest, of all backends.
     fn take_oldest(&self) -> Option<IdleConnection> {
         self.with_idle(|idle| {
             let queues = idle.values_mut().filter(|queue| !queue.is_empty());
@@ -190,14 +191,14 @@
     /// Closes the idle connections to a backend that drains, was removed or restarted.
     pub(super) fn close_idle(&self, backend: BackendId) {
         let closed = self.with_idle(|idle| idle.remove(&backend));
-        // Closed with the pool unlocked.
+        // The connections are closed with the pool unlocked.
         drop(closed);
     }
 
     /// Closes connections that have been idle for too long, or were closed by their backend.
     ///
-    /// Invariant: connections are checked with the pool locked. `close_idle` would miss one that is
-    /// taken out for its check.
+    /// Invariant: connections are checked with the pool locked, because `close_idle` would miss one
+    /// that is taken out for its check.
     pub(super) fn close_stale(&self) {
         let max_idle = self.max_idle();
         self.with_idle(|idle| {
--- a/src/net/backend/response.rs
+++ b/src/net/backend/response.rs
@@ -1,5 +1,5 @@
-//! Parses the responses of backends in their protocols: bytes in, the result of the attempt out.
-//! Read [`parse_response`] first, then [`ParsedResponse`].
+//! Parses the received bytes of a backend's response, in memcache or HTTP, into the result of the
+//! attempt. Read [`parse_response`] first, then [`ParsedResponse`].
 
 use crate::interface::Outcome;
 use crate::net::dispatcher::{AttemptRequest, Payload};
@@ -9,10 +9,10 @@
 
 /// The longest response that is buffered, in bytes: a value with its head and chunk headers.
 ///
-/// Note: a buffered response is parsed again with each piece, so an endless one would occupy the
-/// worker without this limit.
+/// Note: a buffered response is parsed again after each read, so without this limit an endless
+/// response would occupy the worker.
 const MAX_RESPONSE_BYTES: usize = 4 * MAX_VALUE_BYTES;
-/// A long value streams once this many bytes of it have arrived.
+/// The number of bytes of a long value after whose arrival the value is streamed.
 const STREAM_THRESHOLD_BYTES: usize = 4 * 1024;
 
 const STATUS_OK: u16 = 200;
@@ -21,7 +21,7 @@
 
 /// The outcome of an attempt and its payload.
 pub(super) struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
     /// The payload, if the backend served the request.
     pub payload: Option<Payload>,
@@ -35,28 +35,29 @@
 
 /// A value that is too long to be buffered.
 pub(super) struct LongValue {
-    /// Where it begins in the response.
+    /// The offset in the response at which the value begins.
     pub starts_at: usize,
-    /// Its length in bytes.
+    /// The length of the value in bytes.
     pub length: usize,
-    /// The bytes that must follow it.
+    /// The bytes that must follow the value.
     pub terminator: &'static [u8],
-    /// Whether its connection may be reused.
+    /// Whether the connection may be reused after the value.
     pub reuse: ConnectionReuse,
 }
 
 /// Whether a connection may be reused after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionReuse {
-    /// The response names its request, so a duplicate cannot pass for the next response.
+    /// The response carries the id of its request, so a duplicate cannot be taken for the response
+    /// to the next request.
     AfterShortDelay,
-    /// The response does not name its request.
+    /// The response does not carry the id of its request.
     AfterLongDelay,
-    /// The connection is closed.
+    /// The connection is closed, not reused.
     Never,
 }
 
-/// Whether a response names its request.
+/// Whether a response carries the id of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Identification {
     WithRequestId,
@@ -71,9 +72,12 @@
 }
 
 impl ConnectionReuse {
+    /// Returns whether a connection may be reused after a response.
+    ///
     /// Decides: whether a connection is reused after a response, and with which delay.
-    /// Inputs: whether the response names its request, and whether the connection stays open.
-    /// Reason: a duplicate of a response must not pass for the response to the next request.
+    /// Inputs: whether the response carries the id of its request, and whether the connection stays
+    /// open.
+    /// Reason: a duplicate of a response must not be taken for the response to the next request.
     fn after(identification: Identification, persistence: Persistence) -> ConnectionReuse {
         match (persistence, identification) {
             (Persistence::Close, _) => ConnectionReuse::Never,
@@ -89,9 +93,9 @@
     Incomplete,
     /// The response is malformed. The request may have run, and the connection is closed.
     Malformed,
-    /// The beginning of a long value, which streams from here.
+    /// The bytes contain the beginning of a long value, which is streamed from now on.
     LongValue(LongValue),
-    /// The complete response.
+    /// The response is complete.
     Complete {
         /// The result of the attempt.
         result: AttemptResult,
@@ -110,8 +114,9 @@
 }
 
 impl LongValue {
-    /// Streams the value once enough of it has arrived. A malformed response that only announces a
-    /// length can still be retried, since the client has received nothing.
+    /// Returns the value for streaming once enough of it has arrived. Until then the client
+    /// receives nothing, so the request can still be retried if the response announces a length but
+    /// is malformed.
     fn into_response(self, bytes: &[u8]) -> ParsedResponse {
         if bytes.len() >= self.starts_at + STREAM_THRESHOLD_BYTES {
             ParsedResponse::LongValue(self)
@@ -121,12 +126,12 @@
     }
 }
 
-/// Whether a connection may bring more of a response.
+/// Whether more bytes of a response may arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InputState {
     /// The connection is open.
     Open,
-    /// The backend has closed it without a reset.
+    /// The backend has closed the connection without a reset.
     Closed,
 }
 
@@ -147,7 +152,7 @@
         Ok(parsed) => parsed,
         Err(unparsed) => return unparsed.into(),
     };
-    // Only values, receipts and misses contain the id.
+    // Only values, receipts and misses contain the id of the request.
     let identification = match message {
         BackendResponse::Busy | BackendResponse::Failed => Identification::WithoutRequestId,
         _ => Identification::WithRequestId,
@@ -210,7 +215,7 @@
     }
 }
 
-/// The result of a response whose body is too long to be buffered.
+/// Returns the result of a response whose body is too long to be buffered.
 fn long_http_response(
     attempt: &AttemptRequest,
     head: &Head,
@@ -220,12 +225,12 @@
     match (head.status, &attempt.request.value) {
         (STATUS_OK, None) => value.into_response(bytes),
         (STATUS_OK, Some(_)) => ParsedResponse::Malformed,
-        // The body of a failure is not read.
+        // The body of an error response is not read.
         _ => ParsedResponse::Complete { result: Outcome::Error.into(), reuse: ConnectionReuse::Never },
     }
 }
 
-/// The result of a complete response; none if it is malformed.
+/// Returns the result of a complete response; `None` if the response is malformed.
 ///
 /// Decides: the outcome of an attempt at the origin.
 /// Inputs: the HTTP status, the body, and whether the request was a write.
@@ -241,7 +246,7 @@
     Some(result)
 }
 
-/// Whether the connection may be reused after a response with this head.
+/// Returns whether the connection may be reused after a response with this head.
 fn http_reuse(head: &Head, persistence: Persistence) -> ConnectionReuse {
     let identification =
         if head.id.is_some() { Identification::WithRequestId } else { Identification::WithoutRequestId };
@@ -249,8 +254,8 @@
     ConnectionReuse::after(identification, persistence)
 }
 
-/// The result of a served request. A payload of the wrong kind is an error: a read needs a value, a
-/// write a receipt of one word.
+/// Returns the result of a served request. A payload of the wrong kind is an error: a read needs a
+/// value, a write a receipt of one word.
 fn served(attempt: &AttemptRequest, payload: Payload) -> AttemptResult {
     let is_write = attempt.request.value.is_some();
     let is_expected = match &payload {
--- a/src/net/backend/tests.rs
+++ b/src/net/backend/tests.rs
@@ -4,7 +4,8 @@
 use crate::interface::Outcome;
 use std::io::ErrorKind;
 
-/// Guards against a backend that reads nothing but is reported as a failed connection.
+/// Guards against reporting a failed connection for a backend that accepts connections but reads
+/// nothing.
 #[test]
 fn a_write_that_times_out_is_a_timeout_and_a_broken_one_is_a_failed_connection() {
     assert_eq!(unsent_outcome(ErrorKind::TimedOut), Outcome::Timeout);
--- a/src/net/body_stream.rs
+++ b/src/net/body_stream.rs
@@ -1,13 +1,14 @@
 //! Streams a long value from a backend to a client in pieces, through a bounded window between two
 //! coroutines. The attempt writes to the [`BodySender`], the client's connection reads from the
-//! [`BodyReceiver`]. A full window makes the sender wait, so that a slow client slows the backend
-//! down.
+//! [`BodyReceiver`]. A full window makes the sender wait, which applies back-pressure to the
+//! backend of a slow client. Read [`channel`] first.
 
 use may::sync::SyncFlag;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use thiserror::Error;
 
-/// The size of the window. A piece is added as long as the window is below it.
+/// The size of the window in bytes. A piece is added while the window holds less, so the window may
+/// exceed this size by one piece.
 pub const WINDOW_BYTES: usize = 32 * 1024;
 
 /// The state that both ends share under one lock.
@@ -30,32 +31,32 @@
 /// Whether more of the value will arrive.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Progress {
-    /// More may arrive.
+    /// More of the value may arrive.
     #[default]
     Open,
-    /// All of it has arrived.
+    /// The whole value has arrived.
     Complete,
-    /// The rest will never arrive.
+    /// The rest of the value will never arrive.
     Broken,
 }
 
-/// The sending end, for the coroutine that reads from the backend. If it is dropped before
-/// [`BodySender::finish`], the value is broken.
+/// The sending end, for the coroutine that reads from the backend. A drop before
+/// [`BodySender::finish`] marks the value as broken.
 pub struct BodySender(Shared);
 
-/// The receiving end, for the coroutine that writes to the client. If it is dropped, sending fails.
+/// The receiving end, for the coroutine that writes to the client. After its drop, sending fails.
 pub struct BodyReceiver(Shared);
 
 /// The content of the window at one moment.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// These bytes; more may follow.
+    /// The window contained these bytes; more may follow.
     Bytes(Vec<u8>),
-    /// Nothing yet.
+    /// The window is empty, but more may follow.
     Pending,
     /// The complete value has been received.
     End,
-    /// The rest will never arrive.
+    /// The rest of the value will never arrive.
     Broken,
 }
 
@@ -64,15 +65,15 @@
 #[error("the client has disconnected")]
 pub struct ReceiverDropped;
 
-/// The two ends of a window.
+/// Creates a window, and returns its sending and its receiving end.
 pub fn channel() -> (BodySender, BodyReceiver) {
     let shared = Shared::default();
     (BodySender(Arc::clone(&shared)), BodyReceiver(shared))
 }
 
 impl BodySender {
-    /// Sends a piece, once the window has space. It waits without a timeout, since the receiver
-    /// either reads or is dropped.
+    /// Sends a piece once the window has space. The wait has no timeout, since the receiver either
+    /// reads or is dropped.
     ///
     /// # Errors
     ///
@@ -98,7 +99,7 @@
     /// Marks the value as complete.
     pub fn finish(self) {
         lock(&self.0).progress = Progress::Complete;
-        // The drop wakes the receiver.
+        // The drop of the sender wakes the receiver.
     }
 }
 
@@ -113,14 +114,15 @@
 }
 
 impl BodyReceiver {
-    /// Sets the function that is called whenever there is something to receive. It must not wait.
+    /// Sets the function that is called whenever there is something to receive. The function must
+    /// not wait.
     pub fn set_waker(&self, waker: Box<dyn Fn() + Send>) {
         let mut state = lock(&self.0);
         state.waker = Some(waker);
         state.wake();
     }
 
-    /// Takes the content of the window.
+    /// Takes all bytes from the window, or reports why it is empty.
     pub fn receive(&self) -> Piece {
         let mut state = lock(&self.0);
         if state.bytes.is_empty() {
--- a/src/net/body_stream/tests.rs
+++ b/src/net/body_stream/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the window between the sender and the receiver of a streamed value.
+
 use super::*;
 use std::thread;
 
@@ -20,7 +22,7 @@
             }
             Piece::Pending => thread::yield_now(),
             Piece::End => break,
-            Piece::Broken => panic!("the value is complete"),
+            Piece::Broken => panic!("a value that was sent completely is reported as broken"),
         }
     }
     sending.join().unwrap();
--- a/src/net/deadline_stream.rs
+++ b/src/net/deadline_stream.rs
@@ -10,12 +10,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The most that one read returns.
+/// The maximum number of bytes that one read returns.
 const READ_SIZE_BYTES: usize = 4 * 1024;
-/// The interval of attempts to write to a socket whose buffer is full.
+/// The interval between attempts to write to a socket whose buffer is full.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A socket of the coroutine library, as far as a [`DeadlineStream`] uses it.
+/// The operations of the coroutine library's sockets that [`DeadlineStream`] uses.
 pub trait Socket {
     /// Reads the bytes that are available, without waiting.
     ///
@@ -35,7 +35,7 @@
     ///
     /// Those of the socket, also if nothing arrives within the timeout.
     fn wait_readable(&self, timeout: Duration) -> io::Result<()>;
-    /// Shuts it down, and wakes the coroutine that waits on it.
+    /// Shuts the socket down, and wakes the coroutine that waits on it.
     ///
     /// # Errors
     ///
@@ -55,8 +55,8 @@
             }
 
             fn wait_readable(&self, timeout: Duration) -> io::Result<()> {
-                // may keeps a list of timers for each timeout. Whole milliseconds limit their
-                // number.
+                // `may` keeps a list of timers for each distinct timeout. Whole milliseconds limit
+                // the number of lists.
                 $wait_readable(self, round_up_to_ms(timeout))
             }
 
@@ -97,7 +97,8 @@
         Ok(DeadlineStream(Arc::new(stream)))
     }
 
-    /// Whether it is open and has nothing to read, so that it may take another request.
+    /// Returns whether the stream is open and has nothing to read, so that it can take another
+    /// request.
     pub fn is_idle(&self) -> bool {
         matches!(self.0.inner().peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
@@ -115,8 +116,8 @@
         DeadlineStream(Arc::new(socket))
     }
 
-    /// Appends the available bytes, and waits for them until the deadline; 0 bytes mean the end of
-    /// the stream.
+    /// Waits for bytes until the deadline, and appends those that are available. Returns their
+    /// number; 0 means the end of the stream.
     ///
     /// # Errors
     ///
@@ -146,7 +147,7 @@
     }
 
     /// Writes all bytes before the deadline while a condition holds. The condition is checked
-    /// before each part that had to wait.
+    /// before each part that had to wait for space in the socket's buffer.
     ///
     /// # Errors
     ///
@@ -177,22 +178,22 @@
         Ok(())
     }
 
-    /// Shuts it down in both directions, and wakes the coroutine that waits on it.
+    /// Shuts the connection down in both directions, and wakes the coroutine that waits on it.
     pub fn shutdown(&self) {
-        // An error means that it is shut down already.
+        // An error means that the connection is shut down already.
         let _ = self.0.shutdown(Shutdown::Both);
     }
 
-    /// Shuts down its sending direction.
+    /// Shuts down the sending direction.
     pub fn shutdown_writing(&self) {
         let _ = self.0.shutdown(Shutdown::Write);
     }
 }
 
-/// Appends the bytes that are available, without waiting.
+/// Appends the bytes that are available, without waiting; returns their number.
 ///
-/// Note: the buffer is on the heap. The stack of a coroutine is reused and keeps every page that
-/// was ever touched.
+/// Note: the buffer is on the heap, because the stack of a coroutine is reused and keeps every page
+/// that was ever touched.
 ///
 /// # Errors
 ///
@@ -201,13 +202,13 @@
     read_some(into, |room| stream.read(room))
 }
 
-/// Whether the peer has closed its sending direction or the connection, even if unread input
-/// precedes that.
+/// Returns whether the peer has closed its sending direction or the connection, even if unread
+/// input precedes that.
 pub fn has_hung_up(stream: &net::TcpStream) -> bool {
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
     let now = Timespec { tv_sec: 0, tv_nsec: 0 };
     let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    // If the poll fails, a later read finds the end.
+    // If the poll fails, a later read reports the end of the stream.
     poll(&mut polled, Some(&now)).is_ok() && polled[0].revents().intersects(ended)
 }
 
@@ -224,7 +225,7 @@
     result
 }
 
-/// A duration rounded up to whole milliseconds, at least 1.
+/// Rounds a duration up to whole milliseconds, at least 1.
 pub fn round_up_to_ms(duration: Duration) -> Duration {
     const US_PER_MS: u128 = 1000;
     const MIN_MS: u64 = 1;
@@ -234,8 +235,8 @@
 
 /// Sleeps, then continues on the worker.
 ///
-/// Note: may wakes a sleeping coroutine on its timer thread. There, a socket timeout that expires
-/// at once would be lost.
+/// Note: `may` resumes a sleeping coroutine on its timer thread. A socket timeout that expires at
+/// once would be lost there, so the coroutine yields to the worker first.
 pub fn sleep(duration: Duration) {
     may::coroutine::sleep(duration);
     may::coroutine::yield_now();
--- a/src/net/deadline_stream/tests.rs
+++ b/src/net/deadline_stream/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of a connection whose peer reads nothing.
+//! Tests of streams whose peer reads nothing, or closes behind unread input.
 
 use super::*;
 use socket2::SockRef;
 use std::cell::Cell;
 use std::net::TcpListener;
 
-/// A connection with small socket buffers, and its peer.
+/// Returns a connection with small socket buffers, and its peer.
 fn small_buffer_connection() -> (DeadlineStream, net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     SockRef::from(&listener).set_recv_buffer_size(2048).unwrap();
@@ -16,7 +16,7 @@
     (stream, peer)
 }
 
-/// The number of bytes that the peer received, once the connection has ended.
+/// Closes the connection, and returns how many bytes the peer received over it.
 fn read_to_end(stream: DeadlineStream, mut peer: net::TcpStream) -> usize {
     drop(stream);
     let mut all = Vec::new();
@@ -24,8 +24,8 @@
     all.len()
 }
 
-/// Guards against a value whose last byte is written after its permission has ended. It is written
-/// in pieces, and the condition is checked before each piece that had to wait.
+/// Guards against a value whose last byte is written after the permission to write has ended. A
+/// long value is written in parts, and the condition is checked before each part that had to wait.
 #[test]
 fn a_write_stops_once_its_condition_fails_or_its_deadline_is_reached() {
     let value = vec![b'x'; 1 << 20];
@@ -44,7 +44,7 @@
     assert!(read_to_end(stream, peer) < value.len());
 }
 
-/// Guards against an end of stream that stays unnoticed behind unread bytes.
+/// Guards against a peer's close that stays unnoticed because unread bytes precede it.
 #[test]
 fn a_hang_up_is_noticed_before_the_input_is_read() {
     let (stream, mut peer) = small_buffer_connection();
@@ -52,5 +52,9 @@
     assert!(!has_hung_up(stream.0.inner()));
     peer.shutdown(Shutdown::Write).unwrap();
     assert!(has_hung_up(stream.0.inner()));
-    assert_eq!(stream.read(&mut Vec::new(), Instant::now()).unwrap(), 8, "the input is still there");
+    assert_eq!(
+        stream.read(&mut Vec::new(), Instant::now()).unwrap(),
+        8,
+        "the unread input is still available"
+    );
 }
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -1,6 +1,6 @@
 //! Listening sockets on the `may` crate, and the connections that they accept. Read [`Listener`]
 //! first. The crate's own listener cannot take over a socket that another process has opened; its
-//! generic wrapper can.
+//! generic socket wrapper can.
 
 use super::polled_socket::PolledSocket;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -18,13 +18,14 @@
 /// How a listener treats new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcceptMode {
-    /// Accepts them.
+    /// New connections are accepted.
     Accepting,
-    /// Leaves them to the other process that holds the socket, until it is resumed.
+    /// New connections are left to the other process that holds the socket, until the listener is
+    /// resumed.
     Paused,
-    /// Accepts those that are in the queue, then stops.
+    /// The connections in the accept queue are accepted, then the listener stops.
     Closing,
-    /// Stops, and leaves those in the queue to the other process that holds the socket.
+    /// The listener stops, and leaves the accept queue to the other process that holds the socket.
     Released,
 }
 
@@ -32,17 +33,17 @@
 #[derive(Debug)]
 pub struct Listener {
     socket: PolledSocket<TcpListener>,
-    /// Guards the mode only.
+    /// How new connections are treated. The lock guards only this value.
     ///
     /// Invariant: no coroutine waits while it holds this lock.
     mode: Mutex<AcceptMode>,
-    /// When the queue was last seen empty. Guards this time only.
+    /// When the accept queue was last seen empty. The lock guards only this value.
     queue_last_empty_at: Mutex<Instant>,
 }
 
 /// Opens a listening socket.
 ///
-/// Note: the socket holds its address exclusively. Otherwise a proxy that is started twice by
+/// Note: the socket binds its address exclusively. Otherwise a second proxy that is started by
 /// mistake would silently take connections from the first.
 ///
 /// # Errors
@@ -50,7 +51,7 @@
 /// If the address cannot be bound, for example because another process holds it.
 pub fn open(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    // Connections that an earlier process left behind do not block the address.
+    // Connections of an earlier process that are in TIME_WAIT do not block the address.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     socket.listen(LISTEN_BACKLOG)?;
@@ -58,7 +59,7 @@
 }
 
 impl Listener {
-    /// Accepts on a socket that listens already.
+    /// Creates a listener on a socket that listens already.
     ///
     /// # Errors
     ///
@@ -72,7 +73,7 @@
         })
     }
 
-    /// Waits for the next connection; none once the listener has stopped.
+    /// Waits for the next connection; returns `None` once the listener has stopped.
     ///
     /// # Errors
     ///
@@ -80,7 +81,8 @@
     /// again.
     pub fn accept(&self) -> io::Result<Option<Stream>> {
         loop {
-            // Copied before the match, which would otherwise hold the lock while this waits.
+            // The mode is copied first, since the match would otherwise hold the lock while it
+            // waits.
             let mode = *self.mode();
             match mode {
                 AcceptMode::Released => return Ok(None),
@@ -110,42 +112,44 @@
         *self.queue_last_empty_at.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
-    /// How long the connection that was accepted last may have been in the queue: the time since
-    /// the queue was last seen empty.
+    /// Returns how long the connection that was accepted last may have been in the accept queue:
+    /// the time since the queue was last seen empty.
     pub fn queue_time(&self) -> Duration {
         self.queue_last_empty_at.lock().unwrap_or_else(PoisonError::into_inner).elapsed()
     }
 
-    /// Stops permanently, after the connections that are in the queue.
+    /// Stops permanently, after the connections in the accept queue are accepted.
     pub fn close(&self) {
         self.set_mode(AcceptMode::Closing);
     }
 
-    /// Stops permanently and immediately. The other process that holds the socket accepts.
+    /// Stops permanently and immediately. The accept queue is left to the other process that holds
+    /// the socket.
     pub fn release(&self) {
         self.set_mode(AcceptMode::Released);
     }
 
-    /// Leaves connections to the other process that holds the socket, unless it has stopped.
+    /// Leaves connections to the other process that holds the socket, unless the listener has
+    /// stopped.
     pub fn pause(&self) {
         if !self.is_stopped() {
             self.set_mode(AcceptMode::Paused);
         }
     }
 
-    /// Accepts connections again, unless it has stopped.
+    /// Accepts connections again, unless the listener has stopped.
     pub fn resume(&self) {
         if !self.is_stopped() {
             self.set_mode(AcceptMode::Accepting);
         }
     }
 
-    /// Whether it has been closed or released.
+    /// Returns whether the listener has been closed or released.
     pub fn is_stopped(&self) -> bool {
         matches!(*self.mode(), AcceptMode::Closing | AcceptMode::Released)
     }
 
-    /// The address it listens on.
+    /// Returns the address of the socket.
     ///
     /// # Errors
     ///
@@ -154,7 +158,7 @@
         self.socket.inner().local_addr()
     }
 
-    /// The socket itself, to hand over to another process.
+    /// Returns the socket, which can be handed over to another process.
     pub fn socket(&self) -> &TcpListener {
         self.socket.inner()
     }
--- a/src/net/polled_socket.rs
+++ b/src/net/polled_socket.rs
@@ -1,5 +1,5 @@
-//! A socket that the coroutines' poller watches. [`PolledSocket`] owns the order in which it leaves
-//! the poller and is closed.
+//! A socket that is registered with the coroutines' poller. [`PolledSocket`] ensures that the
+//! socket is removed from the poller before it is closed.
 
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use std::io;
@@ -9,11 +9,11 @@
 
 /// A socket that is registered with the coroutines' poller.
 ///
-/// Invariant: it leaves the poller before it is closed, since fields are dropped in this order. The
-/// library's own wrapper closes first, and its removal from the poller fails. While another process
-/// holds the same socket, the poller then continues to report events with a pointer to freed
-/// memory; and where another thread has opened a socket of the same number meanwhile, that one is
-/// removed.
+/// Invariant: the socket is removed from the poller before it is closed, since fields are dropped
+/// in this order. The library's own wrapper closes the socket first, so its removal from the poller
+/// fails. While another process holds the same socket, the poller then continues to report events
+/// with a pointer to freed memory. If another thread has meanwhile opened a socket with the same
+/// descriptor number, that socket is removed from the poller instead.
 #[derive(Debug)]
 pub struct PolledSocket<S: AsRawFd> {
     registered: CoIo<Arc<S>>,
@@ -21,18 +21,18 @@
 }
 
 impl<S: AsRawFd> PolledSocket<S> {
-    /// Registers a socket, which does not block from now on.
+    /// Registers a socket with the poller, and makes it non-blocking.
     ///
     /// # Errors
     ///
-    /// If it cannot be registered.
+    /// If the socket cannot be registered.
     pub fn new(socket: S) -> io::Result<PolledSocket<S>> {
         let socket = Arc::new(socket);
         let registered = CoIo::new(Arc::clone(&socket)).map_err(io::Error::from)?;
         Ok(PolledSocket { registered, socket })
     }
 
-    /// The socket.
+    /// Returns the socket.
     pub fn inner(&self) -> &S {
         &self.socket
     }
@@ -42,7 +42,7 @@
         self.registered.wait_io();
     }
 
-    /// Wakes the coroutine that waits for the socket.
+    /// Returns the waker of the coroutine that waits for the socket.
     pub fn waker(&self) -> WaitIoWaker {
         self.registered.waker()
     }
