--- a/src/net/fleet/activation.rs
+++ b/src/net/fleet/activation.rs
@@ -1,4 +1,5 @@
-//! How this process becomes the active member of its proxy, and how it becomes inactive.
+//! Activation and deactivation of this process as its proxy's member of the fleet: methods of
+//! [`Fleet`].
 
 use super::active_member::{ActivationId, ActiveMember};
 use super::error::FleetError;
@@ -14,17 +15,19 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The time between attempts to open a socket that the other process of this proxy may still have.
+/// The time between attempts to open the socket while the other process of this proxy may still
+/// have it open.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// After this many failed attempts a line of the log reports that the socket is not open.
+/// The number of failed attempts to open the socket after which the failure is logged once.
 const OPEN_FAILURES_BEFORE_LOG: usize = 250;
 
 impl Fleet {
-    /// Becomes the active member of this proxy.
+    /// Opens the fleet's socket and makes this process the active member of its proxy.
     ///
     /// # Errors
     ///
-    /// [`FleetError`] if the socket cannot be opened; the process then stays inactive.
+    /// [`FleetError`] if the socket cannot be opened or the settings do not fit its address; the
+    /// process then stays inactive.
     pub fn activate(self: &Arc<Self>) -> Result<(), FleetError> {
         *self.activity() = Activity::Opening;
         let opened = self.open();
@@ -34,10 +37,10 @@
         opened
     }
 
-    /// Becomes the active member as soon as the other process of this proxy has closed the socket.
+    /// Makes this process the active member as soon as the other process of this proxy has closed
+    /// its socket.
     ///
-    /// A coroutine tries until the socket is open. It ends with that, or once the process is asked
-    /// to be inactive.
+    /// Spawns a coroutine that retries until the socket is open or this process is deactivated.
     pub fn activate_when_free(self: &Arc<Self>) {
         *self.activity() = Activity::Opening;
         let fleet = Arc::clone(self);
@@ -49,19 +52,21 @@
         while matches!(*self.activity(), Activity::Opening) {
             let Err(error) = self.open() else { return };
             if failures == OPEN_FAILURES_BEFORE_LOG {
-                log(&format!("{error}; still not open"));
+                log(&format!("{error}; this process keeps trying to open the socket"));
             }
             failures += 1;
             sleep(OPEN_RETRY_INTERVAL);
         }
     }
 
-    /// Becomes inactive, so that the other process of this proxy can become the active member.
+    /// Makes this process inactive without leaving the fleet, so that the other process of this
+    /// proxy can become the active member under the same name.
     pub fn deactivate(&self) {
         self.become_inactive(|_, _| {});
     }
 
-    /// Notes that this process shuts down soon, so that it is replaced as a voter of the quota.
+    /// Marks this process as shutting down soon, so that later views of the quota replace it as a
+    /// voter.
     pub fn begin_shutdown(&self) {
         if let Activity::Active(member) = &mut *self.activity() {
             if let Some(quota) = &mut member.quota {
@@ -70,7 +75,8 @@
         }
     }
 
-    /// Leaves the fleet if this process is active, and becomes inactive.
+    /// Announces to the fleet that this member leaves, if this process is active, and makes the
+    /// process inactive.
     pub fn leave(&self) {
         let now = self.now();
         self.become_inactive(|membership, out| membership.leave(now, out));
@@ -85,7 +91,7 @@
         let membership = self.new_membership(&config, bound)?;
         let socket = PolledSocket::new(socket).map_err(socket_error)?;
         let settings = &config.settings;
-        log(&format!("fleet {}: {} is at {bound}", settings.fleet, settings.name));
+        log(&format!("fleet {}: {} sends and receives datagrams at {bound}", settings.fleet, settings.name));
         let now = self.now();
         let quota = config.quota.clone().map(|quota| QuotaDriver::new(quota, &membership, now));
         let activation = ActivationId(self.activations.fetch_add(1, Ordering::AcqRel));
@@ -93,7 +99,7 @@
         Ok(())
     }
 
-    #[allow(clippy::disallowed_methods, reason = "names a start of this process; no span is measured by it")]
+    #[allow(clippy::disallowed_methods, reason = "identifies a start of this process; measures no duration")]
     fn new_membership(&self, config: &FleetConfig, bound: SocketAddr) -> Result<Membership, FleetError> {
         let since_unix_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let start = u64::try_from(since_unix_epoch.as_micros()).unwrap_or(u64::MAX);
@@ -101,14 +107,14 @@
             .map_err(|source| FleetError::Settings { address: config.bind, source })
     }
 
-    /// Starts the two coroutines of an active member. Both end once this process is inactive, or
-    /// active anew.
+    /// Starts the two coroutines of an active member. Both end once this process is inactive or has
+    /// begun another activation.
     fn start(self: &Arc<Self>, member: ActiveMember) {
         let activation = member.activation;
         let socket = Arc::clone(&member.socket);
         {
             let mut activity = self.activity();
-            // It holds no lease, whatever it held when it was active before.
+            // Leases of an earlier activation are void: the new quota driver holds none.
             if let Some(quota) = &member.quota {
                 self.publish_quota(quota.local_quota(self.now()));
             }
@@ -120,6 +126,8 @@
         may::go!(move || timer.run_timeouts(activation));
     }
 
+    /// Makes this process inactive. If it was active, calls `last_action` with its membership, adds
+    /// the counters to the earlier ones and sends the resulting datagrams.
     fn become_inactive(&self, last_action: impl FnOnce(&mut Membership, &mut Vec<Output>)) {
         let previous = std::mem::replace(&mut *self.activity(), Activity::Inactive);
         let Activity::Active(mut member) = previous else { return };
@@ -129,7 +137,7 @@
             operator_view::sum_membership_counters(*self.earlier_counters(), member.membership.counters());
         *self.earlier_counters() = counters;
         self.apply(out, &member.socket);
-        // Wakes the coroutine that waits on the socket: the socket closes when the last coroutine
+        // Wakes the receiving coroutine, so that it ends: the socket closes when the last coroutine
         // drops it.
         member.socket.waker().wakeup();
     }
--- a/src/net/fleet/active_member.rs
+++ b/src/net/fleet/active_member.rs
@@ -1,4 +1,4 @@
-//! [`ActiveMember`]: a member with an open socket.
+//! [`ActiveMember`]: the state of this process while it is its proxy's member of the fleet.
 
 use super::quota::{LocalQuota, QuotaDriver};
 use crate::net::polled_socket::PolledSocket;
@@ -7,18 +7,19 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-/// Which activation of this process a coroutine belongs to: each is another.
+/// Identifies one activation of this process. A coroutine ends when its own activation is over,
+/// even if the process has become active again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ActivationId(pub u64);
 
-/// Another member that is alive, as the peer transport needs it.
+/// Another live member, as the peer directory needs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LivePeer {
-    /// Its name.
+    /// The name of the member.
     pub name: Arc<str>,
-    /// When its process started, in Unix microseconds.
+    /// The time at which the member's process started, in Unix microseconds.
     pub start: u64,
-    /// The address at which it receives datagrams.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
 }
 
@@ -27,16 +28,18 @@
     pub activation: ActivationId,
     pub socket: Arc<PolledSocket<UdpSocket>>,
     pub membership: Membership,
-    /// None if the fleet has no quota.
+    /// The quota of this process; `None` if the fleet has no quota.
     pub quota: Option<QuotaDriver>,
 }
 
 impl ActiveMember {
-    /// Passes the messages of the quota, which it takes from `out`, to the quota, and does what is
-    /// due; returns the new quota if it has changed.
+    /// Moves the quota messages from `out` to the quota driver and handles the driver's timeouts
+    /// that are due. Returns the new quota if it has changed.
+    ///
+    /// Timeouts are handled only while this process holds its name in the fleet.
     pub(super) fn drive_quota(&mut self, now: Timestamp, out: &mut Vec<Output>) -> Option<LocalQuota> {
         let quota = self.quota.as_mut()?;
-        // Most datagrams are not about the quota.
+        // The common case: most datagrams carry no quota message.
         if !out.iter().any(is_quota_message) && now < quota.next_timeout() {
             return None;
         }
@@ -55,14 +58,14 @@
         changed
     }
 
-    /// When something is due next, if anything is.
+    /// Returns the time of the earliest timeout of the membership and the quota, if there is one.
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
         let quota = self.quota.as_ref().filter(|_| self.membership.is_name_holder());
         let quota_timeout = quota.map(QuotaDriver::next_timeout);
         self.membership.next_timeout().into_iter().chain(quota_timeout).min()
     }
 
-    /// The other members that are alive, suspected ones included.
+    /// Returns the other members that are alive, including suspected ones.
     pub(super) fn live_peers(&self) -> Vec<LivePeer> {
         let own_name = &self.membership.local_id().name;
         let mut peers = Vec::new();
--- a/src/net/fleet/event_loop.rs
+++ b/src/net/fleet/event_loop.rs
@@ -1,5 +1,5 @@
-//! The two loops of an active member, for datagrams and for timeouts. Both drive the membership and
-//! carry out its outputs.
+//! The two event loops of an active member, one for datagrams and one for timeouts. Both call the
+//! membership under the lock of [`Fleet`] and carry out its outputs after the lock is released.
 
 use super::active_member::ActivationId;
 use super::operator_view::membership_log_line;
@@ -15,15 +15,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest sleep. A timeout that is set while a loop sleeps may be late by this.
+/// The longest sleep of the timeout loop, and thus the longest delay of a timeout that is set while
+/// the loop sleeps.
 const LONGEST_SLEEP: Duration = Duration::from_millis(100);
+/// The shortest sleep of the timeout loop.
 const SHORTEST_SLEEP: Duration = Duration::from_millis(1);
-/// Datagrams received without a pause: a flood of them must not keep the worker from clients.
+/// The number of datagrams received before a pause. Without pauses, a flood of datagrams would keep
+/// the worker thread from serving clients.
 const DATAGRAMS_PER_BATCH: usize = 32;
+/// The pause after a batch of datagrams, and after a failed receive.
 const PAUSE_BETWEEN_BATCHES: Duration = Duration::from_millis(1);
 
 impl Fleet {
-    /// Receives datagrams. Ends once this process is inactive, or active anew.
+    /// Receives datagrams and passes them to the membership. Ends once this process is inactive or
+    /// has begun another activation.
     pub(super) fn receive_datagrams(&self, activation: ActivationId, socket: &PolledSocket<UdpSocket>) {
         let mut buffer = vec![0; MAX_DATAGRAM + 1];
         let mut received = 0;
@@ -43,13 +48,15 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     socket.wait_io();
                 }
-                // An unreachable peer is reported here, and does not affect the socket.
+                // The error belongs to an earlier datagram to an unreachable peer; the socket stays
+                // usable.
                 Err(_) => sleep(PAUSE_BETWEEN_BATCHES),
             }
         }
     }
 
-    /// Handles timeouts. Ends once this process is inactive, or active anew.
+    /// Handles the timeouts of the membership and the quota. Ends once this process is inactive or
+    /// has begun another activation.
     pub(super) fn run_timeouts(&self, activation: ActivationId) {
         while self.is_active(activation) {
             let now = self.now();
@@ -76,8 +83,8 @@
         matches!(&*self.activity(), Activity::Active(member) if member.activation == activation)
     }
 
-    /// Calls `act` with the membership, and carries out the outputs of the membership and the
-    /// quota; none if this process is not active.
+    /// Calls `act` with the membership, drives the quota and carries out the outputs of both.
+    /// Returns the result of `act`, or `None` if this process is not active.
     pub(super) fn with_membership<T>(
         &self,
         act: impl FnOnce(&mut Membership, &mut Vec<Output>) -> T,
@@ -97,17 +104,19 @@
         Some(result)
     }
 
-    /// Sends datagrams, passes messages of the peer directory on, and logs events.
+    /// Carries out the membership's outputs: sends datagrams, passes messages of the peer directory
+    /// to their handler, and logs events.
     pub(super) fn apply(&self, outputs: Vec<Output>, socket: &PolledSocket<UdpSocket>) {
         for output in outputs {
             match output {
-                // A datagram that cannot be sent is lost like any other.
+                // A failed send is only counted: the protocols tolerate lost datagrams.
                 Output::Send(to, datagram) => {
                     if socket.inner().send_to(&datagram, to).is_err() {
                         self.send_failures.increment();
                     }
                 }
-                // The quota has taken its messages; without a quota they are dropped.
+                // Quota messages have been moved to the quota driver before; if the fleet has no
+                // quota, they are dropped here.
                 Output::QuotaMessage(_) => {}
                 Output::DirectoryMessage(from, message) => {
                     if let Some(handler) = self.directory_handler.get() {
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! The fleet as this process takes part in it: the driver of `pinetrail-membership` and
-//! `pinetrail-quota`. It owns one UDP socket and the coroutines that receive datagrams and handle
-//! timeouts; those crates decide what is sent. Without `fleet` in the configuration there is no
-//! [`Fleet`].
+//! This process as a member of its fleet: the driver of `pinetrail-membership` and
+//! `pinetrail-quota`. The driver owns one UDP socket and the coroutines that receive datagrams and
+//! handle timeouts; the two crates decide what is sent. [`Fleet`] exists only if the configuration
+//! has `fleet`.
 //!
 //! Read [`Fleet`] first, then `activation` (how a process becomes the active member of its proxy)
 //! and `event_loop` (what an active member does). `operator_view` maps the terms of the code to the
@@ -31,45 +31,47 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Receives each message of the peer directory, with the address of the member that sent it.
+/// Handles a message of the peer directory; the address is that of the member that sent it.
 pub type DirectoryHandler = Box<dyn Fn(SocketAddr, &[u8]) + Send + Sync>;
 
-/// Whether this process is the member that the fleet knows under its proxy's name.
+/// Whether this process is the active member, which the fleet knows under its proxy's name.
 enum Activity {
-    /// It becomes that member as soon as the socket can be opened.
+    /// The process becomes the active member as soon as its socket can be opened.
     Opening,
-    /// It is that member.
+    /// The process is the active member.
     Active(Box<ActiveMember>),
-    /// The other process of this proxy is that member, or this one has left.
+    /// The other process of this proxy is the active member, or this process has left the fleet.
     Inactive,
 }
 
-/// The fleet as this process takes part in it.
+/// This process as a member of its fleet, active or not, with its quota.
 pub struct Fleet {
-    /// Guards the configuration, whose peers may be replaced. Locked before `activity` where both
+    /// The configuration, whose peers may be replaced. Locked before `activity` where both locks
     /// are needed.
     config: Mutex<FleetConfig>,
+    /// Seeds the random numbers of each membership, together with the time of its start.
     seed: u64,
+    /// The time at which the fleet's clock is 0.
     started_at: Instant,
     started_at_unix_ms: u64,
     /// Guards the socket, the membership and the quota, and the order in which quotas are
     /// published. No thread blocks while it holds this lock.
     activity: Mutex<Activity>,
-    /// How often this process became active.
+    /// The number of activations of this process.
     activations: AtomicU64,
-    /// Guards the counters of memberships that have ended.
+    /// The summed counters of memberships that have ended.
     earlier_counters: Mutex<MembershipCounters>,
     send_failures: Counter,
     quota_handler: QuotaHandler,
-    /// Whether the other process of this proxy serves as well: both then share one guaranteed
+    /// Whether the other process of this proxy serves as well, so that both share one guaranteed
     /// minimum.
     shares_minimum: AtomicBool,
     directory_handler: OnceLock<DirectoryHandler>,
 }
 
 impl Fleet {
-    /// A process that is inactive and has its guaranteed minimum.
-    #[allow(clippy::disallowed_methods, reason = "shown to operators")]
+    /// Creates an inactive member and publishes its guaranteed minimum as its quota.
+    #[allow(clippy::disallowed_methods, reason = "wall-clock time for operators; measures no duration")]
     pub fn new(
         config: FleetConfig,
         seed: u64,
@@ -98,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// [`FleetError::Peers`] if the list is invalid; the former peers are then kept.
+    /// [`FleetError::Peers`] if the list is invalid; the previous peers are then kept.
     pub fn set_peers(&self, peers: Vec<SocketAddr>) -> Result<(), FleetError> {
         let now = self.now();
         let mut config = self.config();
@@ -110,7 +112,7 @@
         Ok(())
     }
 
-    /// Whether this process is the leader of the quota now; at most one process of a fleet is.
+    /// Whether this process is the quota leader now; at most one process of a fleet is.
     pub fn is_quota_leader(&self) -> bool {
         let now = self.now();
         match &*self.activity() {
@@ -119,28 +121,29 @@
         }
     }
 
-    /// The longest time that an attempt may run, if the fleet has a quota.
+    /// Returns the longest duration of an attempt; `None` if the fleet has no quota.
     pub fn max_attempt_duration(&self) -> Option<Duration> {
         self.config().quota.as_ref().map(|quota| quota.settings.max_attempt_duration)
     }
 
-    /// The names of this member and of the fleet.
+    /// Returns the name of this member and the name of the fleet.
     pub fn names(&self) -> (String, String) {
         let config = self.config();
         (config.settings.name.clone(), config.settings.fleet.clone())
     }
 
-    /// Sets the receiver of messages of the peer directory; only the first call has an effect.
+    /// Sets the handler of messages of the peer directory; only the first call has an effect.
     pub fn set_directory_handler(&self, handler: DirectoryHandler) {
         let _ = self.directory_handler.set(handler);
     }
 
-    /// Sends a message of the peer directory to the member at an address. It may be lost.
+    /// Sends a message of the peer directory to the member at an address. The message may be lost,
+    /// and is dropped while this process is not active.
     pub fn send_directory_message(&self, to: SocketAddr, body: &[u8]) {
         self.with_membership(|membership, out| membership.send_directory_message(to, body, out));
     }
 
-    /// The other members that are alive; none while this process is not active.
+    /// Returns the other members that are alive; `None` while this process is not active.
     pub fn live_peers(&self) -> Option<Vec<LivePeer>> {
         match &*self.activity() {
             Activity::Active(member) => Some(member.live_peers()),
@@ -148,7 +151,7 @@
         }
     }
 
-    /// The address of its socket; none while this process is not active.
+    /// Returns the local address of the fleet's socket; `None` while this process is not active.
     pub fn address(&self) -> Option<SocketAddr> {
         match &*self.activity() {
             Activity::Active(member) => member.socket.inner().local_addr().ok(),
@@ -156,7 +159,7 @@
         }
     }
 
-    /// The JSON of `GET /control/fleet`; none while this process is not active.
+    /// Returns the JSON of `GET /control/fleet`; `None` while this process is not active.
     pub fn report(&self) -> Option<String> {
         let now = self.now();
         match &*self.activity() {
@@ -168,6 +171,7 @@
         }
     }
 
+    /// Returns the status of the quota, less the fraction of the other process of this proxy.
     fn quota_status(&self, quota: &QuotaDriver, now: Timestamp) -> QuotaStatus {
         let status = quota.status(now);
         let second_process_fraction = self.fraction_of_second_process(status.guaranteed);
@@ -178,7 +182,7 @@
         }
     }
 
-    /// The counters by their names in `stats`.
+    /// Returns the counters of the membership and the quota, by their names in `stats`.
     pub fn counters(&self) -> Vec<(&'static str, u64)> {
         let present = self.with_membership(|membership, _| membership.counters()).unwrap_or_default();
         let counters = operator_view::sum_membership_counters(*self.earlier_counters(), present);
@@ -191,7 +195,7 @@
         list
     }
 
-    /// The fleet's clock, which begins with this process.
+    /// Returns the time on the fleet's clock, which is 0 at the start of this process.
     fn now(&self) -> Timestamp {
         Timestamp::ZERO + self.started_at.elapsed()
     }
--- a/src/net/fleet/operator_view/counters.rs
+++ b/src/net/fleet/operator_view/counters.rs
@@ -1,9 +1,9 @@
-//! The counters of the membership and the quota, by their names in `stats`.
+//! The counters of the membership and the quota, by their names in `stats`, and sums of them.
 
 use pinetrail_membership::MembershipCounters;
 use pinetrail_quota::QuotaCounters;
 
-/// The counters of the membership, in the order of `stats`.
+/// Returns the counters of the membership, in the order of `stats`.
 pub(in crate::net::fleet) fn membership_counters_by_name(
     counters: &MembershipCounters,
     send_failures: u64,
@@ -32,7 +32,8 @@
     ]
 }
 
-/// The counters of the quota, in the order of `stats`. `rejected_messages` could not be decoded.
+/// Returns the counters of the quota, in the order of `stats`. `rejected_messages` is the number of
+/// messages that could not be decoded.
 pub(in crate::net::fleet) fn quota_counters_by_name(
     counters: &QuotaCounters,
     rejected_messages: u64,
@@ -46,7 +47,7 @@
     ]
 }
 
-/// The sum of the counters of two processes that had this name one after the other.
+/// Returns the sums of the quota counters before and after a restart of the quota.
 pub(in crate::net::fleet) fn sum_quota_counters(a: QuotaCounters, b: QuotaCounters) -> QuotaCounters {
     QuotaCounters {
         leases_granted: a.leases_granted + b.leases_granted,
@@ -56,7 +57,7 @@
     }
 }
 
-/// The sum of the counters of two members, one of which followed the other.
+/// Returns the sums of the counters of two successive memberships of this process.
 pub(in crate::net::fleet) fn sum_membership_counters(
     a: MembershipCounters,
     b: MembershipCounters,
--- a/src/net/fleet/operator_view/event_log.rs
+++ b/src/net/fleet/operator_view/event_log.rs
@@ -1,44 +1,46 @@
-//! The lines of the log about the membership of a fleet and its quota.
+//! The log lines about the events of a fleet's membership and quota.
 
 use pinetrail_membership::{MemberRecord, MembershipEvent, NameConflict, NameHolder, State};
 use pinetrail_quota::QuotaEvent;
 
-/// The line about a member whose settings of the quota differ.
+/// The log line about a member whose quota settings differ from those of this process.
 pub(in crate::net::fleet) const QUOTA_SETTINGS_MISMATCH_LINE: &str =
-    "ERROR: a member has other founders, size or times of the quota than this one: they do not share it";
+    "ERROR: a member has other founders, size or times of the quota than this one: its quota messages are dropped, so the two do not share the quota";
 
-/// The line of an event of the membership.
+/// Returns the log line for an event of the membership.
 pub(in crate::net::fleet) fn membership_log_line(event: &MembershipEvent) -> String {
     match event {
         MembershipEvent::Member { entry, before } => member_line(entry, *before),
-        MembershipEvent::Forgotten(name) => format!("{name} is remembered no longer"),
-        MembershipEvent::PartitionSide(side) => format!("this is the side: {side}"),
+        MembershipEvent::Forgotten(name) => format!("{name} is removed from the member list"),
+        MembershipEvent::PartitionSide(side) => format!("partition side of this member: {side}"),
         MembershipEvent::NameConflict(NameConflict { other, holder: NameHolder::OtherProcess }) => format!(
-            "ERROR: another process at {other} has this one's name and started later: that one counts in the fleet, this one is out of it"
+            "ERROR: another process at {other} has this one's name and started later: the fleet counts that process as the member and excludes this one"
         ),
         MembershipEvent::NameConflict(NameConflict { other, holder: NameHolder::ThisProcess }) => {
-            format!("ERROR: another process at {other} has this one's name and started earlier: this one counts in the fleet")
+            format!("ERROR: another process at {other} has this one's name and started earlier: the fleet counts this process as the member and excludes that one")
         }
-        MembershipEvent::NameConflictEnded => "the other process of this one's name is gone".to_owned(),
+        MembershipEvent::NameConflictEnded => "name conflict ended: the other process with this one's name is gone".to_owned(),
         MembershipEvent::FleetFull(at, size) => format!("ERROR: {at} has no room for this member: its fleet.size is {size}"),
-        MembershipEvent::Rejoined => "others had taken this member for failed; it is back".to_owned(),
+        MembershipEvent::Rejoined => "other members had declared this member failed; it has rejoined".to_owned(),
         MembershipEvent::Paused(pause) => {
-            format!("this process did not run for {} ms", pause.as_millis())
+            format!("this process did not run for {} ms; its timers are postponed by this time", pause.as_millis())
         }
     }
 }
 
-/// The line of an event of the quota; none for a granted lease, since leases are renewed
-/// continuously.
+/// Returns the log line for an event of the quota; `None` for a granted lease, since leases are
+/// renewed continuously.
 pub(in crate::net::fleet) fn quota_log_line(event: &QuotaEvent) -> Option<String> {
     match event {
         QuotaEvent::LeaseGranted(_) => None,
         QuotaEvent::LeaseExpired => {
-            Some("its lease has ended: this process has only its guaranteed minimum".to_owned())
+            Some("its lease has ended: this process may use only its guaranteed minimum".to_owned())
         }
-        QuotaEvent::BecameLeader => Some("this process is the leader: it leases the quota".to_owned()),
-        QuotaEvent::LostLeadership => Some("this process is no longer the leader".to_owned()),
-        QuotaEvent::ViewChanged(number) => Some(format!("view {number} is the latest")),
+        QuotaEvent::BecameLeader => Some("this process is the quota leader: it grants leases".to_owned()),
+        QuotaEvent::LostLeadership => {
+            Some("this process is no longer the quota leader: it grants no leases".to_owned())
+        }
+        QuotaEvent::ViewChanged(number) => Some(format!("the latest decided view of the quota is {number}")),
     }
 }
 
@@ -47,17 +49,17 @@
     match before {
         None => format!("{name} at {address} is {state}"),
         Some((start, was)) if start != record.start => {
-            format!("{name} is a new process, at {address}: {state}; the one before was {was}")
+            format!("{name} is a new process, at {address}: {state}; the previous process was {was}")
         }
         Some((_, was)) => format!("{name} at {address}: {was} -> {state}{}", reason(*state)),
     }
 }
 
-/// The reason for a state, if the state does not imply it.
+/// Returns the reason for a state as the end of a log line; empty if the state implies the reason.
 fn reason(state: State) -> &'static str {
     match state {
-        State::Suspect => ", no answer",
-        State::Failed => ", no objection in time",
+        State::Suspect => ", no response to a probe",
+        State::Failed => ", the suspicion was not refuted in time",
         State::Alive | State::Left => "",
     }
 }
--- a/src/net/fleet/operator_view/golden_tests.rs
+++ b/src/net/fleet/operator_view/golden_tests.rs
@@ -1,6 +1,6 @@
-//! What leaves the process: what operators see of a fleet, as JSON of `/control/fleet`, as names
-//! in `stats` and as lines of the log. Operators' tools read them by key, name and word. All texts
-//! were recorded before any renaming.
+//! Golden tests of what operators see of a fleet: the JSON of `/control/fleet`, the names in
+//! `stats` and the lines of the log. Operators' tools parse them, so a rename in the code must not
+//! change them.
 
 use super::{membership_counters_by_name, membership_log_line, report, sum_membership_counters, QuotaStatus};
 use crate::interface::FleetLimits;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// When the process started, in Unix milliseconds.
+/// The start of the process, in Unix milliseconds.
 const STARTED_AT_UNIX_MS: u64 = 1_700_000_000_000;
 
 fn address(port: u16) -> SocketAddr {
@@ -32,7 +32,7 @@
     Membership::new(settings, start, u64::from(port), Timestamp::ZERO).unwrap()
 }
 
-/// Time passes for these members; datagrams arrive at once.
+/// Runs the members from one time to another, in ms; datagrams are delivered without delay.
 fn run(members: &mut [Membership], from: u64, until: u64) {
     for now in (from..until).map(Timestamp::from_millis) {
         let mut sent: Vec<(SocketAddr, SocketAddr, Vec<u8>)> = Vec::new();
@@ -68,7 +68,7 @@
     QuotaConfig { settings, limits: FleetLimits { per_node: 100.0, origin: 50.0 } }
 }
 
-/// A member as the report has it; its time counts from `STARTED_AT_UNIX_MS`.
+/// Returns the JSON of a member in a report. `since` is in ms after [`STARTED_AT_UNIX_MS`].
 fn member_json(name: &str, port: u16, state: &str, incarnation: u16, since: u64) -> String {
     let since = STARTED_AT_UNIX_MS + since;
     format!(
@@ -138,7 +138,7 @@
         while !report_of(&all[0]).contains(word) {
             run(all, now, now + 1);
             now += 1;
-            assert!(now < 10_000, "{word}");
+            assert!(now < 10_000, "the report does not contain {word:?}");
         }
         report_of(&all[0])
     };
@@ -258,44 +258,50 @@
         |state, before| membership_log_line(&MembershipEvent::Member { entry: entry(state, 2), before });
     let from_alive = |state| line(state, Some((2, State::Alive)));
     assert_eq!(line(State::Alive, None), "b at 127.0.0.1:7102 is alive");
-    assert_eq!(from_alive(State::Suspect), "b at 127.0.0.1:7102: alive -> suspect, no answer");
-    assert_eq!(from_alive(State::Failed), "b at 127.0.0.1:7102: alive -> failed, no objection in time");
+    assert_eq!(from_alive(State::Suspect), "b at 127.0.0.1:7102: alive -> suspect, no response to a probe");
+    assert_eq!(
+        from_alive(State::Failed),
+        "b at 127.0.0.1:7102: alive -> failed, the suspicion was not refuted in time"
+    );
     assert_eq!(from_alive(State::Left), "b at 127.0.0.1:7102: alive -> left");
-    let replaced = "b is a new process, at 127.0.0.1:7102: alive; the one before was failed";
+    let replaced = "b is a new process, at 127.0.0.1:7102: alive; the previous process was failed";
     assert_eq!(line(State::Alive, Some((1, State::Failed))), replaced);
-    assert_eq!(membership_log_line(&MembershipEvent::Forgotten("b".into())), "b is remembered no longer");
+    assert_eq!(
+        membership_log_line(&MembershipEvent::Forgotten("b".into())),
+        "b is removed from the member list"
+    );
 }
 
 #[test]
 fn lines_about_the_fleet_are_the_recorded_texts() {
     let side = |side| membership_log_line(&MembershipEvent::PartitionSide(side));
-    assert_eq!(side(PartitionSide::Whole), "this is the side: whole");
-    assert_eq!(side(PartitionSide::Majority), "this is the side: majority");
-    assert_eq!(side(PartitionSide::Minority), "this is the side: minority");
-    assert_eq!(side(PartitionSide::Alone), "this is the side: alone");
+    assert_eq!(side(PartitionSide::Whole), "partition side of this member: whole");
+    assert_eq!(side(PartitionSide::Majority), "partition side of this member: majority");
+    assert_eq!(side(PartitionSide::Minority), "partition side of this member: minority");
+    assert_eq!(side(PartitionSide::Alone), "partition side of this member: alone");
     let later = concat!(
         "ERROR: another process at 127.0.0.1:7102 has this one's name and started later: ",
-        "that one counts in the fleet, this one is out of it",
+        "the fleet counts that process as the member and excludes this one",
     );
     let earlier = concat!(
         "ERROR: another process at 127.0.0.1:7102 has this one's name and started earlier: ",
-        "this one counts in the fleet",
+        "the fleet counts this process as the member and excludes that one",
     );
     let conflict = |holder| MembershipEvent::NameConflict(NameConflict { other: address(7102), holder });
     assert_eq!(membership_log_line(&conflict(NameHolder::OtherProcess)), later);
     assert_eq!(membership_log_line(&conflict(NameHolder::ThisProcess)), earlier);
     assert_eq!(
         membership_log_line(&MembershipEvent::NameConflictEnded),
-        "the other process of this one's name is gone"
+        "name conflict ended: the other process with this one's name is gone"
     );
     let full = "ERROR: 127.0.0.1:7102 has no room for this member: its fleet.size is 4";
     assert_eq!(membership_log_line(&MembershipEvent::FleetFull(address(7102), 4)), full);
     assert_eq!(
         membership_log_line(&MembershipEvent::Rejoined),
-        "others had taken this member for failed; it is back"
+        "other members had declared this member failed; it has rejoined"
     );
     assert_eq!(
         membership_log_line(&MembershipEvent::Paused(Duration::from_millis(9))),
-        "this process did not run for 9 ms"
+        "this process did not run for 9 ms; its timers are postponed by this time"
     );
 }
--- a/src/net/fleet/operator_view/mod.rs
+++ b/src/net/fleet/operator_view/mod.rs
@@ -1,13 +1,13 @@
-//! What operators see of a fleet, by the names that are theirs: the terms of the code are mapped to
-//! outside names here and nowhere else.
+//! What operators see of a fleet. Only this module maps the terms of the code to the names that
+//! operators and their tools read.
 //!
-//! | module | maps |
+//! | module | maps to |
 //! | --- | --- |
-//! | `report` | fields of the JSON of `GET /control/fleet` |
-//! | `counters` | names in `stats`, in their order |
-//! | `event_log` | lines of the log |
+//! | `report` | the fields of the JSON of `GET /control/fleet` |
+//! | `counters` | the names in `stats`, in their order |
+//! | `event_log` | the lines of the log |
 //!
-//! The keys of the settings are mapped in [`pinetrail_config`].
+//! [`pinetrail_config`] maps the keys of the settings.
 
 mod counters;
 mod event_log;
--- a/src/net/fleet/operator_view/report.rs
+++ b/src/net/fleet/operator_view/report.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// The fields are the names in the JSON, unless they are renamed.
+/// The document. Operators' tools read the serialized names of its fields.
 #[derive(Serialize)]
 struct Report<'a> {
     #[serde(rename = "self")]
@@ -29,31 +29,33 @@
 /// The quota of this process.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(in crate::net::fleet) struct QuotaStatus {
-    /// The fraction of the fleet's limits that this process may use now.
+    /// The fraction of the fleet's limits that this process may use now: the guaranteed minimum
+    /// plus the lease.
     #[serde(rename = "share")]
     pub fraction: f64,
-    /// The fraction that is always its own.
+    /// The fraction that this process may use without a lease: the guaranteed minimum.
     #[serde(rename = "base")]
     pub guaranteed: f64,
-    /// How long it holds its lease if that is not renewed, in ms.
+    /// The time until the lease expires if it is not renewed, in ms.
     pub lease_ms: u64,
-    /// The number of the latest decided view that it knows.
+    /// The number of the latest decided view that this process knows.
     pub view: u64,
-    /// Whether it is the leader.
+    /// Whether this process is the quota leader.
     #[serde(rename = "steward")]
     pub is_leader: bool,
 }
 
-/// Another process that has this one's name.
+/// Another process with the name of this one.
 #[derive(Serialize)]
 struct OtherProcess {
     address: SocketAddr,
-    /// Whether it is the other process that holds the name.
+    /// Whether the other process, not this one, holds the name in the fleet.
     #[serde(rename = "counts")]
     is_name_holder: bool,
 }
 
-/// The report as JSON. The clock of the membership began at `started_at_unix_ms`.
+/// Returns the report as JSON. `started_at_unix_ms` is the Unix time at which the membership's
+/// clock was 0.
 pub(in crate::net::fleet) fn report(
     membership: &Membership,
     started_at_unix_ms: u64,
@@ -76,6 +78,6 @@
             is_name_holder: conflict.holder == NameHolder::OtherProcess,
         }),
     };
-    // Names and numbers are encoded as JSON without failure.
+    // Serialization cannot fail: all fields have a JSON form.
     serde_json::to_string(&report).unwrap_or_default()
 }
--- a/src/net/fleet/process_quota.rs
+++ b/src/net/fleet/process_quota.rs
@@ -1,8 +1,8 @@
-//! [`ProcessQuota`]: the quota that the decision module receives.
+//! [`ProcessQuota`]: the quota of this process, as the decision module receives it.
 //!
-//! While two processes of one proxy serve (a hot restart), they share one guaranteed minimum, and
-//! only the one that is the active member has a lease. The rule is
-//! [`Fleet::fraction_of_second_process`].
+//! While two processes of one proxy serve during a hot restart, they share one guaranteed minimum,
+//! and only the active member of the two has a lease. [`Fleet::fraction_of_second_process`] divides
+//! the minimum.
 
 use super::quota::LocalQuota;
 use super::{Activity, Fleet};
@@ -10,36 +10,37 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// The processes of one proxy that serve during a hot restart.
+/// The number of processes of one proxy that serve during a hot restart.
 const PROCESSES_IN_HOT_RESTART: f64 = 2.0;
 
 /// The quota of this process: its fraction of the fleet's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessQuota {
-    /// The fraction until `expires_at`: the guaranteed minimum and the lease.
+    /// The usable fraction until `expires_at`: the guaranteed minimum plus the lease.
     pub fraction: f64,
-    /// When the lease expires.
+    /// The time at which the lease expires.
     pub expires_at: Instant,
-    /// The fraction from then on.
+    /// The usable fraction from `expires_at` on: the guaranteed minimum.
     pub guaranteed: f64,
-    /// The limits of which these are fractions.
+    /// The fleet's limits, to which the fractions apply.
     pub limits: FleetLimits,
 }
 
-/// Receives each new quota.
+/// Handles each new quota of this process.
 pub type QuotaHandler = Box<dyn Fn(ProcessQuota) + Send + Sync>;
 
-/// Whether another process of this proxy serves beside this one.
+/// Whether another process of this proxy serves at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SecondProcess {
-    /// This process serves alone.
+    /// Only this process serves.
     None,
-    /// Both serve: a hot restart is under way.
+    /// Both processes serve: a hot restart is under way.
     Serving,
 }
 
 impl Fleet {
-    /// Sets whether the other process of this proxy serves as well from now on.
+    /// Sets whether another process of this proxy serves from now on, and publishes the changed
+    /// quota if this process is active.
     pub fn set_second_process(&self, second_process: SecondProcess) {
         self.shares_minimum.store(second_process == SecondProcess::Serving, Ordering::Release);
         let now = self.now();
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Publishes the guaranteed minimum, which a process has until it holds a lease.
+    /// Publishes the guaranteed minimum as the quota, which a process has until it holds a lease.
     pub(super) fn publish_guaranteed_minimum(&self) {
         if let Some(config) = &self.config().quota {
             self.publish_quota(LocalQuota::guaranteed_minimum(config));
@@ -59,8 +60,8 @@
 
     /// Passes a quota to the decision module.
     ///
-    /// Invariant: called with `activity` locked, or before other threads have this `Fleet`, so that
-    /// an older quota is never published after a newer one.
+    /// Invariant: called with `activity` locked, or before other threads have access to this
+    /// [`Fleet`], so that an older quota is never published after a newer one.
     pub(super) fn publish_quota(&self, quota: LocalQuota) {
         let second_process_fraction = self.fraction_of_second_process(quota.guaranteed);
         (self.quota_handler)(ProcessQuota {
@@ -71,11 +72,13 @@
         });
     }
 
-    /// The fraction of the guaranteed minimum that the other process of this proxy has.
+    /// Returns the other process's part of the guaranteed minimum, as a fraction of the fleet's
+    /// limits.
     ///
     /// Decides: how two processes of one proxy divide the guaranteed minimum.
-    /// Inputs: the guaranteed minimum, a fraction of the fleet's limits; whether both serve.
-    /// Reason: the fleet counts one process for each proxy, so both together may use one minimum.
+    /// Inputs: the guaranteed minimum, as a fraction of the fleet's limits; whether both serve.
+    /// Reason: the fleet counts one process for each proxy, so both together may use only one
+    /// minimum.
     /// Source: docs/quota-design.md.
     pub(super) fn fraction_of_second_process(&self, guaranteed: f64) -> f64 {
         if self.shares_minimum.load(Ordering::Acquire) {
--- a/src/net/fleet/quota.rs
+++ b/src/net/fleet/quota.rs
@@ -1,5 +1,5 @@
-//! [`QuotaDriver`]: drives the quota of an active member. It passes messages between
-//! `pinetrail-quota` and the membership, and converts parts per billion to fractions.
+//! [`QuotaDriver`]: the driver of `pinetrail-quota` at an active member. It passes quota messages
+//! to and from the membership, and converts parts per billion to fractions.
 
 use super::operator_view::{
     quota_counters_by_name, quota_log_line, sum_quota_counters, QuotaStatus, QUOTA_SETTINGS_MISMATCH_LINE,
@@ -13,49 +13,50 @@
     decode, encode, DecodeError, Output, Parts, Process, QuotaCounters, QuotaEvent, QuotaLeases, WHOLE_PARTS,
 };
 
-/// The quota of this process.
+/// The quota of this process, before its division with another process of the proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct LocalQuota {
-    /// The fraction of the limits that it may use until `expires_at`.
+    /// The usable fraction of the limits until `expires_at`: the guaranteed minimum plus the lease.
     pub fraction: f64,
-    /// When its lease expires, by the fleet's clock.
+    /// The time at which the lease expires, on the fleet's clock.
     pub expires_at: Timestamp,
-    /// The fraction that it may use from then on.
+    /// The usable fraction from `expires_at` on: the guaranteed minimum.
     pub guaranteed: f64,
-    /// The limits of which these are fractions.
+    /// The fleet's limits, to which the fractions apply.
     pub limits: FleetLimits,
 }
 
 impl LocalQuota {
-    /// The quota of a process that holds no lease.
+    /// Returns the quota of a process that holds no lease.
     pub(super) fn guaranteed_minimum(config: &QuotaConfig) -> LocalQuota {
         let guaranteed = fraction(config.settings.guaranteed_minimum());
         LocalQuota { fraction: guaranteed, expires_at: Timestamp::ZERO, guaranteed, limits: config.limits }
     }
 }
 
-/// The quota of one process.
+/// The leases of one process, with what it needs to exchange quota messages.
 pub(super) struct QuotaDriver {
     config: QuotaConfig,
     leases: QuotaLeases,
     local: Process,
-    /// Whether the log has the line about a member with other settings.
+    /// Whether the mismatch of another member's quota settings has been logged.
     settings_mismatch_logged: bool,
-    /// Messages that could not be decoded.
+    /// The number of messages that could not be decoded.
     rejected_messages: u64,
-    /// The counters of processes that had this name before.
+    /// The summed counters of earlier identities of this member, before its last rejoin.
     earlier_counters: QuotaCounters,
 }
 
 impl QuotaDriver {
-    /// A process that has its guaranteed minimum.
+    /// Creates the driver of a process that has only its guaranteed minimum.
     ///
     /// # Panics
     ///
-    /// If the settings are invalid, which the configuration has checked.
+    /// If the settings are invalid; the configuration rejects such settings before.
     pub(super) fn new(config: QuotaConfig, membership: &Membership, now: Timestamp) -> QuotaDriver {
         let local = local_process(membership);
-        let leases = QuotaLeases::new(config.settings.clone(), local, now).expect("settings were checked");
+        let leases = QuotaLeases::new(config.settings.clone(), local, now)
+            .expect("the configuration has validated the quota settings");
         QuotaDriver {
             config,
             leases,
@@ -66,14 +67,15 @@
         }
     }
 
-    /// When [`QuotaDriver::handle_timeout`] is to be called at the latest.
+    /// Returns the time by which [`QuotaDriver::handle_timeout`] has to be called next.
     pub(super) fn next_timeout(&self) -> Timestamp {
         self.leases.next_timeout()
     }
 
-    /// Does what is due; returns the new quota if it has changed.
+    /// Handles the timeouts that are due; returns the new quota if it has changed.
     ///
-    /// The live members may have changed since the last call, and so may the local process.
+    /// Updates the live processes from the membership first. If the member has rejoined with a new
+    /// identity since the last call, the quota restarts with it.
     pub(super) fn handle_timeout(
         &mut self,
         now: Timestamp,
@@ -90,19 +92,20 @@
         self.apply(now, outputs, membership, out)
     }
 
-    /// Starts again as another process: the member has rejoined, and holds no lease.
+    /// Restarts the quota with the member's new identity, which holds no lease; keeps the counters.
     fn restart(&mut self, now: Timestamp, membership: &Membership) {
         let earlier_counters = sum_quota_counters(self.earlier_counters, self.leases.counters());
         let restarted = QuotaDriver::new(self.config.clone(), membership, now);
         *self = QuotaDriver { earlier_counters, ..restarted };
     }
 
-    /// Notes that this process shuts down soon.
+    /// Marks this process as shutting down soon, so that later views replace it as a voter.
     pub(super) fn leave(&mut self) {
         self.leases.leave();
     }
 
-    /// Handles a message of another member; returns the new quota if it has changed.
+    /// Handles a quota message from another member; returns the new quota if it has changed. Counts
+    /// and drops messages that cannot be decoded.
     pub(super) fn handle_message(
         &mut self,
         now: Timestamp,
@@ -125,7 +128,8 @@
         self.apply(now, outputs, membership, out)
     }
 
-    /// Logs once that another member has other settings, which operators must correct.
+    /// Logs, only once, that another member has different quota settings, which operators have to
+    /// correct.
     fn log_settings_mismatch(&mut self) {
         if !self.settings_mismatch_logged {
             self.settings_mismatch_logged = true;
@@ -133,7 +137,7 @@
         }
     }
 
-    /// The present quota.
+    /// Returns the present quota.
     pub(super) fn local_quota(&self, now: Timestamp) -> LocalQuota {
         let lease = self.leases.lease();
         let guaranteed = self.leases.guaranteed_minimum();
@@ -145,7 +149,7 @@
         }
     }
 
-    /// The quota as operators see it.
+    /// Returns the quota as operators see it.
     pub(super) fn status(&self, now: Timestamp) -> QuotaStatus {
         let lease_left = self.leases.lease().expires_at.saturating_duration_since(now);
         QuotaStatus {
@@ -157,18 +161,18 @@
         }
     }
 
-    /// Whether this process is the leader now.
+    /// Whether this process is the quota leader now.
     pub(super) fn is_leader(&self, now: Timestamp) -> bool {
         self.leases.is_leader(now)
     }
 
-    /// The counters by the names that `stats` gives them.
+    /// Returns the counters, by their names in `stats`.
     pub(super) fn counters(&self) -> Vec<(&'static str, u64)> {
         let counters = sum_quota_counters(self.earlier_counters, self.leases.counters());
         quota_counters_by_name(&counters, self.rejected_messages)
     }
 
-    /// Sends messages and logs events; returns the new quota if it has changed.
+    /// Sends quota messages and logs quota events; returns the new quota if it has changed.
     fn apply(
         &self,
         now: Timestamp,
