--- a/src/net/policy/admin/documents.rs
+++ b/src/net/policy/admin/documents.rs
@@ -1,8 +1,7 @@
-//! The JSON documents of `/control/policy` and `/control/drift`: the only place of this module with
-//! the outside names of fields and states. Read [`PolicyStatus`] first.
+//! The JSON documents of `/control/policy` and `/control/drift`. Read [`PolicyStatus`] first.
 //!
-//! Operators' tools read these names, so that they stay as they were recorded, whatever the names
-//! in the program are.
+//! Only this file maps the program's names of fields and states to those that operators' tools
+//! read, so the latter stay the same when the program's names change.
 
 use crate::net::policy::digest;
 use pinetrail_drift::{DriftDetector, TrackedNode};
@@ -20,7 +19,7 @@
     /// The version on which the change is based.
     #[serde(rename = "after")]
     pub(super) base_version: u64,
-    /// The settings that it would make active.
+    /// The settings that the change would make active.
     pub(super) settings: Value,
 }
 
@@ -66,7 +65,7 @@
     }
 }
 
-/// The status of a change.
+/// Returns the status of a change.
 pub(super) fn change_status(status: &ChangeStatus) -> Value {
     json!({
         "outcome": outcome_name(status.outcome),
@@ -75,8 +74,8 @@
     })
 }
 
-/// The drift states of all processes. `reporter` is the name of this process, and `clock_start` the
-/// Unix time at which the detector's clock was 0.
+/// Returns the drift states of all processes. `reporter` is the name of this process, and
+/// `clock_start` the Unix time at which the detector's clock was 0.
 pub(in crate::net::policy) fn drift_report(
     detector: &DriftDetector,
     reporter: &str,
@@ -92,7 +91,7 @@
     })
 }
 
-/// The drift state of one process, with its times in Unix milliseconds.
+/// Returns the drift state of one process, with its times in Unix milliseconds.
 fn drift_node(node: &TrackedNode, clock_start: Duration) -> Value {
     let clock_start_ms = u64::try_from(clock_start.as_millis()).unwrap_or(u64::MAX);
     json!({
--- a/src/net/policy/admin/golden_tests.rs
+++ b/src/net/policy/admin/golden_tests.rs
@@ -1,5 +1,5 @@
-//! The JSON by which operators propose a policy and read its status. Their tools read it by key and
-//! word. All texts were recorded before any renaming.
+//! Golden tests of the JSON by which operators propose a policy and read its status. Their tools
+//! parse the keys and values, so a rename in the code must not change them.
 
 use super::documents::{PolicyStatus, Proposal};
 use super::PolicyResponse;
--- a/src/net/policy/admin/mod.rs
+++ b/src/net/policy/admin/mod.rs
@@ -1,5 +1,6 @@
 //! The requests of operators about the fleet's policy: methods of [`Policy`], each of which returns
-//! a [`PolicyResponse`] within a second, also while connections are down. `documents` has the JSON.
+//! a [`PolicyResponse`] within a second, even while connections to peers are down. `documents`
+//! defines the JSON.
 
 pub(super) mod documents;
 
@@ -13,25 +14,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The time in which a majority of voters has to agree on a proposal.
+/// The time within which a majority of voters has to agree on a proposal.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(700);
-/// The status of a change is requested from this many voters, one after another, in
+/// The number of voters that are asked for the status of a change, one after another, within
 /// [`PROPOSAL_TIMEOUT`].
 const VOTERS_PER_STATUS_REQUEST: u32 = 3;
-/// The time in which one voter has to reply to a request for the status of a change.
+/// The time within which one voter has to reply to a request for the status of a change.
 const VOTER_TIMEOUT: Duration = PROPOSAL_TIMEOUT.checked_div(VOTERS_PER_STATUS_REQUEST).unwrap();
-/// The longest time that a request waits for the policy's thread. The admin server must respond
-/// within 1 s.
+/// The longest wait of a request for the policy thread. It is below 1 s, the time within which the
+/// admin server must respond.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
-/// The pause between two checks whether the policy's thread is done.
+/// The pause between two checks whether the policy thread has returned a value.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A response to operators.
+/// A response to an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PolicyResponse {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// A JSON document.
+    /// The body, a JSON document.
     pub json: String,
 }
 
@@ -46,14 +47,14 @@
 }
 
 impl Policy {
-    /// `GET /control/policy`.
+    /// Returns the status of the policy at this process, for `GET /control/policy`.
     pub fn status(&self) -> PolicyResponse {
         let status = PolicyStatus::from(self.node.status());
-        // It cannot fail: all of the fields have a JSON form.
+        // Serialization cannot fail: all fields have a JSON form.
         PolicyResponse { status: 200, json: serde_json::to_string(&status).unwrap_or_default() }
     }
 
-    /// `POST /control/policy`.
+    /// Proposes a change of the policy, for `POST /control/policy`.
     pub fn propose(&self, body: &[u8]) -> PolicyResponse {
         let proposal: Proposal = match serde_json::from_slice(body) {
             Ok(proposal) => proposal,
@@ -74,12 +75,12 @@
         }
     }
 
-    /// `GET /control/drift`.
+    /// Returns the drift states of all processes, for `GET /control/drift`.
     pub fn drift_report(&self) -> PolicyResponse {
         PolicyResponse::new(200, &self.drift_monitor.to_json())
     }
 
-    /// `POST /control/policy/restore`.
+    /// Restores the approved policy at this process, for `POST /control/policy/restore`.
     pub fn restore(&self) -> PolicyResponse {
         match self.drift_monitor.restore() {
             Ok(version) => PolicyResponse::new(200, &json!({"version": version})),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// `GET /control/policy/changes/ID`.
+    /// Returns the status of a change, for `GET /control/policy/changes/ID`.
     pub fn change_status(&self, id: &str) -> PolicyResponse {
         let node = Arc::clone(&self.node);
         let id = id.to_owned();
@@ -98,18 +99,18 @@
         }
     }
 
-    /// Runs a future on the policy's thread and waits for its value; `None` after
-    /// [`REQUEST_TIMEOUT`]. It polls, since it is called in a coroutine, which must not block its
-    /// thread.
+    /// Runs a future on the policy thread and waits for its value; returns `None` after
+    /// [`REQUEST_TIMEOUT`]. Polls for the value, since the caller is a coroutine, which must not
+    /// block its thread.
     ///
-    /// The spawned task ends with the future, also after the timeout.
+    /// The spawned task runs until the future completes, even after the timeout.
     fn run_on_policy_thread<T: Send + 'static>(
         &self,
         future: impl Future<Output = T> + Send + 'static,
     ) -> Option<T> {
         let (sender, receiver) = channel();
         self.thread.runtime().spawn(async move {
-            // The receiver is dropped after the timeout.
+            // Fails if the receiver was dropped after the timeout.
             let _ = sender.send(future.await);
         });
         let deadline = Instant::now() + REQUEST_TIMEOUT;
@@ -123,7 +124,7 @@
     }
 }
 
-/// Returns the HTTP status for a proposal that opened no change.
+/// Returns the HTTP status code for a proposal that has opened no change.
 fn proposal_error_status(error: &ProposalError) -> u16 {
     match error {
         ProposalError::Rejected(_)
--- a/src/net/policy/applier.rs
+++ b/src/net/policy/applier.rs
@@ -1,4 +1,4 @@
-//! Validates versions of the policy and makes them active at this proxy: [`ProxyPolicyApplier`].
+//! [`ProxyPolicyApplier`]: validates versions of the policy and makes them active at this proxy.
 
 use super::digest;
 use super::error::PolicyTextError;
@@ -15,36 +15,38 @@
 use serde_json::Value;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 
-/// The channel of drift messages on the connections of policy consensus. It is part of the
-/// messages' format.
+/// The channel of drift messages on the connections of policy consensus, a part of the message
+/// format.
 pub(super) const DRIFT_CHANNEL: u8 = 1;
 
-/// Receives the drift messages of other processes.
+/// Handles a drift message from another process.
 pub(super) type DriftMessageHandler = Box<dyn Fn(&Process, &[u8]) + Send + Sync>;
 
 /// Applies policies to the dispatcher and the backends of this proxy.
 pub(super) struct ProxyPolicyApplier {
     dispatcher: Arc<Dispatcher>,
     backends: Arc<BackendService>,
-    /// The settings in this process's file; only their local keys are used.
+    /// The settings in the file of this process. Policies take only the local keys from them.
     local_settings: Value,
-    /// The longest time that a call may run, in ms, if the fleet leases quota.
+    /// The longest duration of an attempt (`fleet.call_ms`), in ms; `None` if the fleet has no
+    /// quota.
     call_limit_ms: Option<u64>,
-    /// Guards the active policy. It is not held while the dispatcher or the backends are called.
+    /// The active policy. Its lock is not held while the dispatcher or the backends are called.
     active: Mutex<ActivePolicy>,
     drift_handler: OnceLock<DriftMessageHandler>,
 }
 
 #[derive(Default)]
 struct ActivePolicy {
-    /// Its text; `None` before a policy is active.
+    /// The text of the policy; `None` before a policy is active.
     text: Option<String>,
-    /// The longest client timeout of its classes; `None` before a policy is active.
+    /// The longest client timeout of the policy's classes; `None` before a policy is active.
     longest_client_timeout: Option<TimeSpan>,
 }
 
 impl ProxyPolicyApplier {
-    /// Creates an applier for a proxy whose file has these settings; no policy is active yet.
+    /// Creates an applier without an active policy. `local_settings` are the settings in the file
+    /// of this process, and `call_limit_ms` is `fleet.call_ms` if the fleet has a quota.
     pub(super) fn new(
         dispatcher: Arc<Dispatcher>,
         backends: Arc<BackendService>,
@@ -61,12 +63,13 @@
         }
     }
 
-    /// Checks whether the settings in the file are valid as the first policy of a fleet.
+    /// Checks whether the settings in the file have only known keys, so that they can be the
+    /// initial policy of a fleet.
     pub(super) fn check_initial_policy(&self) -> Result<(), PolicyTextError> {
         check_keys(&self.local_settings)
     }
 
-    /// Whether these settings are those of the active policy.
+    /// Whether these settings, apart from local keys, are those of the active policy.
     pub(super) fn is_active(&self, settings: &Value) -> bool {
         self.active().text.as_deref() == Some(&text::to_policy_text(settings))
     }
@@ -81,15 +84,15 @@
         let _ = self.drift_handler.set(handler);
     }
 
-    /// Returns the digests of the settings that the dispatcher uses now.
+    /// Returns the digests of the settings that the dispatcher and the backends use now.
     pub(super) fn active_digests(&self) -> PartDigests {
         let connect_timeout = self.backends.connect_timeout();
         self.dispatcher
             .with_active_settings(|settings, names| digest::part_digests(settings, names, connect_timeout))
     }
 
-    /// Returns the digests that a version would have as the active one here; `None` if it is not
-    /// valid here.
+    /// Returns the digests that the active settings would have with this version applied; `None` if
+    /// the version is invalid at this process.
     pub(super) fn approved_digests(&self, version: u64, text: &str) -> Option<ApprovedPolicy> {
         let policy = serde_json::from_str(text).ok()?;
         let settings = text::with_local_keys(&policy, &self.local_settings);
@@ -99,9 +102,9 @@
     }
 
     /// Decides: whether a policy is valid here after the active one; if so, returns its settings.
-    /// Inputs: the text of the policy, the local settings, the active policy, and the longest time
-    /// that a call may run, in ms.
-    /// Reason: a version becomes active at all processes or at none, so that each one has to accept
+    /// Inputs: the text of the policy, the local settings, the active policy, and the longest
+    /// duration of an attempt, in ms.
+    /// Reason: a version becomes active at all processes or at none, so each process has to accept
     /// it before it is committed.
     fn parse_policy(&self, text: &str) -> Result<ParsedSettings, PolicyTextError> {
         let policy: Value = serde_json::from_str(text).map_err(PolicyTextError::Json)?;
@@ -118,10 +121,10 @@
         Ok(parsed)
     }
 
-    /// Decides: whether the client timeouts fit into the longest time that a call may run.
-    /// Inputs: the settings, and that time in ms.
-    /// Reason: leased quota is free again one call after the end of its lease. A longer call would
-    /// use it while another process already holds it.
+    /// Decides: whether the client timeouts fit into the longest duration of an attempt.
+    /// Inputs: the settings, and that duration in ms.
+    /// Reason: leased quota is granted again when that duration has passed after the end of its
+    /// lease. A longer attempt would use quota that another process already holds.
     fn check_call_limit(&self, settings: &Settings) -> Result<(), PolicyTextError> {
         let client_timeout = settings.longest_client_timeout();
         match self.call_limit_ms {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Returns the active policy, if there is one.
+    /// Returns the active policy as JSON; `None` before a policy is active.
     fn active_policy(&self) -> Option<Value> {
         serde_json::from_str(self.active().text.as_deref()?).ok()
     }
@@ -164,9 +167,11 @@
     fn apply(&self, version: u64, text: &str) {
         let parsed = match self.parse_policy(text) {
             Ok(parsed) => parsed,
-            // It was validated before, so that this is a fault of the program.
+            // The version was validated before, so this is a fault of the program.
             Err(error) => {
-                log(&format!("ERROR: policy: version {version} cannot be applied: {error}"));
+                log(&format!(
+                    "ERROR: policy: version {version} cannot be applied: {error}; settings unchanged"
+                ));
                 return;
             }
         };
--- a/src/net/policy/digest.rs
+++ b/src/net/policy/digest.rs
@@ -1,6 +1,6 @@
-//! Digests of the settings that are active, part by part. They are made from the objects that
-//! decide, never from a text that was once applied. What they are made from is written out in
-//! [`digest_input`](super::digest_input).
+//! Digests of the active settings, one for each part. They are computed from the objects that make
+//! the decisions, never from a policy text that was once applied, so that they show what is really
+//! active. [`digest_input`](super::digest_input) defines the hashed text.
 
 use super::digest_input;
 use crate::settings::Settings;
@@ -9,7 +9,8 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A digest for each part, by its name in the settings. A proxy's own number and zone have none.
+/// Returns the digest of each part, by the part's name in the settings. A proxy's own number and
+/// zone have no digest, since they are local to it.
 pub(super) fn part_digests(
     settings: &Settings,
     names: &Names,
@@ -25,7 +26,7 @@
     texts.into_iter().map(|(part, text)| (part.to_owned(), xxh3_64(text.as_bytes()))).collect()
 }
 
-/// One digest of all parts.
+/// Returns one digest of all parts.
 pub(super) fn combined_digest(part_digests: &BTreeMap<String, u64>) -> u64 {
     xxh3_64(format!("{part_digests:?}").as_bytes())
 }
--- a/src/net/policy/digest_input.rs
+++ b/src/net/policy/digest_input.rs
@@ -1,9 +1,9 @@
-//! The text that digests of the active settings are made from, written out field by field.
+//! The text from which the digests of the active settings are computed, written out field by field.
 //!
-//! Invariant: processes of different versions compare these digests, so the text is a format of
-//! its own: version 1, recorded in `golden_tests.rs`. Its names are those that version 1 began
-//! with. They are independent of the names in [`crate::settings`], and a change of one byte would
-//! be reported as drift of every process that runs another version.
+//! Invariant: processes of different program versions compare these digests, so the text is a
+//! format of its own: format version 1, recorded in `golden_tests.rs`. Its names are fixed and
+//! independent of those in [`crate::settings`]. A change of one byte would be reported as drift of
+//! every process that runs another program version.
 
 use crate::settings::{
     BackendKinds, Class, Costs, DeduplicationScope, Idempotency, Limits, SafetyLimits, Settings,
@@ -12,13 +12,13 @@
 
 /// One part of the settings and its text.
 pub(super) struct PartText {
-    /// The part's name in the settings.
+    /// The name of the part in the settings.
     pub(super) part: &'static str,
-    /// What its digest is made from.
+    /// The text from which the part's digest is computed.
     pub(super) text: String,
 }
 
-/// The text of each part of the settings that all processes have in common.
+/// Returns the text of each part of the settings that all processes have in common.
 pub(super) fn part_texts(settings: &Settings, connect_timeout: Duration) -> Vec<PartText> {
     vec![
         PartText { part: "Grades", text: classes_text(&settings.classes) },
@@ -35,7 +35,7 @@
     ]
 }
 
-/// The classes of requests, in their order.
+/// Returns the text of the request classes, in their order.
 pub(super) fn classes_text(classes: &[Class]) -> String {
     let texts: Vec<String> = classes.iter().map(class_text).collect();
     format!("[{}]", texts.join(", "))
@@ -69,7 +69,7 @@
     }
 }
 
-/// What the deployment allows.
+/// Returns the text of the deployment's limits.
 pub(super) fn limits_text(limits: &Limits) -> String {
     format!(
         "Limits {{ max_attempts: {:?}, conn_idle: {:?}, max_retry_after: {:?} }}",
@@ -79,7 +79,7 @@
     )
 }
 
-/// What the operators' rules allow.
+/// Returns the text of the limits for starting backends and for polling.
 pub(super) fn safety_limits_text(limits: &SafetyLimits) -> String {
     format!(
         "Safety {{ start_capacity: {:?}, cold: {:?}, fall_multiple: {:?}, tip_after: {:?}, \
@@ -92,12 +92,12 @@
     )
 }
 
-/// What is charged for.
+/// Returns the text of the costs.
 pub(super) fn costs_text(costs: &Costs) -> String {
     format!("Prices {{ cross_zone: {:?} }}", costs.zone_crossing)
 }
 
-/// Which kinds of backend there are.
+/// Returns the text of the kinds of backend.
 pub(super) fn backend_kinds_text(kinds: &BackendKinds) -> String {
     format!("Family {{ origin_kind: {:?} }}", kinds.origin_kind)
 }
--- a/src/net/policy/directory/golden_tests.rs
+++ b/src/net/policy/directory/golden_tests.rs
@@ -1,6 +1,6 @@
-//! The bytes of the datagrams by which members of a fleet exchange the addresses of their peer
-//! listeners. Members of other versions read them: if the bytes changed, members would have no
-//! connections, and so no policy. All bytes were recorded before any renaming.
+//! Golden tests of the datagrams by which members of a fleet exchange the addresses of their peer
+//! listeners. Members of other program versions read them: if the bytes changed, members would not
+//! connect, and so would have no common policy.
 
 use super::message::DirectoryMessage;
 
@@ -9,11 +9,13 @@
     DirectoryMessage { wants_reply, name: "p1".into(), start: 1_700_000_000_000_001, address }
 }
 
-/// The name `p1`, the start as a varint, and an address of IPv4 with its port.
+/// The recorded bytes after `wants_reply`: the name `p1`, the start as a varint, and an IPv4
+/// address with its port.
 const BYTES_AFTER_WANTS_REPLY: [u8; 18] =
     [2, 112, 49, 129, 128, 249, 192, 193, 196, 130, 3, 0, 127, 0, 0, 1, 193, 62];
 
-/// The value is written as the recorded bytes, and the recorded bytes are read as the value.
+/// Asserts that the message is encoded as the recorded bytes, and that these are decoded as the
+/// message.
 fn assert_bytes(wants_reply: bool, wants_reply_byte: u8) {
     let mut recorded = vec![wants_reply_byte];
     recorded.extend(BYTES_AFTER_WANTS_REPLY);
--- a/src/net/policy/directory/message.rs
+++ b/src/net/policy/directory/message.rs
@@ -1,28 +1,27 @@
-//! The datagram by which active members exchange the addresses of their peer listeners:
-//! [`DirectoryMessage`].
+//! [`DirectoryMessage`]: the datagram by which active members exchange the addresses of their peer
+//! listeners.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The address at which a process accepts connections of peers.
+/// The identity of a process and the address at which it accepts connections from peers.
 ///
-/// The order of the fields is the datagram's format (postcard).
+/// The order of the fields is the format of the datagram (postcard).
 #[derive(Serialize, Deserialize)]
 pub(super) struct DirectoryMessage {
-    /// Whether the receiver replies with its own address.
+    /// Whether the receiver has to reply with its own address.
     pub(super) wants_reply: bool,
     /// The name of the sender.
     pub(super) name: String,
-    /// When the sender started, in Unix microseconds.
+    /// The time at which the sender started, in Unix microseconds.
     pub(super) start: u64,
-    /// Where the sender accepts connections of peers.
+    /// The address at which the sender accepts connections from peers.
     pub(super) address: SocketAddr,
 }
 
 impl DirectoryMessage {
-    /// Encodes the message.
     pub(super) fn encode(&self) -> Vec<u8> {
-        // It cannot fail: postcard represents all of the fields.
+        // Encoding cannot fail: postcard can represent all fields.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
--- a/src/net/policy/directory/mod.rs
+++ b/src/net/policy/directory/mod.rs
@@ -1,8 +1,8 @@
-//! The processes of the fleet and the addresses of their peer listeners: [`PeerDirectory`].
+//! [`PeerDirectory`]: the processes of the fleet and the addresses of their peer listeners.
 //!
-//! Active members of the fleet exchange the addresses by datagrams. Of two processes, the one with
-//! the lower name dials. An inactive process (one of the two processes of a hot restart) dials all
-//! peers that it has learnt and does not vote.
+//! Active members of the fleet exchange these addresses by datagrams. Of two members, the one whose
+//! name sorts first dials the other. An inactive process (one of the two processes of a hot
+//! restart) dials all peers that it knows and does not vote.
 
 mod message;
 mod peer_table;
@@ -21,29 +21,30 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The pause between two updates from membership.
+/// The pause between two updates from the membership.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether a message requests the receiver's address.
+/// Whether a message requests the address of its receiver.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReplyRequest {
     Wanted,
     NotWanted,
 }
 
-/// Keeps the transport's list of peers up to date, and the presence of this process.
+/// Keeps the transport's list of peers and the [`Presence`] of this process up to date with the
+/// fleet's membership.
 pub(super) struct PeerDirectory {
     config: PolicyConfig,
     fleet: Arc<Fleet>,
     node: Arc<ConsensusNode<TcpNetwork>>,
     process: Process,
-    /// Guards the peers. It is not held while the fleet is called, which calls
-    /// [`PeerDirectory::on_message`] with its own lock held.
+    /// The known peers. The lock is not held while the fleet is called, since the fleet calls
+    /// [`PeerDirectory::on_message`], which takes it.
     peers: Mutex<PeerTable>,
 }
 
 impl PeerDirectory {
-    /// Creates a directory with the peers that another process of this proxy handed over.
+    /// Creates a directory that knows the peers handed over by another process of this proxy.
     pub(super) fn new(
         config: PolicyConfig,
         fleet: Arc<Fleet>,
@@ -55,7 +56,7 @@
         PeerDirectory { config, fleet, node, process, peers }
     }
 
-    /// Updates the transport's peers, its listener and the vote of this process, until the sender
+    /// Updates the transport's peers and the listener and voter of this process, until the sender
     /// of `stop` is dropped.
     pub(super) async fn run(self: Arc<Self>, stop: &Receiver<()>) {
         let receiver = Arc::clone(&self);
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Returns the peers and this process, for the next process of this proxy.
+    /// Returns the addresses of the peers and of this process, to hand over to the next process of
+    /// this proxy.
     pub(super) fn peer_addresses(&self) -> Vec<PeerAddress> {
         let mut addresses = self.peers().addresses();
         addresses.push(PeerAddress {
@@ -88,8 +90,8 @@
         addresses
     }
 
-    /// Requests the addresses of live members that have not sent theirs, and dials the peers with a
-    /// higher name.
+    /// Requests the addresses of live members that have not sent theirs, and dials the handed-over
+    /// peers and those whose names sort after the name of this process.
     fn update_as_active_member(&self, live: Vec<LivePeer>) {
         let unresolved = self.peers().set_live(live);
         for address in unresolved {
@@ -116,8 +118,8 @@
         self.dial(peers);
     }
 
-    /// Sets the peers that the transport dials. If a later process has replaced one that was handed
-    /// over, the handshake identifies it, and the connection belongs to the later process.
+    /// Sets the peers that the transport dials. If a later process has replaced a handed-over peer,
+    /// the handshake identifies the later process, and the connection counts for it.
     fn dial(&self, peers: Vec<PeerAddress>) {
         let peers = peers.into_iter().map(|peer| Peer {
             process: Process { name: peer.name.into(), start: peer.start },
@@ -126,7 +128,8 @@
         self.node.transport().set_peers(peers.collect());
     }
 
-    /// Handles the message of a member. It is called while the fleet is locked.
+    /// Records the address in a member's message, and replies to it if the message requests that.
+    /// Called by the fleet.
     fn on_message(&self, from: SocketAddr, body: &[u8]) {
         let Some(message) = DirectoryMessage::decode(body) else { return };
         let wants_reply = message.wants_reply;
@@ -134,7 +137,8 @@
         if wants_reply {
             let fleet = Arc::clone(&self.fleet);
             let reply = self.own_message(ReplyRequest::NotWanted);
-            // The fleet is locked here, so that a coroutine sends the reply. It ends after that.
+            // Called by the fleet, so this function must not call the fleet itself: a coroutine
+            // sends the reply and ends.
             may::go!(move || fleet.send_directory_message(from, &reply));
         }
     }
--- a/src/net/policy/directory/peer_table_tests.rs
+++ b/src/net/policy/directory/peer_table_tests.rs
@@ -4,7 +4,7 @@
     SocketAddr::from(([10, 0, 0, last], 7946))
 }
 
-/// A live member whose address in the fleet is given by its number.
+/// A live member whose membership address ends in `last`.
 fn live(name: &str, start: u64, last: u8) -> LivePeer {
     LivePeer { name: name.into(), start, address: address(last) }
 }
--- a/src/net/policy/drift_monitor/alarms.rs
+++ b/src/net/policy/drift_monitor/alarms.rs
@@ -1,4 +1,4 @@
-//! The alarms about processes that do not have active what was approved.
+//! The alarms about processes whose active settings differ from the approved ones.
 
 use super::{DriftMonitor, State, DRIFT_CHANNEL};
 use crate::net::log::log;
@@ -7,12 +7,12 @@
 
 impl DriftMonitor {
     /// Decides: which alarms this process raises now.
-    /// Inputs: the reports of all processes and the alarms that were raised, with the time; whether
-    /// this process is the quota leader.
-    /// Reason: operators get one alarm for each process that drifts, from one process of the fleet.
+    /// Inputs: the reports of all processes, the alarms already raised, and the time; whether this
+    /// process is the quota leader.
+    /// Reason: operators get one alarm for each drifting process, from one process of the fleet.
     ///
-    /// Invariant: the leadership is checked immediately before the alarms are raised, since its
-    /// lease may have expired.
+    /// Invariant: leadership is checked immediately before the alarms are raised, since its lease
+    /// may have expired.
     pub(super) fn raise_due_alarms(&self) {
         let now = self.now();
         let due = {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Logs an alarm, counts it, and broadcasts it, so that a later leader does not raise it again.
+    /// Logs and counts an alarm, and broadcasts it so that a later leader does not raise it again.
     fn raise(&self, alarm: &Alarm) {
         self.alarms_raised.fetch_add(1, Ordering::Relaxed);
         self.state().alarms.mark_raised(alarm.process.clone());
@@ -40,7 +40,7 @@
             format!(" in {}", alarm.differing_parts.join(", "))
         };
         log(&format!(
-            "ALARM: policy: {} {}{parts}: it does not have active what was approved",
+            "ALARM: policy: {} {}{parts}: its active settings are not the approved ones",
             alarm.process.name,
             alarm.state.as_str()
         ));
--- a/src/net/policy/drift_monitor/mod.rs
+++ b/src/net/policy/drift_monitor/mod.rs
@@ -1,8 +1,8 @@
-//! Compares the settings that are active at each process with the approved ones: [`DriftMonitor`].
+//! [`DriftMonitor`]: compares the active settings of each process with the approved ones.
 //!
 //! Each process reports to all others, so that each can respond to operators. Only the quota leader
-//! raises alarms (`alarms`): leadership is a lease, so that at most one process has it. A process
-//! may restore the approved policy by itself (`restore`).
+//! raises alarms (`alarms`): leadership is a lease, so at most one process has it. If configured, a
+//! process restores the approved policy by itself (`restore`).
 
 mod alarms;
 mod restore;
@@ -27,14 +27,14 @@
 struct State {
     detector: DriftDetector,
     alarms: Alarms,
-    /// The number of this process's last report.
+    /// The sequence number of this process's last report.
     last_sequence: u64,
-    /// Since when the active settings of this process differ from the approved ones.
+    /// The time since which the active settings of this process differ from the approved ones.
     differs_since: Option<Instant>,
 }
 
 /// Reports the active settings of this process, compares the reports of all processes, raises
-/// alarms, and restores the approved policy here.
+/// alarms, and restores the approved policy at this process.
 pub(super) struct DriftMonitor {
     fleet: Arc<Fleet>,
     node: Arc<ConsensusNode<TcpNetwork>>,
@@ -44,15 +44,15 @@
     /// The time after which this process restores the approved policy by itself; `None` if it does
     /// not.
     restore_after: Option<Duration>,
-    /// Guards the reports and the alarms. It is not held while the fleet or the node is called,
-    /// except for the node's own identity.
+    /// The reports and the alarms. The lock is not held while the fleet or the node is called,
+    /// except to read the node's own identity.
     state: Mutex<State>,
-    /// The number of alarms that this process raised.
+    /// The number of alarms that this process has raised.
     alarms_raised: AtomicU64,
 }
 
 impl DriftMonitor {
-    /// Creates a monitor that handles the drift messages that the applier receives.
+    /// Creates a monitor and registers it with the applier as the handler of drift messages.
     pub(super) fn new(
         fleet: Arc<Fleet>,
         node: Arc<ConsensusNode<TcpNetwork>>,
@@ -80,8 +80,9 @@
         monitor
     }
 
-    /// Reports to the other processes and acts on their reports. It does not return: its task ends
-    /// with the runtime of the policy's thread.
+    /// Reports to the other processes at regular intervals, raises due alarms and restores the
+    /// approved policy when due. Does not return: the task ends with the runtime of the policy
+    /// thread.
     pub(super) async fn run(self: Arc<Self>) {
         loop {
             let report = self.refresh();
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Handles the message of another process; bytes that are no message are ignored.
+    /// Handles a drift message from another process; bytes that are no message are ignored.
     fn on_message(&self, from: &Process, body: &[u8]) {
         let now = self.now();
         match DriftMessage::decode(body) {
@@ -108,11 +109,11 @@
         }
     }
 
-    /// Updates the detector with this process and with the approved version, and returns the report
-    /// of this process.
+    /// Updates the detector with the present report of this process and the approved version, and
+    /// returns the report.
     ///
-    /// Invariant: of each name the detector lists the latest process, connected or not. A process
-    /// that has lost its connections stays listed as silent.
+    /// Invariant: for each name the detector lists only the latest process, whether it is connected
+    /// or not, so that a process that has lost its connections stays listed as silent.
     fn refresh(&self) -> Report {
         let current_status = self.node.status();
         let part_digests = self.applier.active_digests();
@@ -145,15 +146,15 @@
         report
     }
 
-    /// Returns the drift states of all processes, as `GET /control/drift` has them.
+    /// Returns the drift states of all processes as the JSON of `GET /control/drift`.
     pub(super) fn to_json(&self) -> Value {
-        // So that the active settings of this process are those of now.
+        // Otherwise the report could show settings of this process that are no longer active.
         self.refresh();
         let clock_start = unix_time().saturating_sub(Duration::from_millis(self.now().as_millis()));
         documents::drift_report(&self.state().detector, &self.node.process().name, clock_start)
     }
 
-    /// Returns the number of alarms that this process raised.
+    /// Returns the number of alarms that this process has raised.
     pub(super) fn alarms_raised(&self) -> u64 {
         self.alarms_raised.load(Ordering::Relaxed)
     }
@@ -184,7 +185,7 @@
     }
 }
 
-#[allow(clippy::disallowed_methods, reason = "shown to operators")]
+#[allow(clippy::disallowed_methods, reason = "wall-clock time for operators; measures no duration")]
 fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/src/net/policy/drift_monitor/restore.rs
+++ b/src/net/policy/drift_monitor/restore.rs
@@ -1,4 +1,4 @@
-//! The restore of the approved policy at this process.
+//! Restoring the approved policy at this process after drift.
 
 use super::DriftMonitor;
 use crate::net::log::log;
@@ -9,10 +9,10 @@
 
 impl DriftMonitor {
     /// Decides: whether this process restores the approved version by itself.
-    /// Inputs: since when its active settings differ from the approved ones, and the configured
-    /// duration after which it restores them, if any.
-    /// Reason: settings may have been applied to one process on purpose, so that it restores the
-    /// approved ones only if the configuration says so.
+    /// Inputs: the time since which its active settings differ from the approved ones, and the
+    /// configured duration of drift after which it restores them, if any.
+    /// Reason: settings may have been applied to one process on purpose, so the process restores
+    /// the approved ones only if the configuration says so.
     pub(super) fn restore_if_due(&self) {
         let Some(restore_after) = self.restore_after else { return };
         let is_due = {
@@ -30,24 +30,25 @@
             }
         };
         if is_due {
-            // It fails if another version has been approved meanwhile; the next round decides
-            // again.
+            // The restore fails if another version has been approved meanwhile; the next round
+            // decides again.
             let _ = self.restore();
         }
     }
 
-    /// Applies the approved version again, and returns its number.
+    /// Applies the approved version again and returns its number.
     ///
     /// # Errors
     ///
-    /// If the approved version is not known here, or another version is active here.
+    /// [`RestoreError`] if this process does not have the text of the approved version, or if
+    /// another version is active here.
     pub(in crate::net::policy) fn restore(&self) -> Result<u64, RestoreError> {
         let (version, text) = self.node.approved_policy().ok_or(RestoreError::ApprovedUnknown)?;
         if self.node.status().active_version != version {
             return Err(RestoreError::OtherVersion);
         }
         self.applier.apply(version, &text);
-        log(&format!("policy: version {version} is active again, as it was approved"));
+        log(&format!("policy: restored the approved version {version}"));
         self.state().differs_since = None;
         Ok(version)
     }
--- a/src/net/policy/error/tests.rs
+++ b/src/net/policy/error/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Operators read these texts in the JSON of `/control/policy`.
+/// Guards the texts that operators read in the JSON of `/control/policy`.
 #[test]
 fn errors_of_a_policy_text_name_the_key_and_the_values() {
     let unknown = PolicyTextError::UnknownKey { key: "Tik".into(), nearest: "Tick".into() };
--- a/src/net/policy/golden_tests.rs
+++ b/src/net/policy/golden_tests.rs
@@ -1,15 +1,13 @@
-//! The digests of the active settings, and the text of the policy. Processes of other versions
-//! compare both. All figures were recorded before any renaming.
-//!
-//! Invariant: if a digest changed, every process that runs another version would be reported as
-//! drifting.
+//! Golden tests of the digests of the active settings and of the text of the policy. Processes of
+//! different program versions compare both: if a digest changed, every process that runs another
+//! program version would be reported as drifting.
 
 use super::{applier, digest, digest_input, text};
 use pinetrail_config::ParsedSettings;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Every key that counts in a digest, none with its default.
+/// Settings with every key that contributes to a digest, none with its default value.
 fn settings() -> Value {
     json!({
         "GroupSize": 5,
@@ -71,7 +69,7 @@
     assert_eq!(digest::combined_digest(&BTreeMap::new()), COMBINED_DIGEST_OF_NO_PARTS);
 }
 
-/// What digests are made from: the first lines to read if one of them has changed.
+/// Shows which text differs if a recorded digest no longer matches.
 #[test]
 fn digest_input_is_the_recorded_text_of_format_version_1() {
     let settings = ParsedSettings::parse(&settings()).unwrap().settings;
--- a/src/net/policy/mod.rs
+++ b/src/net/policy/mod.rs
@@ -1,9 +1,11 @@
-//! One policy for the fleet: the driver of `pinetrail-policy-consensus`. Read [`Policy`] first.
+//! This process's part in the fleet's common policy: the driver of `pinetrail-policy-consensus`.
+//! Read [`Policy`] first.
 //!
-//! It owns a thread with a tokio runtime, on which the connections of peers and policy consensus
-//! run. `directory` sets the peers of the transport, `applier` makes agreed versions active,
-//! `drift_monitor` compares the active settings with the approved ones, and `admin` responds to
-//! operators. Without `fleet.policy` in the configuration none of it runs.
+//! The driver owns a thread with a tokio runtime, which runs the connections to peers and policy
+//! consensus. `directory` sets the peers of the transport, `presence` controls the listener and the
+//! voter of this process, `applier` makes agreed versions active, `drift_monitor` compares the
+//! active settings with the approved ones, and `admin` responds to operators. None of it runs
+//! unless the configuration has `fleet.policy`.
 
 pub mod admin;
 mod applier;
@@ -37,9 +39,9 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use thread::{PolicyTasks, PolicyThread};
 
-/// The Retry-After of a request that is rejected because no admission lease is held.
+/// The Retry-After of a request that is rejected because this process holds no admission lease.
 const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// The pause between two checks whether this process has caught up.
+/// The pause between two checks whether this process admits requests.
 const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The parameters of [`Policy::start`].
@@ -52,15 +54,15 @@
     pub dispatcher: &'a Arc<Dispatcher>,
     /// The backends to which policies are applied.
     pub backends: &'a Arc<BackendService>,
-    /// The settings in this process's file: the first policy of a new fleet.
+    /// The settings in the file of this process: the initial policy of a new fleet.
     pub settings: &'a Value,
     /// The peers that another process of this proxy handed over.
     pub handed_over_peers: Vec<PeerAddress>,
-    /// Seeds the random numbers, together with the time of the start.
+    /// The seed of the random numbers, which is combined with the time of the start.
     pub seed: u64,
 }
 
-/// The part of this process in the fleet's policy. It ends when this value is dropped.
+/// This process's part in the fleet's policy. The policy thread ends when this value is dropped.
 pub struct Policy {
     config: PolicyConfig,
     node: Arc<ConsensusNode<TcpNetwork>>,
@@ -71,12 +73,13 @@
 }
 
 impl Policy {
-    /// Starts it, and connects with the peers that were handed over and with those of the fleet.
+    /// Starts the policy thread, which connects to the handed-over peers and to those of the fleet.
     /// From then on the dispatcher admits requests only under an admission lease.
     ///
     /// # Errors
     ///
-    /// If the settings are not valid as the fleet's policy, or the thread cannot be started.
+    /// [`PolicyError`] if the settings are invalid as the fleet's initial policy, or if the thread
+    /// cannot be started.
     pub fn start(parameters: PolicyParameters<'_>) -> Result<Arc<Policy>, PolicyError> {
         let lease = new_lease(&parameters.config);
         parameters.dispatcher.set_admission_lease(Arc::clone(&lease));
@@ -109,8 +112,9 @@
         Ok(Arc::new(Policy { config, node, applier, directory, drift_monitor, thread }))
     }
 
-    /// Waits until this process may admit requests. Returns false if it has to stop before. It
-    /// blocks the calling thread.
+    /// Blocks the calling thread until this process may admit requests. Returns `false` if a stop
+    /// is requested before. Logs once why this process is not ready if the wait exceeds the
+    /// configured time.
     pub fn wait_until_admitting(&self, mut is_stop_requested: impl FnMut() -> bool) -> bool {
         let started_at = Instant::now();
         let mut is_logged = false;
@@ -138,7 +142,7 @@
         self.node.not_ready_reason()
     }
 
-    /// Whether SIGHUP applies the settings of the file.
+    /// Whether SIGHUP applies the settings in the file of this process.
     pub fn allows_local_settings(&self) -> bool {
         self.config.allows_local_reload
     }
@@ -154,13 +158,13 @@
         self.applier.longest_client_timeout()
     }
 
-    /// Returns the learnt processes of the fleet, this one included, for the next process of this
-    /// proxy.
+    /// Returns the listener addresses of the known processes of the fleet, including this one, to
+    /// hand over to the next process of this proxy.
     pub fn peer_addresses(&self) -> Vec<PeerAddress> {
         self.directory.peer_addresses()
     }
 
-    /// Returns the counters, by their names in `stats`.
+    /// Returns the counters of the policy, by their names in `stats`.
     pub fn counters(&self) -> Vec<(&'static str, u64)> {
         vec![
             ("policy_version", self.node.status().active_version),
@@ -213,7 +217,7 @@
     ConsensusNode::new(settings, &fleet_name, transport, applier, lease)
 }
 
-#[allow(clippy::disallowed_methods, reason = "names a start of this process; no span is measured by it")]
+#[allow(clippy::disallowed_methods, reason = "identifies a start of this process; measures no duration")]
 fn unix_micros() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX)
--- a/src/net/policy/presence.rs
+++ b/src/net/policy/presence.rs
@@ -1,6 +1,6 @@
-//! The listener for peers and the vote of this process, which it has while it is the active member
-//! of the fleet for its proxy. During a hot restart the other process of the proxy may be the
-//! active member; this one then only dials. Read [`Presence`].
+//! [`Presence`]: the listener for peers and the voter of this process. A process has them only
+//! while it is its proxy's active member of the fleet. During a hot restart, the inactive one of
+//! the proxy's two processes only dials peers.
 
 use crate::net::log::log;
 use pinetrail_config::PolicyConfig;
@@ -11,47 +11,47 @@
 use std::sync::Arc;
 use tokio::task::JoinHandle;
 
-/// Whether this process is the active member of the fleet for its proxy.
+/// Whether this process is its proxy's active member of the fleet.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Activity {
     Active,
     Inactive,
 }
 
-/// The vote of this process.
+/// Whether this process has claimed the voter that the configuration gives its proxy.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum VoterRole {
-    /// Not held yet.
+    /// The claim has not succeeded yet.
     Pending,
-    /// Held, if the configuration gives this proxy a voter id.
+    /// The process is the voter, or the configuration gives its proxy no voter id.
     Resolved,
 }
 
-/// The listener and the vote of this process.
+/// Starts and stops the listener and the voter of this process.
 pub(super) struct Presence {
     config: PolicyConfig,
     node: Arc<ConsensusNode<TcpNetwork>>,
     /// The task that accepts connections. It is aborted when this process becomes inactive.
     listener: Option<JoinHandle<()>>,
     voter_role: VoterRole,
-    /// The last error that was logged.
+    /// The last logged error, which is not logged again.
     last_error: Option<String>,
 }
 
 impl Presence {
-    /// Creates the presence of a process that neither listens nor votes.
+    /// Creates the state of a process that neither listens nor votes.
     pub(super) fn new(config: PolicyConfig, node: Arc<ConsensusNode<TcpNetwork>>) -> Presence {
         Presence { config, node, listener: None, voter_role: VoterRole::Pending, last_error: None }
     }
 
-    /// Decides: whether this process listens for peers and votes: it does as the active member.
+    /// Decides: whether this process listens for peers and votes: only as the active member.
     /// Inputs: the activity of this process, from membership.
-    /// Reason: other processes find the voter of a proxy at one listener.
+    /// Reason: other processes reach the voter of a proxy at one listener.
     ///
-    /// Invariant: two processes of one proxy must not vote with the same voter id. Only the active
-    /// member holds it.
+    /// Invariant: two processes of one proxy must not vote with the same voter id, so only the
+    /// active member has it.
     ///
-    /// A step that fails is repeated at the next call.
+    /// A step that fails is retried at the next call.
     pub(super) async fn update(&mut self, activity: Activity) {
         match activity {
             Activity::Inactive => self.withdraw(),
@@ -82,10 +82,14 @@
         };
         match self.become_voter(voter_id, &state_dir) {
             Ok(()) => self.voter_role = VoterRole::Resolved,
-            // The previous process of this proxy still holds the lock of the directory.
+            // The previous process of this proxy still holds the lock on the state directory; the
+            // next update retries.
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(error) => {
-                self.log_if_new(format!("this founder cannot vote: {}: {error}", state_dir.display()));
+                self.log_if_new(format!(
+                    "this founder cannot vote: its storage in {}: {error}",
+                    state_dir.display()
+                ));
             }
         }
     }
@@ -105,7 +109,7 @@
         self.voter_role = VoterRole::Pending;
     }
 
-    /// Logs an error, unless it is the last one that was logged.
+    /// Logs an error, unless its text is that of the last logged one.
     fn log_if_new(&mut self, error: String) {
         if self.last_error.as_ref() != Some(&error) {
             log(&format!("ERROR: policy: {error}; the process retries"));
--- a/src/net/policy/thread.rs
+++ b/src/net/policy/thread.rs
@@ -11,23 +11,23 @@
 use std::thread;
 use tokio::runtime::{Builder, Handle};
 
-/// The tasks that run on the thread.
+/// The components whose tasks run on the thread.
 pub(super) struct PolicyTasks {
     pub(super) node: Arc<ConsensusNode<TcpNetwork>>,
     pub(super) directory: Arc<PeerDirectory>,
     pub(super) drift_monitor: Arc<DriftMonitor>,
 }
 
-/// A thread with a tokio runtime. After this value is dropped, the thread ends, and with it all
+/// A thread with a tokio runtime. Dropping the value signals the thread to stop, which ends all
 /// tasks of the runtime.
 pub(super) struct PolicyThread {
     runtime: Handle,
-    /// Its drop closes the channel, which the thread takes as the signal to stop.
+    /// Closes the channel when dropped, which signals the thread to stop.
     _stop: Sender<()>,
 }
 
 impl PolicyThread {
-    /// Starts the thread and waits until its runtime is up.
+    /// Starts the thread and blocks until its runtime is ready.
     pub(super) fn spawn(tasks: PolicyTasks) -> Result<PolicyThread, PolicyError> {
         let (stop_sender, stop) = channel();
         let (started_sender, started) = channel();
@@ -39,7 +39,7 @@
         Ok(PolicyThread { runtime, _stop: stop_sender })
     }
 
-    /// Returns the runtime of the thread, on which other threads may spawn tasks.
+    /// Returns a handle to the runtime of the thread, on which other threads may spawn tasks.
     pub(super) fn runtime(&self) -> &Handle {
         &self.runtime
     }
@@ -49,7 +49,7 @@
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            // The receiver waits in `spawn`.
+            // Cannot fail: `spawn` waits on the receiver.
             let _ = started.send(Err(error));
             return;
         }
@@ -57,7 +57,7 @@
     runtime.block_on(async {
         let _ = started.send(Ok(Handle::current()));
         tasks.node.start();
-        // The task ends with the runtime.
+        // This task ends when the runtime is dropped.
         tokio::spawn(tasks.drift_monitor.run());
         tasks.directory.run(stop).await;
     });
