--- a/src/net/fleet/operator_view/event_log.rs
+++ b/src/net/fleet/operator_view/event_log.rs
@@ -37,9 +37,7 @@
             Some("its lease has ended: this process may use only its guaranteed minimum".to_owned())
         }
         QuotaEvent::BecameLeader => Some("this process is the quota leader: it grants leases".to_owned()),
-        QuotaEvent::LostLeadership => {
-            Some("this process is no longer the quota leader: it grants no leases".to_owned())
-        }
+        QuotaEvent::LostLeadership => Some("this process is no longer the quota leader".to_owned()),
         QuotaEvent::ViewChanged(number) => Some(format!("the latest decided view of the quota is {number}")),
     }
 }
