--- a/src/net/policy/applier.rs
+++ b/src/net/policy/applier.rs
@@ -101,7 +101,9 @@
         Some(ApprovedPolicy { version, part_digests })
     }
 
-    /// Decides: whether a policy is valid here after the active one; if so, returns its settings.
+    /// Returns the settings of a policy if it may follow the active one at this process.
+    ///
+    /// Decides: whether a policy is valid here after the active one.
     /// Inputs: the text of the policy, the local settings, the active policy, and the longest
     /// duration of an attempt, in ms.
     /// Reason: a version becomes active at all processes or at none, so each process has to accept
@@ -121,7 +123,9 @@
         Ok(parsed)
     }
 
-    /// Decides: whether the client timeouts fit into the longest duration of an attempt.
+    /// Checks that no client timeout exceeds the longest duration of an attempt.
+    ///
+    /// Decides: whether settings are rejected because their attempts could outlive their leases.
     /// Inputs: the settings, and that duration in ms.
     /// Reason: leased quota is granted again when that duration has passed after the end of its
     /// lease. A longer attempt would use quota that another process already holds.
--- a/src/net/policy/drift_monitor/restore.rs
+++ b/src/net/policy/drift_monitor/restore.rs
@@ -8,6 +8,8 @@
 use std::time::Instant;
 
 impl DriftMonitor {
+    /// Restores the approved version if this process has drifted for the configured time.
+    ///
     /// Decides: whether this process restores the approved version by itself.
     /// Inputs: the time since which its active settings differ from the approved ones, and the
     /// configured duration of drift after which it restores them, if any.
