--- a/src/logic/slow_start/tests.rs
+++ b/src/logic/slow_start/tests.rs
@@ -13,8 +13,8 @@
     Backend { info, ..Backend::default() }
 }
 
-fn decision(home: u32, draw: f64, age_ms: f64) -> SlowStartDecision {
-    let request = WarmUpInputs { home: Some(BackendId(home)), sample: draw };
+fn decision(home: u32, sample: f64, age_ms: f64) -> SlowStartDecision {
+    let request = WarmUpInputs { home: Some(BackendId(home)), sample };
     decide(&backend(STARTED), &SAFETY_LIMITS, request, Timestamp::from_ms(STARTED + age_ms))
 }
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -15,27 +15,27 @@
 #[derive(Clone, Debug)]
 enum Step {
     Wait(f64),
-    Arrive { class: u8, key: KeyNumber, budget: f64, write: bool },
+    Arrive { class: u8, key: KeyNumber, budget: f64, is_write: bool },
     End { pick: usize, outcome: u8 },
     Disconnect { pick: usize },
     ChangeEndpoint { server: BackendNumber, state: u8, restart: bool },
     CompleteList { mask: u8, form: u8 },
     ListFailed,
-    ChangeSettings { class_shift: u8, max_attempts: u32 },
+    ChangeSettings { shift: u8, max_attempts: u32 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (0.0..60.0f64).prop_map(Step::Wait),
         6 => (0..5u8, 0..12u64, 0.0..900.0f64, any::<bool>())
-            .prop_map(|(class, key, budget, write)| Step::Arrive { class, key, budget, write }),
+            .prop_map(|(class, key, budget, is_write)| Step::Arrive { class, key, budget, is_write }),
         6 => (any::<usize>(), 0..9u8).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
         1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
         1 => (1..6u32, 0..3u8, any::<bool>())
             .prop_map(|(server, state, restart)| Step::ChangeEndpoint { server, state, restart }),
         1 => (any::<u8>(), 0..2u8).prop_map(|(mask, form)| Step::CompleteList { mask, form }),
         1 => Just(Step::ListFailed),
-        1 => (0..5u8, 1..5u32).prop_map(|(class_shift, max_attempts)| Step::ChangeSettings { class_shift, max_attempts }),
+        1 => (0..5u8, 1..5u32).prop_map(|(shift, max_attempts)| Step::ChangeSettings { shift, max_attempts }),
     ]
 }
 
@@ -144,7 +144,7 @@
     fn apply(&mut self, step: &Step) {
         match *step {
             Step::Wait(time) => self.wait(time),
-            Step::Arrive { class, key, budget, write } => self.arrive(class, key, budget, write),
+            Step::Arrive { class, key, budget, is_write } => self.arrive(class, key, budget, is_write),
             Step::End { pick, outcome } => self.end(pick, outcome),
             Step::Disconnect { pick } => self.disconnect(pick),
             Step::ChangeEndpoint { server, state, restart } => {
@@ -160,14 +160,12 @@
                 let list: Vec<EndpointInfo> = (1..6).filter(|id| mask >> id & 1 == 1).map(endpoint).collect();
                 self.send_list([ListForm::Full, ListForm::Cached][usize::from(form)], list);
             }
-            Step::ChangeSettings { class_shift, max_attempts } => {
-                self.change_settings(class_shift, max_attempts)
-            }
+            Step::ChangeSettings { shift, max_attempts } => self.change_settings(shift, max_attempts),
             Step::ListFailed => self.feed(Event::EndpointList { form: ListForm::Failed, endpoints: vec![] }),
         }
     }
 
-    fn arrive(&mut self, class: u8, key: KeyNumber, budget: f64, write: bool) {
+    fn arrive(&mut self, class: u8, key: KeyNumber, budget: f64, is_write: bool) {
         let id = self.next_request;
         self.next_request += 1;
         self.open.insert(id, 0);
@@ -175,12 +173,12 @@
         let request = id.to_string();
         let asked = HistoryEvent::RequestSent { proxy: PROXY.into(), request, class: class_name, budget };
         self.recorder.record(self.harness.now, asked);
-        let hint = (!key.is_multiple_of(3)).then_some(span(10.0 * key as f64));
+        let work_hint = (!key.is_multiple_of(3)).then_some(span(10.0 * key as f64));
         self.feed(Event::Request(Request {
             class,
             budget: span(budget),
-            is_write: write,
-            work_hint: hint,
+            is_write,
+            work_hint,
             ..read(id, key)
         }));
     }
@@ -218,11 +216,11 @@
         }
     }
 
-    fn change_settings(&mut self, class_shift: u8, max_attempts: u32) {
-        self.class_shift = class_shift;
+    fn change_settings(&mut self, shift: u8, max_attempts: u32) {
+        self.class_shift = shift;
         self.record_active_settings(max_attempts as usize);
         let mut settings = Settings::from_json(settings_json(true).as_bytes()).unwrap();
-        settings.classes.rotate_left(usize::from(class_shift));
+        settings.classes.rotate_left(usize::from(shift));
         settings.limits.max_attempts = max_attempts;
         self.harness.balancer.apply_settings(settings);
     }
