--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -1,45 +1,47 @@
-//! Admission: which requests are shed while the cache nodes or the origin are overloaded. Read
-//! [`AdmissionControl`] first.
+//! Admission control: which requests are shed while the cache nodes or the origin are overloaded.
+//! Read [`AdmissionControl`] first.
 
 use super::concurrency_limit::Timeliness;
 use crate::interface::{GiveUpReason, Outcome};
 use crate::state::Tier;
 
-/// The lowest probability of admission, so that some requests still test the backends.
+/// The lowest admission probability. It is above 0 so that some requests still probe whether the
+/// backends have recovered.
 const MIN_PROBABILITY: f64 = 0.02;
-/// A slow response multiplies the probability of admission by this.
+/// The factor by which a slow attempt multiplies the admission probability.
 const DECREASE_FACTOR: f64 = 0.8;
-/// A response in time raises the probability of admission by this.
+/// The amount that an attempt in time adds to the admission probability.
 const INCREASE_STEP: f64 = 0.1;
-/// The lowest priority weight that counts, so that a class without any is still admitted at times.
+/// The lowest effective priority weight. It is above 0 so that a class of weight 0 is still
+/// admitted at times.
 const MIN_PRIORITY_WEIGHT: f64 = 0.01;
 
-/// The answer to a request that asks for admission.
+/// The decision on the admission of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AdmissionDecision {
-    /// It may go on.
+    /// The request is admitted.
     Admit,
-    /// It is shed, for this reason.
+    /// The request is shed for this reason.
     Shed(GiveUpReason),
 }
 
-/// What the admission of an arriving request depends on.
+/// The inputs of [`AdmissionControl::decide_arrival`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ArrivalInputs {
-    /// The priority weight of the request's class; it has no unit.
+    /// The priority weight of the request's class, without unit.
     pub(super) priority_weight: f64,
-    /// The moving average of the priority weights of all requests.
+    /// The moving average of the priority weights of all requests, without unit.
     pub(super) average_priority_weight: f64,
-    /// A random number, evenly spread from 0 to below 1.
+    /// A random number, uniformly distributed from 0 to below 1.
     pub(super) sample: f64,
 }
 
-/// With which probability a request is admitted, from 0 to 1.
+/// The admission probabilities of both tiers, each from 0 to 1.
 #[derive(Debug)]
 pub(super) struct AdmissionControl {
-    /// To the cache nodes, when it arrives.
+    /// The probability that a request of average priority weight is admitted when it arrives.
     node_probability: f64,
-    /// To the origin, after a miss.
+    /// The probability that a request is admitted to the origin after a miss.
     origin_probability: f64,
 }
 
@@ -50,7 +52,8 @@
 }
 
 impl AdmissionControl {
-    /// Decides: whether an arriving request may go to the cache nodes, or is shed.
+    /// Decides whether an arriving request may be sent to the cache nodes or is shed.
+    ///
     /// Inputs: priority weights, without unit; a random number from 0 to below 1.
     /// Reason: under overload, requests of low priority weight are shed first.
     pub(super) fn decide_arrival(&self, inputs: ArrivalInputs) -> AdmissionDecision {
@@ -63,9 +66,11 @@
         }
     }
 
-    /// Decides: whether a request that missed may be fetched from the origin, or is shed.
+    /// Decides whether a request that missed may be sent to the origin or is shed.
+    ///
     /// Inputs: a random number from 0 to below 1.
-    /// Reason: the origin is slow and shared, and queued fetches would all come too late.
+    /// Reason: the origin is slow and shared by all proxies, so that all queued fetches would miss
+    /// their deadlines.
     pub(super) fn decide_fetch(&self, sample: f64) -> AdmissionDecision {
         if sample >= self.origin_probability {
             AdmissionDecision::Shed(GiveUpReason::OriginOverloaded)
@@ -74,10 +79,11 @@
         }
     }
 
-    /// Decides: how the probability of admission follows a response.
-    /// Inputs: the kind of backend; whether the response came in time.
+    /// Adjusts the admission probability of a tier after an attempt.
+    ///
+    /// Inputs: the tier of the backend; whether the attempt was in time.
     /// Reason: a proxy with a small quota has one attempt in flight at a backend, so that its
-    /// concurrency limit cannot decrease any more; it sheds a fraction of its requests instead.
+    /// concurrency limit cannot decrease any further; it sheds a fraction of its requests instead.
     /// Source: additive increase, multiplicative decrease (Chiu and Jain, 1989).
     pub(super) fn record(&mut self, tier: Tier, timeliness: Timeliness) {
         let probability = match tier {
@@ -91,10 +97,13 @@
     }
 }
 
-/// Decides: whether the probability of admission follows an attempt that ended.
-/// Inputs: how it ended; its timeliness; whether its backend's concurrency limit is the lowest.
-/// Reason: a slow response lowers the concurrency limit first; only where that cannot decrease any
-/// more does the proxy shed requests. An attempt that did not reach its backend shows no load.
+/// Decides whether the end of an attempt adjusts the admission probability.
+///
+/// Inputs: the outcome and timeliness of the attempt; whether the concurrency limit of its backend
+/// is at its minimum.
+/// Reason: a slow attempt first decreases the concurrency limit; the proxy sheds requests only
+/// where that limit cannot decrease any further. An attempt that did not reach its backend says
+/// nothing about the backend's load.
 pub(super) fn should_adjust(outcome: Outcome, timeliness: Timeliness, is_limit_at_minimum: bool) -> bool {
     outcome.reached_backend() && (timeliness == Timeliness::InTime || is_limit_at_minimum)
 }
--- a/src/logic/balancer/attempts.rs
+++ b/src/logic/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they start, and what follows when one ends.
+//! Attempts: starts them, and handles their ends. Read [`Balancer::start_attempt`] first.
 
 use super::Balancer;
 use crate::interface::{Action, AttemptEnd, BackendId, GiveUpReason, Outcome, RequestId};
@@ -11,12 +11,12 @@
 use crate::time::TimeSpan;
 use rand::Rng;
 
-/// The shortest time after which an attempt times out.
+/// The shortest timeout of an attempt.
 const MIN_ATTEMPT_TIMEOUT: TimeSpan = TimeSpan::from_ms(1.0);
 
 impl Balancer {
-    /// Starts an attempt at a backend that takes requests, and decides its times. All attempts start
-    /// here.
+    /// Starts an attempt at a backend that accepts requests and sets its time limits, or gives the
+    /// request up if the attempt is not allowed. All attempts start here.
     pub(super) fn start_attempt(&mut self, id: RequestId, backend: BackendId, out: &mut Vec<Action>) {
         let time = self.decision_time();
         let Some(pending) = self.requests.get(&id) else { return };
@@ -37,8 +37,8 @@
         let Some(pending) = self.requests.get_mut(&end.id) else { return };
         pending.end_attempt(end.attempt, end.outcome);
         let key = pending.request.key;
-        // Invariant: one attempt of a request at a time. While another is in flight, or the request
-        // is queued, this end leads to none.
+        // Invariant: a request has at most one attempt in flight. While another attempt is in
+        // flight, or the request is queued, the end of this one starts no further attempt.
         let must_wait = pending.stage != Stage::InFlight || pending.has_attempt_in_flight();
         if end.outcome == Outcome::Ok {
             if let Some(fetch) = self.fetches.take_led_by(end.id, key) {
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Fetches what a cache node lacks from the origin, where the proxy has to.
+    /// Handles a miss: sheds the request, fetches the key from the origin, or, where no origin is
+    /// ready, retries the request.
     fn on_miss(&mut self, miss: &AttemptEnd, out: &mut Vec<Action>) {
         match self.admission.decide_fetch(self.rng.gen()) {
             AdmissionDecision::Shed(reason) => self.give_up(miss.id, reason, out),
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Fetches a key that a node did not hold, or waits for another request's fetch.
+    /// Fetches from the origin a key that a cache node does not hold, or lets the request wait for
+    /// another request's fetch of the key.
     fn fetch(&mut self, miss: &AttemptEnd, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&miss.id) else { return };
         let key = pending.request.key;
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Makes another attempt after a failure, if the request and the retry budget allow it.
+    /// Retries a request after a failed attempt, or gives it up if its limits or the retry budget
+    /// forbid another attempt.
     fn retry(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let target = retry::target(pending, self.origin_availability());
@@ -97,8 +100,9 @@
         }
     }
 
-    /// Passes on what an outcome says of its backend. An attempt at the process before the present
-    /// one says nothing of that.
+    /// Updates the outlier history, the concurrency limit and the admission probability after an
+    /// attempt. An attempt that was sent to an earlier process of the backend is ignored, since it
+    /// says nothing about the present one.
     fn record_outcome(&mut self, end: &AttemptEnd) {
         let jitter = self.rng.gen_range(JITTER_FACTOR);
         let tier = self.tier(end.backend);
@@ -129,8 +133,8 @@
         }
     }
 
-    /// The latency beyond which an attempt of a request is slow. The class of a request that is gone
-    /// is not known any more, and none of its attempts counts as slow.
+    /// Returns the latency above which an attempt of a request is slow. The class of a request that
+    /// has ended is not known any more, so that none of its attempts is slow by its latency.
     fn slow_threshold(&self, id: RequestId, tier: Tier) -> TimeSpan {
         let Some(pending) = self.requests.get(&id) else { return TimeSpan::MAX };
         let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
@@ -143,8 +147,8 @@
         inputs.slow_threshold()
     }
 
-    /// Lets the probability of admission follow an attempt that ended, or one that is overdue, where
-    /// this proxy's quota is small.
+    /// Adjusts the admission probability after an attempt that has ended or is overdue, if this
+    /// proxy has a small quota.
     pub(super) fn adjust_admission(&mut self, tier: Tier, timeliness: Timeliness) {
         if self.has_small_quota() {
             self.admission.record(tier, timeliness);
--- a/src/logic/balancer/backends.rs
+++ b/src/logic/balancer/backends.rs
@@ -1,5 +1,5 @@
-//! The backends: the endpoint list and the quota as they come in, and plain questions about what is
-//! known of backends.
+//! Backends: applies updates of the endpoint list and of the quota, and answers queries about the
+//! known backends. Read [`Balancer::on_endpoint_list`] first.
 
 use super::Balancer;
 use crate::interface::{Action, BackendId, EndpointInfo, EndpointState, ListForm, Quota};
@@ -10,8 +10,8 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// The value of [`Settings::discovery`](crate::settings::Settings::discovery) where the list comes
-/// only when polled.
+/// The value of [`Settings::discovery`](crate::settings::Settings::discovery) for polling, where
+/// the endpoint list arrives only when it is requested.
 const POLLED_DISCOVERY: &str = "ask";
 
 impl Balancer {
@@ -39,7 +39,7 @@
         }
         self.update_mean_node_weight();
         self.prune_removed_backends();
-        // A draining or removed backend must not be chosen, and a new process has an empty cache.
+        // Draining and removed backends must not be selected, and a new process has an empty cache.
         if !unusable.is_empty() {
             self.keys.remove_backends(|id| unusable.contains(&id));
         }
@@ -52,7 +52,8 @@
         out.push(Action::SetTimer { delay, token: TimerKind::Resubscribe.token_without_request() });
     }
 
-    /// Takes over what a list says of a backend. Returns which process that is.
+    /// Applies an entry of the endpoint list. Returns whether it describes the known process of the
+    /// backend or a new one.
     fn update_backend(&mut self, listed: EndpointInfo) -> ListedProcess {
         let tier = self.tier_of_kind(listed.kind);
         let limit = concurrency_limit::initial_limit(tier, self.quota.divisor(self.now));
@@ -66,7 +67,8 @@
         process
     }
 
-    /// The known backends that a complete list does not name, as removed ones.
+    /// Returns entries with the state `Gone` for all known backends that a complete list does not
+    /// name.
     fn unlisted(&self, complete: &[EndpointInfo]) -> Vec<EndpointInfo> {
         let listed: BTreeSet<BackendId> = complete.iter().map(|endpoint| endpoint.backend).collect();
         let known = self.backends.values().map(|backend| backend.info);
@@ -74,22 +76,23 @@
         unlisted.map(|endpoint| EndpointInfo { state: EndpointState::Gone, ..endpoint }).collect()
     }
 
-    /// Forgets the removed backends to which no pending request has been sent. Backends are replaced
-    /// for as long as a balancer runs.
+    /// Drops removed backends to which no pending request was sent. Backends are replaced for as
+    /// long as a balancer runs, so that the table would otherwise grow without bound.
     fn prune_removed_backends(&mut self) {
         let attempts = self.requests.values().flat_map(|pending| &pending.attempts);
         let used: BTreeSet<BackendId> = attempts.map(|attempt| attempt.backend).collect();
         self.backends.retain(|id, backend| backend.info.state != EndpointState::Gone || used.contains(id));
     }
 
-    /// Computes the average size of the cache nodes anew.
+    /// Recomputes the mean weight of the cache nodes.
     fn update_mean_node_weight(&mut self) {
         let nodes = self.backends.values().filter(|backend| self.is_ready_node(backend));
         let weights = nodes.map(|backend| backend.info.effective_weight());
         self.averages.mean_node_weight = weights.clone().sum::<f64>() / weights.count().max(1) as f64;
     }
 
-    /// Takes over a quota, and scales the limits that were learned with the one before.
+    /// Replaces the quota and rescales the concurrency limits, which were learned under the old
+    /// one.
     pub(super) fn on_quota(&mut self, quota: Quota) {
         let factor = self.quota.replace(quota, self.now);
         for backend in self.backends.values_mut() {
@@ -105,7 +108,7 @@
         }
     }
 
-    /// The kind of backend of an attempt. An origin that is not ready counts as a cache node.
+    /// Returns the tier of a backend. An origin that is not ready counts as a cache node.
     pub(super) fn tier(&self, id: BackendId) -> Tier {
         if self.origin() == Some(id) {
             Tier::Origin
@@ -114,13 +117,13 @@
         }
     }
 
-    /// The origin, if the endpoint list says that it takes requests.
+    /// Returns the origin if the endpoint list says that it accepts requests.
     pub(super) fn origin(&self) -> Option<BackendId> {
         let is_origin = |backend: &&Backend| self.tier_of_kind(backend.info.kind) == Tier::Origin;
         self.backends.values().filter(is_origin).find(|origin| origin.is_ready()).map(Backend::id)
     }
 
-    /// The origin, if it takes requests and has capacity for one more attempt.
+    /// Returns the origin if it accepts requests and has capacity for one more attempt.
     pub(super) fn origin_with_capacity(&self) -> Option<BackendId> {
         let id = self.origin()?;
         let origin = self.backends.get(&id)?;
@@ -128,17 +131,18 @@
         (capacity == CapacityDecision::Available).then_some(id)
     }
 
-    /// Whether a backend is a cache node of which the endpoint list says that it takes requests.
+    /// Returns whether a backend is a cache node that accepts requests according to the endpoint
+    /// list.
     fn is_ready_node(&self, backend: &Backend) -> bool {
         backend.is_ready() && self.tier_of_kind(backend.info.kind) == Tier::CacheNodes
     }
 
-    /// The cache nodes that take requests.
+    /// Returns the cache nodes that accept requests.
     pub(super) fn ready_nodes(&self) -> Vec<&Backend> {
         self.backends.values().filter(|backend| self.is_ready_node(backend)).collect()
     }
 
-    /// The loads of the backends, as this proxy sees them.
+    /// Returns a view of the backends' loads as this proxy sees them.
     pub(super) fn loads(&self) -> LoadView<'_> {
         LoadView {
             backends: &self.backends,
@@ -147,7 +151,7 @@
         }
     }
 
-    /// The order of the backends for a key.
+    /// Returns the inputs from which the rendezvous order of a key is computed.
     pub(super) fn rendezvous_order(&self) -> RendezvousOrder<'_> {
         RendezvousOrder {
             backends: &self.backends,
--- a/src/logic/balancer/mod.rs
+++ b/src/logic/balancer/mod.rs
@@ -1,6 +1,5 @@
-//! [`Balancer`]: the wiring of the decision module. An event comes in, the rules that it concerns
-//! are asked, and their answers become actions. The rules themselves are in the modules beside this
-//! one.
+//! [`Balancer`]: the entry point of the decision module. It dispatches each event to the rules that
+//! apply and turns their decisions into actions. The rules are in the sibling modules.
 
 mod attempts;
 mod backends;
@@ -18,34 +17,34 @@
 use rand::{rngs::SmallRng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// The decisions of one proxy, and what they are made from.
+/// The decision module of one proxy, with its state.
 pub struct Balancer {
     settings: Settings,
     rng: SmallRng,
-    /// The time of the event that is handled.
+    /// The time of the event that is being handled.
     now: Timestamp,
-    /// The backends on the endpoint list, and removed ones that a pending request was sent to.
+    /// The backends on the endpoint list, and removed backends to which a pending request was sent.
     backends: BackendTable,
-    /// Requests without a final response.
+    /// The requests without a final response.
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// The keys used most recently.
+    /// The most recently used keys.
     keys: KeyTable,
     averages: Averages,
-    /// Origin fetches under way.
+    /// The origin fetches in progress.
     fetches: FetchTable,
-    /// Requests that wait for capacity.
+    /// The requests that wait for capacity.
     queue: RequestQueue,
-    /// Whether a timer is set after which the queue is looked at.
+    /// Whether the timer that dispatches queued requests is set.
     is_dispatch_timer_set: bool,
     retry_budget: RetryBudget,
-    /// How many times in a row the endpoint list could not be had.
+    /// The number of consecutive failures to fetch the endpoint list.
     list_failures: i32,
     admission: AdmissionControl,
     quota: ProxyQuota,
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet but its settings. Its random choices follow from `seed`.
+    /// Creates a balancer that knows no backends yet. `seed` determines all its random choices.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         Balancer {
             rng: SmallRng::seed_from_u64(seed),
@@ -65,12 +64,12 @@
         }
     }
 
-    /// The settings in use.
+    /// Returns the active settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Replaces the settings. Pending requests keep those that they arrived with.
+    /// Replaces the settings. Pending requests keep the class and limits that they arrived with.
     pub fn apply_settings(&mut self, settings: Settings) {
         let is_group_size_changed =
             self.quota.is_equal_share() && settings.group_size != self.settings.group_size;
@@ -81,7 +80,8 @@
         }
     }
 
-    /// Limits and admission were learned as the part of another number of proxies.
+    /// Resets the concurrency limits and admission probabilities, which were learned while another
+    /// number of proxies shared the fleet.
     fn reset_learned_limits(&mut self) {
         let divisor = self.quota.divisor(self.now);
         let origin_kind = self.settings.backend_kinds.origin_kind;
@@ -93,7 +93,8 @@
         self.admission = AdmissionControl::default();
     }
 
-    /// Handles one event at `now`, which never falls, and appends what is to be done about it.
+    /// Handles an event at the time `now`, which must never decrease, and appends the resulting
+    /// actions to `out`.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         let may_free_capacity = may_free_capacity(&event);
@@ -113,12 +114,12 @@
         self.set_dispatch_timer(out);
     }
 
-    /// The time by which it is decided what may still be sent.
+    /// Returns the times on which decisions about attempts depend.
     fn decision_time(&self) -> DecisionTime {
         DecisionTime { now: self.now, write_delay: self.settings.write_delay, tick: self.settings.tick }
     }
 
-    /// Which origin there is.
+    /// Returns whether an origin is configured and accepts requests.
     fn origin_availability(&self) -> OriginAvailability {
         if self.settings.backend_kinds.origin_kind < 0 {
             OriginAvailability::NotConfigured
@@ -134,7 +135,7 @@
     }
 }
 
-/// Whether an event may give a queued request the capacity that it waits for.
+/// Returns whether an event may free capacity for which queued requests wait.
 fn may_free_capacity(event: &Event) -> bool {
     const DISPATCH_TOKEN: u64 = TimerKind::DispatchQueued.token_without_request();
     matches!(event, Event::AttemptEnd(_) | Event::EndpointList { .. } | Event::Timer(DISPATCH_TOKEN))
--- a/src/logic/balancer/requests.rs
+++ b/src/logic/balancer/requests.rs
@@ -1,4 +1,5 @@
-//! A request from its arrival to its final response.
+//! Requests: their path from arrival to the final response. Read [`Balancer::on_request`] and
+//! [`Balancer::route`] first.
 
 use super::Balancer;
 use crate::interface::{Action, BackendId, GiveUpReason, Key, Request, RequestId};
@@ -16,15 +17,17 @@
 use crate::time::{TimeSpan, Timestamp};
 use rand::Rng;
 
-/// The weight of a request in the average of the expected work.
+/// The weight of one request in the moving average of the expected work.
 const WORK_AVERAGE_WEIGHT: f64 = 0.02;
-/// The weight of a request in the average of the priority weights.
+/// The weight of one request in the moving average of the priority weights.
 const PRIORITY_AVERAGE_WEIGHT: f64 = 0.05;
-/// The least expected work of a request without a hint, in ms.
+/// The lowest expected work of a request without a hint, in ms.
 const MIN_EXPECTED_WORK_MS: f64 = 1.0;
-/// During a warm-up a proxy with a small quota draws a key's home among at least so many nodes.
+/// The least number of nodes among which a proxy with a small quota selects the home of a key while
+/// a node warms up.
 const MIN_WARM_UP_CANDIDATES: usize = 2;
-/// A key is drawn for warming backends as if for this one, which no list names.
+/// The backend id that is hashed with a key to get the key's warm-up sample. No endpoint list
+/// contains it, so that the sample is independent of the rendezvous scores.
 const WARM_UP_SAMPLE_ID: BackendId = BackendId(u32::MAX);
 
 impl Balancer {
@@ -50,13 +53,14 @@
         self.admit(id, class.priority_weight, out);
     }
 
-    /// How long a backend is expected to work on a request.
+    /// Returns the expected processing time of a request: its hint, or else the moving average.
     fn expected_work(&self, request: &Request) -> TimeSpan {
         let average = self.averages.work_ms.value().max(MIN_EXPECTED_WORK_MS);
         request.work_hint.unwrap_or(TimeSpan::from_ms(average))
     }
 
-    /// Sends a request that has just arrived on its way, or sheds it.
+    /// Routes a request that has just arrived, or sheds it. Writes go to the origin, if one is
+    /// configured, without admission control.
     fn admit(&mut self, id: RequestId, priority_weight: f64, out: &mut Vec<Action>) {
         let is_write = self.requests.get(&id).is_some_and(|pending| pending.request.is_write);
         if is_write && self.origin_availability() != OriginAvailability::NotConfigured {
@@ -73,7 +77,8 @@
         }
     }
 
-    /// Sends a request to the backend that is selected for it, or queues it.
+    /// Sends a request to the cache node that is selected for it; lets it wait if that node is
+    /// about to receive the key from the origin, or queues it if no node is eligible.
     pub(super) fn route(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         if let Err(reason) = retry::check_attempt(pending, self.decision_time()) {
@@ -90,7 +95,7 @@
         }
     }
 
-    /// The cache nodes that may receive a request now.
+    /// Returns the cache nodes that may receive a request now.
     pub(super) fn eligible_nodes(&self, pending: &PendingRequest) -> Vec<BackendId> {
         let nodes = self.ready_nodes();
         let rules = EligibilityRules {
@@ -104,7 +109,8 @@
         rules.eligible_nodes(&nodes, pending)
     }
 
-    /// The home of a request's key while a node warms up, and this proxy's draw for it.
+    /// Returns the inputs of the slow-start rule for a request: the home of its key, if any node
+    /// warms up, and this proxy's sample for the key.
     fn warm_up_inputs(&self, request: &Request, nodes: &[&Backend]) -> WarmUpInputs {
         let key = self.warm_up_key(request, nodes.len());
         let order = self.rendezvous_order();
@@ -124,8 +130,9 @@
         }
     }
 
-    /// The key by which a request is drawn during a warm-up: one of its own for each request of a hot
-    /// key, and for each without a key.
+    /// Returns the key by which the home and sample of a request are computed during a warm-up.
+    /// Each request for a hot key, and each request without a key, gets a key of its own, so that
+    /// these requests spread over all nodes.
     fn warm_up_key(&self, request: &Request, nodes: usize) -> Key {
         let frequency = self.keys.frequency(request.key);
         let load = KeyLoad {
@@ -140,7 +147,7 @@
         }
     }
 
-    /// Selects a backend for a request among the eligible ones, and keeps its key's set.
+    /// Selects one of the eligible backends for a request and updates the endpoint set of its key.
     fn select_backend(&mut self, request: Request, eligible: &[BackendId]) -> Option<BackendId> {
         let entry = self.keys.get(request.key);
         let selection = endpoint_selection::select(&SelectionInputs {
@@ -168,13 +175,13 @@
         Some(chosen)
     }
 
-    /// Whether a new key is among the largest, by the hint of its request.
+    /// Returns whether a new key is large, judged by the hint of its request against recent hints.
     fn is_large(&mut self, request: &Request) -> bool {
         let Some(hint) = request.work_hint else { return false };
         self.averages.large_hint_ms.record_and_compare(hint.as_ms(), LARGE_KEY_FRACTION)
     }
 
-    /// Sends queued requests while there is capacity, the heaviest first.
+    /// Sends queued requests while there is capacity, those of the highest weight first.
     pub(super) fn dispatch_queued(&mut self, out: &mut Vec<Action>) {
         while self.origin_with_capacity().is_some() {
             let Some(queued) = self.queue.pop_heaviest(Stage::QueuedForOrigin) else { break };
@@ -183,7 +190,7 @@
                 break;
             }
         }
-        // A request that is queued again keeps its weight; no lighter one would be sent either.
+        // If a request is queued again, no request of lower weight could be sent either.
         while let Some(queued) = self.queue.pop_heaviest(Stage::QueuedForBackend) {
             self.route(queued.id, out);
             if self.queue.restore_weight(queued) {
@@ -192,7 +199,7 @@
         }
     }
 
-    /// Sends a request to the origin, or queues it for that.
+    /// Sends a request to the origin, or queues it if the origin has no capacity.
     pub(super) fn route_to_origin(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(origin) = self.origin_with_capacity() {
             return self.start_attempt(id, origin, out);
@@ -204,8 +211,8 @@
         }
     }
 
-    /// Sends the requests that waited for a fetch to the node that has the value now, or elsewhere if
-    /// that node may not receive them.
+    /// Sends the requests that waited for a fetch to the node that now holds the value, or routes
+    /// them anew if that node may not receive them.
     pub(super) fn finish_fetch(&mut self, fetch: OriginFetch, out: &mut Vec<Action>) {
         for id in fetch.waiters {
             let pending = self.requests.get(&id);
@@ -217,15 +224,15 @@
         }
     }
 
-    /// Queues a request until there is capacity.
+    /// Queues a request until capacity is available.
     fn enqueue(&mut self, id: RequestId, stage: Stage) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         pending.stage = stage;
         self.queue.push(id, stage, pending.class.priority_weight);
     }
 
-    /// Lets a request wait for the fetch of its key. The request that makes the fetch, if queued
-    /// itself, weighs more from now on.
+    /// Lets a request wait for the fetch of its key. The weight of the request is added to that of
+    /// the request that makes the fetch, if the latter is queued.
     pub(super) fn wait_for_fetch(&mut self, id: RequestId, key: Key) {
         let Some(fetch) = self.fetches.get_mut(key) else { return };
         let Some(pending) = self.requests.get_mut(&id) else { return };
@@ -234,7 +241,7 @@
         self.queue.add_weight(fetch.leader, pending.class.priority_weight);
     }
 
-    /// Ends a request that no backend served.
+    /// Ends a request that no backend served, with a final response from the proxy.
     pub(super) fn give_up(&mut self, id: RequestId, reason: GiveUpReason, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let repeat = idempotency::safety_anywhere(pending, self.decision_time());
@@ -243,8 +250,8 @@
         self.close(id, out);
     }
 
-    /// Forgets a request that has its final response or needs none. The requests that waited for its
-    /// fetch are sent on their way again.
+    /// Removes a request that has its final response or needs none, and routes anew the requests
+    /// that waited for its fetch.
     pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.remove(&id) else { return };
         if pending.stage != Stage::InFlight {
@@ -257,7 +264,7 @@
         }
     }
 
-    /// Lifts the deadline of a request whose response has begun to stream.
+    /// Removes the deadline of a request whose response has begun to stream.
     pub(super) fn clear_deadline(&mut self, id: RequestId) {
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.deadline = Timestamp::NEVER;
@@ -265,7 +272,7 @@
     }
 }
 
-/// The response to a request of a class that the settings do not have.
+/// Returns the response to a request whose class is not in the settings.
 fn reject_unknown_class(id: RequestId) -> Action {
     let reason = GiveUpReason::UnknownClass;
     final_response(id, give_up::decide(reason, RepeatSafety::NeverExecuted, TimeSpan::ZERO), reason)
--- a/src/logic/balancer/timers.rs
+++ b/src/logic/balancer/timers.rs
@@ -1,4 +1,5 @@
-//! Timers: what a deadline, a queued request's shedding and the others lead to.
+//! Timers: handles those that fire, and sets the timer that dispatches queued requests. Read
+//! [`Balancer::on_timer`] first.
 
 use super::Balancer;
 use crate::interface::{Action, GiveUpReason};
@@ -23,14 +24,16 @@
                 if pending.stage != Stage::InFlight {
                     self.give_up(timer.request, GiveUpReason::QueuedTooLong, out);
                 } else if pending.last_backend() != self.origin() {
-                    // A node that has not answered by then is slow already.
+                    // A node that has not answered by this time counts as slow before its attempt
+                    // ends.
                     self.adjust_admission(Tier::CacheNodes, Timeliness::Slow);
                 }
             }
         }
     }
 
-    /// Sets the timer after which the queue is looked at, unless it is set.
+    /// Sets the timer that dispatches queued requests, unless the queue is empty or the timer is
+    /// already set.
     pub(super) fn set_dispatch_timer(&mut self, out: &mut Vec<Action>) {
         if self.queue.is_empty() || self.is_dispatch_timer_set {
             return;
@@ -41,7 +44,7 @@
     }
 }
 
-/// Whether a request still has a deadline: its response has not begun to stream.
+/// Returns whether a request still has a deadline, that is, its response has not begun to stream.
 fn has_deadline(pending: &PendingRequest) -> bool {
     pending.deadline < Timestamp::NEVER
 }
--- a/src/logic/concurrency_limit/aimd.rs
+++ b/src/logic/concurrency_limit/aimd.rs
@@ -1,50 +1,56 @@
-//! How a concurrency limit follows the responses: additive increase, multiplicative decrease.
+//! Adjusts a concurrency limit after each attempt: additive increase, multiplicative decrease
+//! (AIMD). Read [`record`] first.
 
 use super::MIN_LIMIT;
 use crate::interface::Outcome;
 use crate::state::{ConcurrencyLimit, Tier};
 use crate::time::{TimeSpan, Timestamp};
 
-/// A decrease multiplies the limit by this.
+/// The factor by which a decrease multiplies the limit.
 const DECREASE_FACTOR: f64 = 0.7;
-/// The weight of an attempt in the average of slow attempts.
+/// The weight of one attempt in the moving average of the fraction of slow attempts.
 const SLOW_AVERAGE_WEIGHT: f64 = 0.1;
-/// The origin is crowded while more than this fraction of its recent attempts was slow.
+/// The fraction of slow recent attempts above which the origin counts as congested.
 const CONGESTED_ORIGIN_SLOW_FRACTION: f64 = 0.25;
-/// A limit is in use while this many times the attempts in flight exceed it.
+/// The multiple of the attempts in flight that must exceed the limit for the limit to count as
+/// used: a limit is used while more than half of it is in flight.
 const IN_USE_MULTIPLE: f64 = 2.0;
-/// At the origin, an attempt is slow beyond this fraction of the shortest latency objective.
+/// The queueing time above which an attempt at the origin is slow, as a fraction of the shortest
+/// latency objective of all classes.
 const ORIGIN_OBJECTIVE_FRACTION: f64 = 0.5;
-/// At a cache node, an attempt is slow beyond this fraction of its class's latency objective.
+/// The queueing time above which an attempt at a cache node is slow, as a fraction of the latency
+/// objective of its class.
 const NODE_OBJECTIVE_FRACTION: f64 = 0.25;
 
-/// How long an attempt took, against what its class asks for.
+/// Whether an attempt ended within its slow threshold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timeliness {
-    /// No longer than it may.
+    /// The attempt ended within the slow threshold, and was neither rejected nor timed out.
     InTime,
-    /// Longer, or it was not served in time at all.
+    /// The attempt took longer than the slow threshold, was rejected, or timed out.
     Slow,
 }
 
-/// What the timeliness of an attempt depends on.
+/// The inputs of the slow threshold.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlowThresholdInputs {
-    /// The kind of backend.
+    /// The tier of the backend.
     pub(crate) tier: Tier,
     /// The latency objective of the request's class.
     pub(crate) latency_objective: TimeSpan,
     /// The shortest latency objective of all classes.
     pub(crate) shortest_objective: TimeSpan,
-    /// How long the backend was expected to work on it.
+    /// The expected processing time of the request at the backend.
     pub(crate) expected_work: TimeSpan,
 }
 
 impl SlowThresholdInputs {
-    /// Decides: beyond which latency an attempt is slow.
-    /// Inputs: the latency objectives and the expected work, in ms.
+    /// Decides the latency above which an attempt is slow.
+    ///
+    /// Inputs: the tier; the latency objectives and the expected work, in ms.
     /// Reason: the time that an attempt takes beyond the expected work is spent in queues. The
-    /// origin serves all classes, so that the most urgent one sets what is slow there.
+    /// origin serves all classes, so that the class with the shortest objective sets the threshold
+    /// there.
     pub(crate) fn slow_threshold(&self) -> TimeSpan {
         let queueing = match self.tier {
             Tier::Origin => self.shortest_objective * ORIGIN_OBJECTIVE_FRACTION,
@@ -55,7 +61,7 @@
 }
 
 impl Timeliness {
-    /// The timeliness of an attempt that ended like this. One that was rejected or timed out is slow.
+    /// Classifies an ended attempt. Rejected attempts and timeouts are always slow.
     pub(crate) fn of(outcome: Outcome, latency: TimeSpan, slow_threshold: TimeSpan) -> Timeliness {
         if latency > slow_threshold || matches!(outcome, Outcome::Full | Outcome::Timeout) {
             Timeliness::Slow
@@ -65,28 +71,30 @@
     }
 }
 
-/// An attempt that has ended, and what the limit's change depends on.
+/// An ended attempt, with the inputs of [`record`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TimedAttempt {
-    /// How it ended.
+    /// The outcome of the attempt.
     pub(crate) outcome: Outcome,
-    /// How long it took.
+    /// The time between sending the attempt and its end.
     pub(crate) latency: TimeSpan,
-    /// How long it took against what its class asks for.
+    /// Whether the attempt ended within its slow threshold.
     pub(crate) timeliness: Timeliness,
-    /// The kind of backend.
+    /// The tier of the backend.
     pub(crate) tier: Tier,
-    /// The attempts in flight at the backend, this one included.
+    /// The number of attempts in flight at the backend, including this one.
     pub(crate) in_flight: f64,
     /// The time now.
     pub(crate) now: Timestamp,
 }
 
-/// Decides: how a concurrency limit changes as an attempt ends.
-/// Inputs: the attempt's outcome, latency, timeliness and kind of backend; the attempts in flight; the
-/// time now.
-/// Reason: a limit in use grows while responses come in time, and falls once for each time that
-/// the backend is crowded. Attempts sent before the last decrease do not decrease it again.
+/// Adjusts a concurrency limit after an attempt has ended.
+///
+/// Inputs: the attempt's outcome, latency, timeliness and tier; the attempts in flight; the time
+/// now.
+/// Reason: a limit that is used grows while responses come in time, and decreases once each time
+/// the backend becomes congested: attempts sent before the last decrease do not decrease the limit
+/// again, since they met the same congestion.
 /// Source: Chiu and Jain (1989); TCP's congestion avoidance (RFC 5681, section 3.1).
 pub(crate) fn record(limit: &mut ConcurrencyLimit, attempt: TimedAttempt) {
     let is_slow = attempt.timeliness == Timeliness::Slow;
@@ -101,12 +109,13 @@
     }
 }
 
-/// Decides: whether a slow attempt shows that its backend is crowded.
+/// Decides whether a slow attempt shows that its backend is congested.
+///
 /// Inputs: as for [`record`].
-/// Reason: fetches differ in length, so that a limit decreased for each long one would stay far
-/// below what the origin can take: there a fraction of them has to be slow. A node that pauses
-/// rejects what has waited there, however few attempts are in flight; decreasing its limit would
-/// send its keys to nodes that lack them, and the misses to the origin.
+/// Reason: fetches differ in length, so that a limit that each long fetch decreased would stay far
+/// below the capacity of the origin; there a fraction of the attempts has to be slow. A node that
+/// pauses rejects the attempts that waited there, however few are in flight; a decrease of its
+/// limit would send its keys to nodes that lack them, and the misses to the origin.
 fn is_congested(limit: &ConcurrencyLimit, attempt: TimedAttempt) -> bool {
     let is_rejected = attempt.outcome == Outcome::Full;
     match attempt.tier {
--- a/src/logic/concurrency_limit/mod.rs
+++ b/src/logic/concurrency_limit/mod.rs
@@ -1,6 +1,6 @@
 //! Concurrency limit: how many attempts this proxy may have in flight at a backend. Read
-//! [`decide_capacity`] first. How the limit follows the responses is in `aimd`, which part of the
-//! fleet's limit is this proxy's in `quota`.
+//! [`decide_capacity`] first. `aimd` adjusts the limit after each attempt; `quota` determines this
+//! proxy's part of the fleet-wide limit.
 
 mod aimd;
 mod quota;
@@ -12,36 +12,37 @@
 use crate::state::{Backend, ConcurrencyLimit, Tier};
 use crate::time::{TimeSpan, Timestamp};
 
-/// All proxies together have this many attempts in flight at a cache node at first.
+/// The initial concurrency limit of all proxies together at a cache node, in attempts.
 const INITIAL_NODE_LIMIT: f64 = 32.0;
-/// All proxies together have this many attempts in flight at the origin at first.
+/// The initial concurrency limit of all proxies together at the origin, in attempts.
 const INITIAL_ORIGIN_LIMIT: f64 = 8.0;
-/// The least attempts in flight that a proxy has at a cache node at first.
+/// The least initial concurrency limit of one proxy at a cache node, in attempts.
 const MIN_INITIAL_NODE_LIMIT: f64 = 1.0;
-/// The least attempts in flight that a proxy has at the origin at first.
+/// The least initial concurrency limit of one proxy at the origin, in attempts.
 const MIN_INITIAL_ORIGIN_LIMIT: f64 = 2.0;
-/// The lowest concurrency limit.
+/// The lowest concurrency limit, in attempts.
 const MIN_LIMIT: f64 = 1.0;
-/// Below this limit a backend rests after a decrease.
+/// The concurrency limit, in attempts, below which a backend gets a cooldown after a decrease.
 const COOLDOWN_BELOW_LIMIT: f64 = 2.0;
-/// How long a backend rests.
+/// The time after a decrease during which a backend with a low limit gets no attempt.
 const COOLDOWN: TimeSpan = TimeSpan::from_ms(100.0);
 
-/// Whether a backend may get one more attempt.
+/// Whether the concurrency limit of a backend allows one more attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CapacityDecision {
-    /// It may.
+    /// The backend has capacity for one more attempt.
     Available,
-    /// As many attempts as are allowed are in flight.
+    /// As many attempts as the limit allows are in flight.
     Full,
-    /// Its limit was just decreased and cannot decrease much further.
+    /// The limit was decreased within [`COOLDOWN`] and is close to its minimum.
     CoolingDown,
 }
 
-/// Decides: whether a backend may get one more attempt, as far as its concurrency limit goes.
-/// Inputs: its limit and its attempts in flight; this proxy's quota; the time now.
-/// Reason: a backend that rejects attempts quickly at a limit of 1 would get them in quick
-/// succession, so that it rests after each decrease.
+/// Decides whether the concurrency limit of a backend allows one more attempt.
+///
+/// Inputs: the limit of the backend and its attempts in flight; this proxy's quota; the time now.
+/// Reason: a backend that rejects attempts quickly would get them in quick succession even at a
+/// limit of 1, so that a low limit is combined with a cooldown after each decrease.
 pub(super) fn decide_capacity(
     backend: &Backend,
     tier: Tier,
@@ -60,9 +61,10 @@
     }
 }
 
-/// Decides: this proxy's concurrency limit at a backend of which it knows nothing.
-/// Inputs: the kind of backend; how many quotas like this proxy's make the whole.
-/// Reason: all proxies together begin with one limit, however many they are.
+/// Decides the initial concurrency limit of this proxy at a new backend, in attempts.
+///
+/// Inputs: the tier of the backend; how many quotas of this proxy's size make up the whole.
+/// Reason: the initial limit of all proxies together does not depend on their number.
 pub(super) fn initial_limit(tier: Tier, quota_divisor: f64) -> f64 {
     match tier {
         Tier::Origin => (INITIAL_ORIGIN_LIMIT / quota_divisor).max(MIN_INITIAL_ORIGIN_LIMIT),
@@ -70,17 +72,17 @@
     }
 }
 
-/// Scales a limit that was learned with another quota.
+/// Scales a limit that was learned under another quota.
 pub(super) fn rescale(limit: &mut ConcurrencyLimit, factor: f64) {
     limit.max_in_flight = (limit.max_in_flight * factor).max(MIN_LIMIT);
 }
 
-/// Whether a limit cannot decrease any more.
+/// Returns whether a limit cannot decrease any further.
 pub(super) fn is_at_minimum(limit: &ConcurrencyLimit) -> bool {
     limit.max_in_flight <= MIN_LIMIT
 }
 
-/// What all proxies together may have in flight at a backend of this kind.
+/// Returns how many attempts all proxies together may have in flight at a backend of this tier.
 fn fleet_limit(limits: FleetLimits, tier: Tier) -> f64 {
     match tier {
         Tier::Origin => limits.origin,
--- a/src/logic/eligibility.rs
+++ b/src/logic/eligibility.rs
@@ -1,5 +1,5 @@
-//! Eligibility: which backends may receive a request now. Read [`EligibilityRules::decide`] first, which
-//! asks the rules on failures, capacity, warm-up and idempotency in turn.
+//! Eligibility: which cache nodes may receive a request now. Read [`EligibilityRules::decide`]
+//! first, which evaluates the rules on failures, capacity, warm-up and idempotency in turn.
 
 use super::concurrency_limit::{self, CapacityDecision, ProxyQuota};
 use super::outlier_ejection::{self, ExclusionScope, OutlierDecision};
@@ -10,45 +10,47 @@
 use crate::state::{Backend, BackendTable, PendingRequest, Tier};
 use crate::time::Timestamp;
 
-/// Whether a cache node may receive a request, and if not, why.
+/// Whether a cache node may receive a request, and the first rule that forbids it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Eligibility {
-    /// It may.
+    /// The node may receive the request.
     Eligible,
-    /// Connections to it failed (`outlier_ejection`).
+    /// Connections to the node failed (`outlier_ejection`).
     Ejected,
-    /// Its recent attempts failed (`outlier_ejection`).
+    /// Recent attempts at the node failed (`outlier_ejection`).
     Outlier,
-    /// It has no capacity for one more attempt (`concurrency_limit`).
+    /// The node has no capacity for one more attempt (`concurrency_limit`).
     NoCapacity,
-    /// It warms up, and this request is beyond what it may get (`slow_start`).
+    /// The node warms up, and the request exceeds what the node may receive (`slow_start`).
     WarmingUp,
-    /// Another attempt there could have an effect twice (`retry::idempotency`).
+    /// Another attempt at the node could execute the request twice (`retry::idempotency`).
     RepeatUnsafe,
 }
 
-/// What holds for all nodes while the eligible backends for one request are found.
+/// The inputs that all nodes have in common while the eligible nodes for one request are
+/// determined.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EligibilityRules<'a> {
-    /// Whether outliers and ejected nodes are excluded.
+    /// Whether outliers and ejected nodes are excluded at all.
     pub(super) exclusion: ExclusionScope,
-    /// What the request has to do with nodes that warm up.
+    /// The inputs of the slow-start rule that depend on the request.
     pub(super) warm_up: WarmUpInputs,
-    /// What the operators' rules allow.
+    /// The safety limits from the settings.
     pub(super) safety_limits: &'a SafetyLimits,
-    /// This proxy's quota.
+    /// The quota of this proxy.
     pub(super) quota: &'a ProxyQuota,
-    /// All backends, by which a first attempt's backend is found.
+    /// All known backends, among which the backend of an earlier attempt is looked up.
     pub(super) backends: &'a BackendTable,
     /// The time now.
     pub(super) now: Timestamp,
 }
 
 impl EligibilityRules<'_> {
-    /// Decides: whether a cache node may receive a request.
-    /// Inputs: the node; the request with its attempts; what holds for all nodes.
-    /// Reason: each rule can forbid it alone; the answer names the first that does.
-    /// Source: the rules named by [`Eligibility`].
+    /// Decides whether a cache node may receive a request.
+    ///
+    /// Inputs: the node; the request with its attempts; the fields of `self`.
+    /// Reason: every rule must allow the attempt; the result names the first that forbids it.
+    /// Source: the rules that [`Eligibility`] names.
     pub(super) fn decide(&self, node: &Backend, pending: &PendingRequest) -> Eligibility {
         match outlier_ejection::decide(node, self.exclusion, self.now) {
             OutlierDecision::Ejected => return Eligibility::Ejected,
@@ -70,8 +72,8 @@
         }
     }
 
-    /// Returns the cache nodes that may receive this request. Nodes where it was attempted without a
-    /// miss are included only if no other is eligible.
+    /// Returns the cache nodes that may receive a request. Nodes at which the request was already
+    /// attempted without a miss are included only if no other node is eligible.
     pub(super) fn eligible_nodes(&self, nodes: &[&Backend], pending: &PendingRequest) -> Vec<BackendId> {
         let is_eligible = |node: &&&Backend| self.decide(node, pending) == Eligibility::Eligible;
         let eligible: Vec<BackendId> = nodes.iter().filter(is_eligible).map(|node| node.id()).collect();
--- a/src/logic/endpoint_selection/endpoint_set.rs
+++ b/src/logic/endpoint_selection/endpoint_set.rs
@@ -1,46 +1,50 @@
-//! The set of backends that serve a key: when it grows, when it shrinks. Read [`choose`] first.
+//! The endpoint set: the backends that serve a key, and when a set grows or shrinks. Read
+//! [`choose`] first.
 
 use super::{LeastLoaded, LoadView, SET_GROWTH_GAP};
 use crate::interface::BackendId;
 use crate::state::KeyEntry;
 use crate::time::{TimeSpan, Timestamp};
 
-/// A set that is unchanged for this long drops a backend. It is Q of HyLARD.
+/// The time without a change after which a set drops a backend. It is the parameter Q of HyLARD.
 const SHRINK_AFTER: TimeSpan = TimeSpan::from_ms(60_000.0);
 
-/// What the choice of a backend for a key with a set depends on.
+/// The inputs of [`choose`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ChoiceInputs<'a> {
-    /// The set, whether or not its backends are eligible.
+    /// The endpoint set of the key, including backends that are not eligible.
     pub(super) set: &'a [BackendId],
     /// Whether the key is large.
     pub(super) is_large: bool,
-    /// The least loaded eligible backend of the set.
+    /// The least loaded eligible backend of the set, if any is eligible.
     pub(super) least_in_set: Option<LeastLoaded>,
-    /// The least loaded eligible node of all.
+    /// The least loaded of all eligible nodes.
     pub(super) least_of_all: LeastLoaded,
-    /// Whether the origin takes requests and has no capacity left.
+    /// Whether the origin accepts requests but has no capacity left.
     pub(super) is_origin_full: bool,
 }
 
-/// Which backend takes a key, and why.
+/// The backend that receives a request, and whether its key's set changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SetChoice {
-    /// One of the set.
+    /// A backend of the set receives the request.
     Keep(BackendId),
-    /// A further one, which joins the set.
+    /// A backend outside the set receives the request and is added to the set.
     Grow(BackendId),
-    /// A further one, which does not join the set: no backend of the set is eligible.
+    /// A backend outside the set receives the request without being added, because no backend of
+    /// the set is eligible.
     Overflow(BackendId),
 }
 
-/// Decides: whether a backend of the set takes the key, or a further one.
+/// Decides whether a backend of the key's set or another one receives a request.
+///
 /// Inputs: the set; the least loaded backends of the set and of all nodes, with their loads in
 /// requests in flight; whether the key is large; whether the origin is full.
-/// Reason: a set grows when its backends are loaded much more than others, or when fewer of them
-/// are in it than the key's frequency asks for. A large key has one backend, and while the origin is
-/// full no set grows, since each new backend begins with a miss. What the backends of a set cannot
-/// take goes elsewhere, so that a hot key does not overload them.
+/// Reason: a set grows when its backends are loaded much more than others, or when the set is
+/// smaller than the key's request frequency requires. The set of a large key does not grow, and
+/// while the origin is full no set grows, since each new backend begins with a miss. Requests that
+/// no backend of the set can take go to other backends, so that a hot key does not overload its
+/// set.
 /// Source: HyLARD, sections 3.1 (large files) and 3.3 (M).
 pub(super) fn choose(inputs: &ChoiceInputs) -> SetChoice {
     let further = inputs.least_of_all.backend;
@@ -57,10 +61,11 @@
     }
 }
 
-/// Decides: which backend a set drops, if any.
-/// Inputs: the key's set and when it last changed; the backend that takes the key now; the loads;
-/// the time now.
-/// Reason: a set that has not changed for long is larger than the key's frequency needs.
+/// Decides which backend a set drops, if any: the most loaded one besides the chosen backend.
+///
+/// Inputs: the key's set and the time of its last change; the backend that receives the request;
+/// the loads; the time now.
+/// Reason: a set that has not changed for long is larger than the key's request frequency requires.
 /// Source: HyLARD, section 3.3 (Q).
 pub(in crate::logic) fn dropped_backend(
     entry: Option<&KeyEntry>,
--- a/src/logic/endpoint_selection/load.rs
+++ b/src/logic/endpoint_selection/load.rs
@@ -1,33 +1,35 @@
-//! [`LoadView`]: how loaded a backend is, as this proxy sees it.
+//! [`LoadView`]: the load of a backend as this proxy sees it.
 
 use super::SET_GROWTH_GAP;
 use crate::interface::BackendId;
 use crate::settings::Settings;
 use crate::state::{Backend, BackendTable};
 
-/// A request that crosses zones weighs this many requests in flight for each unit of its cost.
+/// The load that crossing zones adds, in requests in flight for each unit of its cost.
 const REQUESTS_PER_UNIT_OF_COST: f64 = 16.0;
-/// The load of one request in flight at a node of mean size.
+/// The load of one request in flight at a node of mean weight.
 const SMALLEST_LOAD_STEP: f64 = 1.0;
-/// The load of a backend that is not known.
+/// The load of an unknown backend, which sorts last.
 const UNKNOWN_LOAD: f64 = f64::MAX;
 
-/// The backends, and what their loads depend on.
+/// The backends and the other inputs of their loads.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::logic) struct LoadView<'a> {
-    /// All backends.
+    /// All known backends.
     pub(in crate::logic) backends: &'a BackendTable,
-    /// The settings in use.
+    /// The active settings.
     pub(in crate::logic) settings: &'a Settings,
-    /// The mean relative size of a cache node.
+    /// The mean weight of the cache nodes.
     pub(in crate::logic) mean_node_weight: f64,
 }
 
 impl LoadView<'_> {
-    /// Decides: how loaded a backend is.
-    /// Inputs: this proxy's attempts in flight there; its relative size; whether it is in another
-    /// zone.
-    /// Reason: a larger backend bears more, and a request that crosses zones costs more.
+    /// Decides the load of a backend, in requests in flight at a node of mean weight.
+    ///
+    /// Inputs: this proxy's attempts in flight at the backend; the weight of the backend; whether
+    /// the backend is in another zone.
+    /// Reason: a backend of higher weight can serve more requests, and a request that crosses zones
+    /// costs more.
     /// Source: HyLARD, section 3.3 (active connections).
     pub(in crate::logic) fn load(&self, id: BackendId) -> f64 {
         let Some(backend) = self.backends.get(&id) else { return UNKNOWN_LOAD };
@@ -40,21 +42,23 @@
         }
     }
 
-    /// Whether a backend is in this proxy's zone.
+    /// Returns whether a backend is in this proxy's zone.
     pub(in crate::logic) fn is_in_own_zone(&self, backend: &Backend) -> bool {
         backend.info.zone == self.settings.zone
     }
 }
 
-/// Decides: whether the home of a key is drawn among the nodes of this proxy's zone only.
+/// Decides whether the home of a key during a warm-up is selected only among the nodes of this
+/// proxy's zone.
+///
 /// Inputs: the cost of crossing zones.
-/// Reason: where crossing zones weighs as much as the load gap that grows a set, the ordinary path
-/// stays in its zone as well.
+/// Reason: where crossing zones adds as much load as the gap from which on a set grows, endpoint
+/// selection outside a warm-up stays in its zone as well.
 pub(in crate::logic) fn stays_in_zone(settings: &Settings) -> bool {
     zone_crossing_load(settings) > SET_GROWTH_GAP - SMALLEST_LOAD_STEP
 }
 
-/// What a request that crosses zones weighs, in requests in flight.
+/// Returns the load that crossing zones adds, in requests in flight.
 fn zone_crossing_load(settings: &Settings) -> f64 {
     settings.costs.zone_crossing * REQUESTS_PER_UNIT_OF_COST
 }
--- a/src/logic/endpoint_selection/mod.rs
+++ b/src/logic/endpoint_selection/mod.rs
@@ -1,6 +1,7 @@
-//! Endpoint selection: which of the eligible backends takes a key. This is HyLARD, the ordinary
-//! path. Read [`select`] first. A key's set of backends is in `endpoint_set`, the order of backends
-//! in `rendezvous_order`, their load in `load`.
+//! Endpoint selection: which of the eligible backends receives a request. The algorithm is HyLARD,
+//! a locality-aware request distribution. Read [`select`] first. `endpoint_set` holds the rules for
+//! the set of backends of a key, `rendezvous_order` the order of the backends for a key, and `load`
+//! the load of a backend.
 
 mod endpoint_set;
 mod load;
@@ -14,47 +15,48 @@
 use crate::state::KeyEntry;
 use endpoint_set::SetChoice;
 
-/// A set grows when its least loaded backend has this many requests in flight more than the least
-/// loaded one of all nodes. It is M of HyLARD.
+/// The load gap, in requests in flight, between the least loaded backend of a set and the least
+/// loaded one of all nodes from which on the set grows. It is the parameter M of HyLARD.
 pub(in crate::logic) const SET_GROWTH_GAP: f64 = 4.0;
-/// The fraction of keys that are large; large keys have one backend.
+/// The fraction of keys that count as large. A large key is served by one backend.
 pub(super) const LARGE_KEY_FRACTION: f64 = 0.16;
 
-/// What the selection of a backend depends on.
+/// The inputs of [`select`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SelectionInputs<'a> {
-    /// The key.
+    /// The key of the request.
     pub(super) key: Key,
-    /// What is known of the key.
+    /// The stored state of the key, if there is any.
     pub(super) entry: Option<&'a KeyEntry>,
     /// The backends that may receive the request.
     pub(super) eligible: &'a [BackendId],
     /// The loads of the backends.
     pub(super) loads: LoadView<'a>,
-    /// The order of the backends for a key.
+    /// The rendezvous order of the backends.
     pub(super) order: RendezvousOrder<'a>,
-    /// Whether the origin takes requests and has no capacity left.
+    /// Whether the origin accepts requests but has no capacity left.
     pub(super) is_origin_full: bool,
 }
 
-/// Which backend takes a key, and what becomes of the key's set.
+/// The selected backend, and the effect of the selection on the key's endpoint set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Selection {
-    /// None is eligible.
+    /// No backend is eligible.
     NoBackend,
-    /// This one; the request has no key, so that there is no set.
+    /// This backend is selected for a request without a key, which has no endpoint set.
     WithoutKey(BackendId),
-    /// This one, for as long as the backends of the set cannot take it; the set stays as it is.
+    /// This backend is selected because no backend of the set is eligible; the set is unchanged.
     Overflow(BackendId),
-    /// This one, which is in the set or joins it.
+    /// This backend is selected and is in the set, or is to be added to the set.
     InSet(BackendId),
 }
 
-/// Decides: which of the eligible backends takes a key.
-/// Inputs: the key and its set; the eligible backends with their loads, in requests in flight; their
-/// order for the key; whether the origin is full.
-/// Reason: a key that keeps to few backends is found in their caches; a key that is requested more
-/// than they can serve gets further ones.
+/// Decides which of the eligible backends receives a request.
+///
+/// Inputs: the key and its endpoint set; the eligible backends with their loads, in requests in
+/// flight; the order of the backends for the key; whether the origin is full.
+/// Reason: a key that is sent to few backends is found in their caches; a key that is requested
+/// more often than its backends can serve gets additional ones.
 /// Source: HyLARD, section 3.3, figure 2.
 pub(super) fn select(inputs: &SelectionInputs) -> Selection {
     let Some(least) = least_loaded(inputs, inputs.eligible) else { return Selection::NoBackend };
@@ -77,21 +79,23 @@
     }
 }
 
-/// The backend to which a key goes among the least loaded ones.
+/// The first in a key's order of the backends whose loads count as the least.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeastLoaded {
-    /// The backend.
+    /// The identifier of the backend.
     backend: BackendId,
-    /// Among how many backends, the first in the key's order, this proxy drew it.
+    /// The number of candidates, the first backends in the key's order, from which this proxy
+    /// selected the backend.
     candidates: usize,
-    /// The least load, in requests in flight.
+    /// The least load of all, in requests in flight.
     load: f64,
 }
 
-/// Decides: which backend counts as the least loaded one for a key.
+/// Decides which backend counts as the least loaded one for a key.
+///
 /// Inputs: the backends with their loads, in requests in flight; their order for the key.
-/// Reason: loads less than [`SET_GROWTH_GAP`] apart count as equal, and the rendezvous order decides
-/// between them, so that all proxies agree without communication.
+/// Reason: loads that differ by less than [`SET_GROWTH_GAP`] count as equal, and the rendezvous
+/// order decides between them, so that all proxies agree without communication.
 /// Source: HyLARD, section 3.3 (the least loaded node); rendezvous hashing for the agreement.
 fn least_loaded(inputs: &SelectionInputs, ids: &[BackendId]) -> Option<LeastLoaded> {
     let load = |id: BackendId| inputs.loads.load(id);
--- a/src/logic/endpoint_selection/rendezvous_order.rs
+++ b/src/logic/endpoint_selection/rendezvous_order.rs
@@ -1,45 +1,48 @@
-//! [`RendezvousOrder`]: the order of the backends for a key, and the key's home among them.
+//! [`RendezvousOrder`]: the order of the backends for a key by rendezvous hashing, and the key's
+//! home among them.
 
 use crate::interface::{BackendId, Key};
 use crate::rendezvous;
 use crate::state::{BackendTable, KeyTable};
 
-/// A proxy with a small quota draws a key's home among this many times as many backends as the
-/// key's fraction of all requests makes of the nodes.
+/// The number of candidates for a key's home, as a multiple of the key's fraction of all requests
+/// times the number of backends. It applies to a proxy with a small quota.
 const CANDIDATE_MULTIPLE: f64 = 2.0;
-/// The relative size of a backend that is not known.
+/// The weight of an unknown backend.
 const UNKNOWN_WEIGHT: f64 = 1.0;
-/// The place of the home among the backends where each proxy takes the first.
+/// The number of candidates where every proxy selects the first backend of the order.
 const SINGLE_CANDIDATE: usize = 1;
 
-/// The home of a key.
+/// The home of a key: the backend that serves the key while all backends are equally loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::logic) struct Home {
-    /// The backend.
+    /// The identifier of the backend.
     pub(in crate::logic) backend: BackendId,
-    /// Among how many backends, the first in the key's order, this proxy drew it.
+    /// The number of candidates, the first backends in the key's order, from which this proxy
+    /// selected the home.
     pub(in crate::logic) candidates: usize,
 }
 
-/// What the order of the backends for a key depends on.
+/// The inputs of the order of the backends for a key.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::logic) struct RendezvousOrder<'a> {
-    /// All backends.
+    /// All known backends.
     pub(in crate::logic) backends: &'a BackendTable,
-    /// How often keys were requested.
+    /// The known keys, with their request frequencies.
     pub(in crate::logic) keys: &'a KeyTable,
-    /// This proxy's number.
+    /// The number of this proxy.
     pub(in crate::logic) proxy_number: u32,
-    /// Whether this proxy's quota is small, so that the proxies are many.
+    /// Whether this proxy's quota is small, that is, many proxies share the fleet.
     pub(in crate::logic) has_small_quota: bool,
 }
 
 impl RendezvousOrder<'_> {
-    /// Decides: the home of a key among backends that are equally loaded.
-    /// Inputs: the key and its frequency; the backends; the least number of candidates.
-    /// Reason: all proxies agree on a key's order without communication. Where they are many, none
-    /// sees how loaded a hot key makes its home; they draw different homes, among as many candidates
-    /// as the key's frequency asks for.
+    /// Decides the home of a key among backends that are equally loaded.
+    ///
+    /// Inputs: the key and its request frequency; the backends; the least number of candidates.
+    /// Reason: all proxies agree on a key's order without communication. Where many proxies share
+    /// the fleet, none of them sees how much load a hot key puts on its home; the proxies therefore
+    /// select different homes, among as many candidates as the key's frequency requires.
     /// Source: weighted rendezvous hashing (Thaler and Ravishankar, 1998).
     pub(in crate::logic) fn home(
         &self,
@@ -57,9 +60,9 @@
         ordered.first().map(|(_, backend)| Home { backend: *backend, candidates })
     }
 
-    /// Among how many backends the home of a key is drawn: a key with a tenth of all requests asks
-    /// for a tenth of the backends, and gets twice that as candidates. One request more is counted
-    /// than there was, so that a new key has a candidate.
+    /// Returns the number of candidates for the home of a key: a key with a tenth of all requests
+    /// requires a tenth of the backends and gets twice as many candidates. The request at hand is
+    /// counted as well, so that a new key has a candidate.
     fn candidates(&self, key: Key, backends: usize, min_candidates: usize) -> usize {
         if !self.has_small_quota {
             return SINGLE_CANDIDATE;
@@ -69,12 +72,14 @@
         (wanted as usize).max(min_candidates)
     }
 
-    /// A key of this proxy's own: what is drawn by it differs between proxies, but not in time.
+    /// Derives from a key another key that is particular to this proxy and does not change over
+    /// time.
     pub(in crate::logic) fn per_proxy_key(&self, key: Key) -> Key {
         rendezvous::per_proxy_key(key, self.proxy_number)
     }
 
-    /// The score of a backend for a key, the same at every proxy; the lowest is first.
+    /// Returns the score of a backend for a key, which is the same at every proxy. The backend with
+    /// the lowest score is first in the order.
     fn score(&self, key: Key, id: BackendId) -> f64 {
         let weight = self.backends.get(&id).map_or(UNKNOWN_WEIGHT, |backend| backend.info.effective_weight());
         rendezvous::score(key, id, weight)
--- a/src/logic/fixtures.rs
+++ b/src/logic/fixtures.rs
@@ -1,4 +1,4 @@
-//! Requests and settings that the tests of several rules have in common.
+//! Test fixtures that the unit tests of several rules share.
 
 use crate::interface::{BackendId, Key, Outcome, Request, RequestId};
 use crate::settings::{Class, DeduplicationScope, Idempotency, Limits, SafetyLimits};
@@ -7,7 +7,7 @@
 
 const DEDUPLICATION_WINDOW_MS: f64 = 300.0;
 
-/// A fifth of the capacity at the start, and ten seconds to warm up.
+/// Safety limits with a fifth of the capacity at the start and a warm-up time of 10 s.
 pub(super) const SAFETY_LIMITS: SafetyLimits = SafetyLimits {
     start_capacity: 0.2,
     warm_up_time: TimeSpan::from_ms(10_000.0),
@@ -16,7 +16,8 @@
     max_poll_interval: TimeSpan::ZERO,
 };
 
-/// A request that arrived at 0 ms with attempts at backend 1, all sent at 0 ms.
+/// Returns a request that arrived at 0 ms, with one attempt at backend 1 for each of `outcomes`,
+/// all sent at 0 ms.
 pub(super) fn pending(
     idempotency: Idempotency,
     scope: DeduplicationScope,
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -1,9 +1,10 @@
-//! Every decision of pinetrail. [`Balancer::handle`] is the entrance: an event comes in, the rules
-//! that it concerns are asked, their answers become actions.
+//! The decision module: all decisions of the proxy, without I/O. [`Balancer::handle`] is the entry
+//! point: it takes an event, evaluates the rules that apply, and appends the resulting actions.
 //!
-//! Each rule has a module of its own, which can be read alone: what it decides, its inputs with
-//! their units, its reason and its source stand at its function. `docs/decisions.md` is the table
-//! of all rules, `docs/design.md` explains the ordinary path (HyLARD, in `endpoint_selection`).
+//! Each rule has a module of its own, which can be read alone. The function of a rule documents
+//! what it decides, its inputs with their units, its reason, and its source where there is one.
+//! `docs/decisions.md` lists all rules; `docs/design.md` explains the selection of a backend by the
+//! HyLARD algorithm (`endpoint_selection`).
 
 mod admission;
 mod balancer;
--- a/src/logic/outlier_ejection.rs
+++ b/src/logic/outlier_ejection.rs
@@ -1,58 +1,63 @@
-//! Outlier ejection: which cache nodes get no requests since recent attempts there failed, and when
-//! they are tried again. The origin is never ejected: there is no other. Read [`decide`] first.
+//! Outlier ejection: which cache nodes receive no requests because recent attempts there failed,
+//! and when they get a trial attempt. The origin is never ejected, since nothing can replace it.
+//! Read [`decide`] first.
 //!
-//! Four errors or timeouts in a row, or two resets, make an outlier of a node without failures.
+//! A node without earlier failures becomes an outlier after four consecutive errors or timeouts, or
+//! after two resets.
 
 use crate::interface::Outcome;
 use crate::state::{Backend, OutlierHistory};
 use crate::time::{TimeSpan, Timestamp};
 use std::ops::Range;
 
-/// A backend is an outlier while more than this fraction of its recent attempts failed.
+/// The fraction of failed recent attempts above which a backend is an outlier.
 const OUTLIER_FAILURE_FRACTION: f64 = 0.5;
-/// An outlier or ejected backend gets a trial attempt about this often.
+/// The mean interval between trial attempts at an outlier or an ejected backend.
 const TRIAL_INTERVAL: TimeSpan = TimeSpan::from_ms(1000.0);
-/// Trials and ejections are spread by a random factor from this range, so that the proxies do not
-/// act together.
+/// The range of the random factor on trial intervals and ejections, which keeps the proxies from
+/// acting in step.
 pub(super) const JITTER_FACTOR: Range<f64> = 0.75..1.25;
-/// The first ejection of a backend lasts this long.
+/// The duration of the first ejection of a backend.
 const FIRST_EJECTION: TimeSpan = TimeSpan::from_ms(4000.0);
-/// Each ejection lasts this many times as long as the one before.
+/// The factor by which the duration grows with each consecutive ejection.
 const EJECTION_GROWTH: f64 = 4.0;
-/// The weight of a served attempt in the failure average.
+/// The weight of a success in the moving average of failures.
 const SUCCESS_WEIGHT: f64 = 0.5;
-/// The weight of an error or a timeout in the failure average.
+/// The weight of an error or a timeout in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.2;
-/// The weight of a broken connection in the failure average.
+/// The weight of a broken connection in the moving average of failures.
 const RESET_WEIGHT: f64 = 0.4;
-/// Backends are excluded only while this many times their number is no more than that of all nodes.
+/// The least ratio of ready nodes to failing nodes at which failing nodes are excluded.
 const MIN_NODES_PER_EXCLUDED: usize = 2;
 
-/// Whether a backend may get a request, as far as its failures go.
+/// Whether the failures of a backend allow it to receive a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OutlierDecision {
-    /// It may.
+    /// The backend may receive a request.
     Eligible,
-    /// It must not: its recent attempts failed, and no trial is due.
+    /// The backend must not receive a request: recent attempts failed, and no trial is due.
     Outlier,
-    /// It must not: connections to it failed, and no trial is due.
+    /// The backend must not receive a request: connections to it failed, and no trial is allowed
+    /// yet.
     Ejected,
 }
 
-/// Whether outliers and ejected backends are excluded at all, which depends on how many there are.
+/// Whether outliers and ejected backends are excluded at all, which depends on their number.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ExclusionScope {
-    /// Whether outliers get nothing but trials.
+    /// Whether outliers receive no requests but trials.
     excludes_outliers: bool,
-    /// Whether ejected backends get no trial either before their ejection ends.
+    /// Whether ejected backends receive no requests at all, not even trials, until their ejection
+    /// ends.
     excludes_ejected: bool,
 }
 
 impl ExclusionScope {
-    /// Decides: whether outliers, and ejected backends, are excluded.
-    /// Inputs: the cache nodes that take requests; the time now.
-    /// Reason: if most of the nodes fail, the fault is in the network or everywhere, and excluding
-    /// the failing nodes would overload the others.
+    /// Decides whether outliers and ejected backends are excluded.
+    ///
+    /// Inputs: the cache nodes that accept requests; the time now.
+    /// Reason: if most nodes fail, the fault lies in the network or affects all nodes, and to
+    /// exclude the failing nodes would overload the others.
     /// Source: the "panic threshold" of outlier ejection in common proxies.
     pub(super) fn for_nodes(nodes: &[&Backend], now: Timestamp) -> ExclusionScope {
         let outliers = nodes.iter().filter(|node| is_outlier(&node.outlier_history)).count();
@@ -64,10 +69,12 @@
     }
 }
 
-/// Decides: whether a backend may get a request, as far as its failures go.
-/// Inputs: its failures; its attempts in flight; the scope of exclusion; the time now.
-/// Reason: a failing backend gets one attempt at a time, and about one in [`TRIAL_INTERVAL`]. One
-/// whose connections fail has a full connection table and fails each new proxy again and again, so
+/// Decides whether the failures of a backend allow it to receive a request.
+///
+/// Inputs: the failures of the backend and its attempts in flight; the scope of exclusion; the time
+/// now.
+/// Reason: an outlier gets one attempt at a time, and about one in [`TRIAL_INTERVAL`]. A backend
+/// that refuses connections has a full connection table and would fail trials again and again, so
 /// that it gets no attempt before its ejection ends.
 /// Source: passive health checks and half-open trials of a circuit breaker.
 pub(super) fn decide(backend: &Backend, scope: ExclusionScope, now: Timestamp) -> OutlierDecision {
@@ -86,26 +93,27 @@
     history.failure_fraction.value() > OUTLIER_FAILURE_FRACTION
 }
 
-/// How an attempt ended, and what the next trial and ejection depend on.
+/// An ended attempt, with the inputs of [`record`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndedAttempt {
-    /// How it ended.
+    /// The outcome of the attempt.
     pub(super) outcome: Outcome,
     /// The time now.
     pub(super) now: Timestamp,
     /// A random factor from [`JITTER_FACTOR`].
     pub(super) jitter: f64,
-    /// Ejections grow up to this length, but are never shorter than [`FIRST_EJECTION`].
+    /// The duration up to which ejections grow; they are never shorter than [`FIRST_EJECTION`].
     pub(super) max_ejection: TimeSpan,
 }
 
-/// Decides: when an ejection begins and ends, when the next trial is due, and how the failure
-/// average follows an attempt.
-/// Inputs: how the attempt ended; the time now; a random factor; the longest ejection.
+/// Updates the outlier history of a backend after an attempt: its ejection, its next trial and the
+/// fraction of failures.
+///
+/// Inputs: the outcome of the attempt; the time now; a random factor; the longest ejection.
 /// Reason: a backend that answers (`Ok`, `Miss`, `Full` or `Error`) is reachable, which ends its
-/// ejection; a timeout or a reset does not. Connections that fail together, or during an ejection,
-/// show no more than the first of them. The random factor applies to the length last, so that an
-/// ejection may exceed the longest by a quarter.
+/// ejection; a timeout or a reset does not end it. Connections that fail at the same time, or
+/// during an ejection, count as one failure, since they have one cause. The random factor is
+/// applied after the limit on the duration, so that an ejection may exceed that limit by a quarter.
 /// Source: exponential backoff.
 pub(super) fn record(history: &mut OutlierHistory, attempt: EndedAttempt) {
     let next_trial = attempt.now + TRIAL_INTERVAL * attempt.jitter;
--- a/src/logic/queue.rs
+++ b/src/logic/queue.rs
@@ -1,28 +1,31 @@
-//! Requests that wait for capacity: in which order they go, and when they are shed. Read
-//! [`RequestQueue`] first.
+//! The queue of requests that wait for capacity: in which order they are sent, and when they are
+//! shed. Read [`RequestQueue`] first.
 
 use crate::interface::RequestId;
 use crate::state::Stage;
 use crate::time::TimeSpan;
 
-/// The queue is looked at again at least this long after the last time.
+/// The shortest interval between two timed attempts to dispatch queued requests.
 const MIN_DISPATCH_INTERVAL: TimeSpan = TimeSpan::from_ms(20.0);
-/// A queued request is shed after this fraction of its latency objective.
+/// The fraction of its latency objective after which a queued request is shed.
 const SHED_OBJECTIVE_FRACTION: f64 = 0.5;
 
-/// Decides: how long after its arrival a request without an attempt in flight is shed. It is looked
-/// at once, at that time.
+/// Decides how long after its arrival a request is shed if it has no attempt in flight. This is
+/// checked once, at that time.
+///
 /// Inputs: the latency objective of its class and the time until its response is due, in ms.
-/// Reason: a request that has waited for so long hardly meets its objective, and takes capacity
-/// from others that would.
+/// Reason: a request that has waited for so long will hardly meet its objective, and would take
+/// capacity from other requests that can meet theirs.
 /// Source: load shedding by queueing delay, as in CoDel.
 pub(super) fn shed_after(latency_objective: TimeSpan, response_budget: TimeSpan) -> TimeSpan {
     latency_objective.min(response_budget) * SHED_OBJECTIVE_FRACTION
 }
 
-/// Decides: after which time the queue is looked at again.
+/// Decides the interval at which the queue is dispatched by a timer.
+///
 /// Inputs: the shortest time between two batches of events, in ms.
-/// Reason: capacity may come without an event, as a backend's rest or an ejection ends.
+/// Reason: capacity may become available without an event, when the cooldown or the ejection of a
+/// backend ends.
 pub(super) fn dispatch_interval(tick: TimeSpan) -> TimeSpan {
     tick.max(MIN_DISPATCH_INTERVAL)
 }
@@ -30,46 +33,47 @@
 /// A queued request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QueuedRequest {
-    /// The request.
+    /// The identifier of the request.
     pub(super) id: RequestId,
-    /// What it waits for.
+    /// The kind of capacity for which the request waits.
     stage: Stage,
-    /// The priority weights of all requests that are served when it goes: its own, and those that
-    /// wait for its fetch.
+    /// The sum of the priority weights of all requests that are served together: this one, and
+    /// those that wait for its fetch.
     weight: f64,
 }
 
-/// The queued requests.
+/// The queued requests, in the order in which they were queued.
 #[derive(Debug, Default)]
 pub(super) struct RequestQueue(Vec<QueuedRequest>);
 
 impl RequestQueue {
-    /// Whether nothing is queued.
+    /// Returns whether no request is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Adds a request at the end.
+    /// Appends a request.
     pub(super) fn push(&mut self, id: RequestId, stage: Stage, weight: f64) {
         self.0.push(QueuedRequest { id, stage, weight });
     }
 
-    /// Removes a request if it is queued.
+    /// Removes a request, if it is queued.
     pub(super) fn remove(&mut self, id: RequestId) {
         self.0.retain(|queued| queued.id != id);
     }
 
-    /// Adds to the weight of a request if it is queued.
+    /// Adds to the weight of a request, if it is queued.
     pub(super) fn add_weight(&mut self, id: RequestId, weight: f64) {
         if let Some(queued) = self.0.iter_mut().find(|queued| queued.id == id) {
             queued.weight += weight;
         }
     }
 
-    /// Decides: which request goes next, and removes it.
-    /// Inputs: what the requests wait for; their priority weights, without unit.
-    /// Reason: while capacity is short, it goes to the requests that are worth most; of equals the
-    /// one queued last goes, which has most of its time left.
+    /// Decides which request of a stage is sent next, and removes it from the queue.
+    ///
+    /// Inputs: the stages of the requests; their priority weights, without unit.
+    /// Reason: scarce capacity goes to the requests of the highest weight. Among requests of equal
+    /// weight the one that was queued last is sent, since it has the most time left.
     pub(super) fn pop_heaviest(&mut self, stage: Stage) -> Option<QueuedRequest> {
         let in_stage = self.0.iter().filter(|queued| queued.stage == stage);
         let heaviest = in_stage.max_by(|a, b| a.weight.total_cmp(&b.weight)).copied()?;
@@ -77,8 +81,8 @@
         Some(heaviest)
     }
 
-    /// If a request that was removed has just been queued again, restores its weight. Returns
-    /// whether it was.
+    /// Restores the weight of a removed request if it is the one that was queued last. Returns
+    /// whether it is.
     pub(super) fn restore_weight(&mut self, removed: QueuedRequest) -> bool {
         let Some(queued) = self.0.last_mut().filter(|queued| queued.id == removed.id) else {
             return false;
--- a/src/logic/retry/mod.rs
+++ b/src/logic/retry/mod.rs
@@ -1,5 +1,6 @@
-//! Retries: whether a request may be attempted once more, and where. Read [`check_attempt`] first.
-//! What a retry may cost is in `budget`, what it may do twice in `idempotency`.
+//! Retries: whether and where a request may be attempted again. Read [`check_attempt`] first.
+//! `budget` limits the number of retries; `idempotency` decides whether a retry could execute the
+//! request twice.
 
 mod budget;
 pub(super) mod idempotency;
@@ -10,47 +11,49 @@
 use crate::state::{BackendTable, PendingRequest};
 use crate::time::{TimeSpan, Timestamp};
 
-/// An attempt has at least this long to be sent.
+/// The least time that an attempt has to be sent.
 const MIN_SEND_TIME: TimeSpan = TimeSpan::from_ms(1.0);
 
-/// Where a retry goes.
+/// The tier to which a retry is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryTarget {
-    /// To a cache node.
+    /// The retry is sent to a cache node.
     CacheNode,
-    /// To the origin.
+    /// The retry is sent to the origin.
     Origin,
 }
 
-/// What a retry costs the budget.
+/// The cost of a retry to the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryCost {
-    /// Nothing.
+    /// The retry is not charged to the budget.
     Free,
-    /// One retry.
+    /// The retry is charged to the budget.
     One,
 }
 
-/// What is decided on time: the time now, and how long a decision may take to have its effect.
+/// The times on which decisions about attempts depend: the time now, and how long after a decision
+/// its effect may occur.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DecisionTime {
     /// The time now.
     pub(super) now: Timestamp,
-    /// How long after a decision its effect may come.
+    /// The longest time from a decision until the attempt is written.
     pub(super) write_delay: TimeSpan,
-    /// Shortest time between two batches of events.
+    /// The shortest time between two batches of events.
     pub(super) tick: TimeSpan,
 }
 
-/// Decides: whether a request may be attempted once more, where that has no effect twice.
-/// Inputs: the request with its class, limits and attempts, none of which is in flight; the time.
-/// Reason: another attempt must have no second effect, must be within the number of attempts that
-/// the deployment allows, and is of no use after the deadline.
+/// Decides whether a request may be attempted (again) at a backend that drops repeats.
+///
+/// Inputs: the request with its class, limits and attempts, none of which is in flight; the times.
+/// Reason: another attempt must not execute the request twice, must not exceed the number of
+/// attempts that the settings allow, and is of no use after the deadline.
 /// Source: rules 1 and 2 (docs/decisions.md).
 ///
 /// # Errors
 ///
-/// The reason for which the request is given up.
+/// Returns the reason why the request is given up.
 pub(super) fn check_attempt(pending: &PendingRequest, time: DecisionTime) -> Result<(), GiveUpReason> {
     if !idempotency::safety_in_window(pending, time).is_safe() {
         Err(GiveUpReason::RepeatUnsafe)
@@ -63,14 +66,15 @@
     }
 }
 
-/// Decides: whether a request may be attempted once more at this backend.
-/// Inputs: as for [`check_attempt`]; the backend and all that are known.
-/// Reason: a class may have its repeats dropped in one zone or cell only.
+/// Decides whether a request may be attempted (again) at this backend.
+///
+/// Inputs: as for [`check_attempt`]; the backend; all known backends.
+/// Reason: the repeats of a class may be dropped only within one zone or cell.
 /// Source: rule 2 (docs/decisions.md).
 ///
 /// # Errors
 ///
-/// The reason for which the request is given up.
+/// Returns the reason why the request is given up.
 pub(super) fn check_attempt_at(
     pending: &PendingRequest,
     target: BackendId,
@@ -86,8 +90,9 @@
     }
 }
 
-/// Decides: what a retry costs the retry budget.
-/// Inputs: how the last attempt ended.
+/// Decides whether a retry is charged to the retry budget.
+///
+/// Inputs: the outcome of the last attempt.
 /// Reason: an attempt whose connection failed put no load on its backend.
 pub(super) fn cost(pending: &PendingRequest) -> RetryCost {
     if pending.last_outcome() == Some(Outcome::ConnectFailed) {
@@ -97,21 +102,22 @@
     }
 }
 
-/// Which origin there is for a retry.
+/// Whether an origin is configured and accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OriginAvailability {
-    /// The deployment has none: cache nodes fetch by themselves.
+    /// The deployment has no origin: cache nodes fetch missing keys themselves.
     NotConfigured,
-    /// There is one, and the endpoint list does not say that it takes requests.
+    /// An origin is configured, but the endpoint list does not list it as ready.
     NotReady,
-    /// There is one that takes requests.
+    /// An origin is configured and accepts requests.
     Ready,
 }
 
-/// Decides: where a retry goes.
-/// Inputs: the request with its attempts; which origin there is.
-/// Reason: a write that a cache node takes is lost, so that writes go to the origin wherever there
-/// is one; a read that missed would miss again.
+/// Decides to which tier a retry is sent.
+///
+/// Inputs: the request with its attempts; the availability of the origin.
+/// Reason: a write that a cache node accepts never reaches the origin and is lost, so that writes
+/// go to the origin wherever one is configured; a read that missed would miss again.
 pub(super) fn target(pending: &PendingRequest, origin: OriginAvailability) -> RetryTarget {
     let has_missed = pending.has_outcome(Outcome::Miss);
     match origin {
@@ -121,9 +127,10 @@
     }
 }
 
-/// Decides: within which time the last byte of an attempt must be sent.
-/// Inputs: the request with its class and attempts; the time left until its deadline; the time.
-/// Reason: a connection may be established only when the backends no longer drop repeats.
+/// Decides the time within which the last byte of an attempt must be sent.
+///
+/// Inputs: the request with its class and attempts; the time left until its deadline; the times.
+/// Reason: by the time a slow connection is established, the backends may no longer drop repeats.
 /// Source: rule 2 (docs/decisions.md).
 pub(super) fn send_within(pending: &PendingRequest, time_left: TimeSpan, time: DecisionTime) -> TimeSpan {
     let window_left = idempotency::window_left(pending, time).unwrap_or(time_left);
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -1,47 +1,50 @@
-//! Slow start: how much a backend gets while it warms up. Read [`decide`] first.
+//! Slow start: which requests a backend receives while it warms up. Read [`decide`] first.
 
 use crate::interface::BackendId;
 use crate::settings::SafetyLimits;
 use crate::state::Backend;
 use crate::time::{TimeSpan, Timestamp};
 
-/// All proxies together send a warming backend this fraction of what would overload it.
+/// The load that all proxies together send a warming backend, as a fraction of the load that would
+/// overload the backend.
 const OVERLOAD_FRACTION: f64 = 0.5;
-/// From this fraction on a backend is warm.
+/// The admitted fraction from which on a backend counts as warm.
 const WARM_FRACTION: f64 = 1.0;
-/// The shortest time in which a backend warms up.
+/// The shortest warm-up time.
 const MIN_WARM_UP_TIME: TimeSpan = TimeSpan::from_ms(1.0);
-/// Where proxies are few, a key is hot from this fraction of one node's requests on.
+/// The fraction of one node's requests above which a key is hot, where few proxies share the fleet.
 const HOT_KEY_FRACTION: f64 = 0.25;
 
-/// Whether a backend may get a request, as far as its warm-up goes.
+/// Whether the warm-up of a backend allows it to receive a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SlowStartDecision {
-    /// It is warm, and may.
+    /// The backend is warm and may receive any request.
     Warm,
-    /// It warms up, and the request is within the fraction that it may get.
+    /// The backend warms up, and the request is within the fraction that the backend may receive.
     WithinFraction,
-    /// It warms up, and must not get this request.
+    /// The backend warms up and must not receive this request.
     WarmingUp,
 }
 
-/// What a request has to do with the backends that warm up.
+/// The inputs of [`decide`] that depend on the request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WarmUpInputs {
-    /// The home backend of the request's key; none if no backend warms up.
+    /// The home of the request's key; `None` if no backend warms up.
     pub(super) home: Option<BackendId>,
-    /// A number between 0 and 1 that this proxy draws by the key.
+    /// A pseudo-random number between 0 and 1 that this proxy derives from the key.
     pub(super) sample: f64,
 }
 
-/// Decides: whether a backend may get a request, as far as its warm-up goes.
-/// Inputs: the backend; the safety limits; the home and the draw of the request's key, from 0 to 1;
-/// the time now.
+/// Decides whether the warm-up of a backend allows it to receive a request.
+///
+/// Inputs: the backend; the safety limits; the home of the request's key, and the key's sample from
+/// 0 to 1; the time now.
 /// Reason: a cold backend collapses under its usual load, and its few attempts in flight attract
-/// requests that look for the least load. It gets requests for the keys whose home it is, and of
-/// these a fraction that each proxy draws for itself; all proxies together then send half of what
-/// overloads it, without counting. Requests beyond that are queued and shed, also where all nodes
-/// warm up.
+/// the requests that are sent to the least loaded backend. The backend therefore receives only
+/// requests for keys whose home it is, and of these only a fraction, which each proxy selects by
+/// its own samples. All proxies together then send half of the load that would overload the
+/// backend, without counting requests. Requests beyond that are queued and shed, even where all
+/// nodes warm up.
 /// Source: rule 4 (docs/decisions.md).
 pub(super) fn decide(
     backend: &Backend,
@@ -59,14 +62,18 @@
     }
 }
 
-/// Whether a backend still warms up.
+/// Returns whether a backend still warms up.
 pub(super) fn is_warming_up(backend: &Backend, limits: &SafetyLimits, now: Timestamp) -> bool {
     admitted_fraction(backend.info.started_at, limits, now) < WARM_FRACTION
 }
 
-/// Decides: which fraction of the requests for the keys whose home it is a backend may get.
-/// Inputs: when its process started, 0 for long ago; the safety limits; the time now.
-/// Reason: its capacity rises evenly from the start capacity to the whole during its warm-up time.
+/// Decides the fraction of the requests for a backend's own keys (those whose home it is) that the
+/// backend may receive.
+///
+/// Inputs: the start time of the backend's process, 0 for a time long past; the safety limits; the
+/// time now.
+/// Reason: the capacity of a backend rises linearly from the start capacity to its full capacity
+/// during the warm-up time.
 /// Source: rule 4 (docs/decisions.md).
 fn admitted_fraction(started: Timestamp, limits: &SafetyLimits, now: Timestamp) -> f64 {
     let started = if started > Timestamp::ZERO { started } else { Timestamp::DISTANT_PAST };
@@ -80,21 +87,23 @@
     }
 }
 
-/// What tells whether a key is hot.
+/// The inputs of [`is_hot`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KeyLoad {
     /// The fraction of all counted requests that are for the key, from 0 to 1.
     pub(super) fraction: f64,
-    /// How many cache nodes take requests.
+    /// The number of cache nodes that accept requests.
     pub(super) nodes: usize,
-    /// Whether this proxy's quota is small, so that the proxies are many.
+    /// Whether this proxy's quota is small, that is, many proxies share the fleet.
     pub(super) has_small_quota: bool,
 }
 
-/// Decides: whether the requests for a key are spread over all nodes during a warm-up.
-/// Inputs: the key's fraction of all requests, from 0 to 1; the number of cache nodes.
-/// Reason: where proxies are few, one hot key would fill the whole fraction of its home backend.
-/// Where they are many, each draws a home of its own for the key.
+/// Decides whether the requests for a key are spread over all nodes during a warm-up.
+///
+/// Inputs: the key's fraction of all requests, from 0 to 1; the number of cache nodes; whether this
+/// proxy's quota is small.
+/// Reason: where few proxies share the fleet, one hot key could use up the whole fraction that its
+/// home may receive. Where many proxies share the fleet, each selects its own home for the key.
 /// Source: rule 4 (docs/decisions.md).
 pub(super) fn is_hot(key: KeyLoad) -> bool {
     !key.has_small_quota && key.fraction * key.nodes as f64 > HOT_KEY_FRACTION
