--- a/src/interface.rs
+++ b/src/interface.rs
@@ -98,8 +98,8 @@
     Full,
 }
 
-/// The outcome of an attempt. A request that "may have run" must not be repeated unless a second
-/// execution is safe.
+/// The outcome of an attempt. Where the request may have run, it must not be repeated unless a
+/// second run is safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The backend served the request.
@@ -243,7 +243,7 @@
     DeadlineReached,
     /// The request has made as many attempts as are allowed.
     AttemptsUsedUp,
-    /// Another attempt could execute the request twice.
+    /// Another attempt could apply the effect of the request twice.
     RepeatUnsafe,
     /// The retry budget is empty because too many recent attempts failed; more retries would add to
     /// an outage.
--- a/src/logic/admission/tests.rs
+++ b/src/logic/admission/tests.rs
@@ -4,7 +4,7 @@
     ArrivalInputs { priority_weight, average_priority_weight: 1.0, sample }
 }
 
-/// An admission control after so many slow responses of the cache nodes.
+/// Returns an admission control after `count` slow responses of the cache nodes.
 fn after_slow_responses(count: usize) -> AdmissionControl {
     let mut admission = AdmissionControl::default();
     for _ in 0..count {
--- a/src/logic/concurrency_limit/aimd.rs
+++ b/src/logic/concurrency_limit/aimd.rs
@@ -12,8 +12,8 @@
 const SLOW_AVERAGE_WEIGHT: f64 = 0.1;
 /// The fraction of slow recent attempts above which the origin counts as congested.
 const CONGESTED_ORIGIN_SLOW_FRACTION: f64 = 0.25;
-/// The multiple of the attempts in flight that must exceed the limit for the limit to count as
-/// used: a limit is used while more than half of it is in flight.
+/// The multiple of the attempts in flight that must exceed the limit for the limit to count as in
+/// use: with 2, more than half of the limit must be in flight.
 const IN_USE_MULTIPLE: f64 = 2.0;
 /// The queueing time above which an attempt at the origin is slow, as a fraction of the shortest
 /// latency objective of all classes.
@@ -92,7 +92,7 @@
 ///
 /// Inputs: the attempt's outcome, latency, timeliness and tier; the attempts in flight; the time
 /// now.
-/// Reason: a limit that is used grows while responses come in time, and decreases once each time
+/// Reason: a limit that is in use grows while responses come in time, and decreases once each time
 /// the backend becomes congested: attempts sent before the last decrease do not decrease the limit
 /// again, since they met the same congestion.
 /// Source: Chiu and Jain (1989); TCP's congestion avoidance (RFC 5681, section 3.1).
--- a/src/logic/concurrency_limit/tests.rs
+++ b/src/logic/concurrency_limit/tests.rs
@@ -15,7 +15,7 @@
     backend
 }
 
-/// An attempt in time at a cache node that has 20 attempts in flight.
+/// Returns a successful attempt in time at a cache node with 20 attempts in flight.
 fn attempt() -> TimedAttempt {
     TimedAttempt {
         outcome: Outcome::Ok,
@@ -36,7 +36,7 @@
 #[test]
 fn a_limit_in_use_grows_by_one_for_as_many_attempts_as_it_allows() {
     assert_eq!(limit_after(attempt()), 20.0 + 1.0 / 20.0);
-    assert_eq!(limit_after(TimedAttempt { in_flight: 10.0, ..attempt() }), 20.0, "half is in use");
+    assert_eq!(limit_after(TimedAttempt { in_flight: 10.0, ..attempt() }), 20.0, "half of it is in flight");
     assert_eq!(limit_after(TimedAttempt { outcome: Outcome::Error, ..attempt() }), 20.0);
 }
 
@@ -47,7 +47,7 @@
     record(&mut limit, slow);
     assert_eq!(limit.max_in_flight, 14.0);
     record(&mut limit, TimedAttempt { now: at(1_009.0), ..slow });
-    assert_eq!(limit.max_in_flight, 14.0, "it was sent before the decrease");
+    assert_eq!(limit.max_in_flight, 14.0, "the attempt was sent before the decrease");
     record(&mut limit, TimedAttempt { now: at(1_010.0), ..slow });
     assert!(limit.max_in_flight < 14.0);
 }
--- a/src/logic/eligibility.rs
+++ b/src/logic/eligibility.rs
@@ -23,7 +23,7 @@
     NoCapacity,
     /// The node warms up, and the request exceeds what the node may receive (`slow_start`).
     WarmingUp,
-    /// Another attempt at the node could execute the request twice (`retry::idempotency`).
+    /// Another attempt at the node could apply the request's effect twice (`retry::idempotency`).
     RepeatUnsafe,
 }
 
--- a/src/logic/eligibility/tests.rs
+++ b/src/logic/eligibility/tests.rs
@@ -15,7 +15,7 @@
     node
 }
 
-/// A request that must not run twice, after attempts at the node that ended like this.
+/// Returns a non-idempotent request after attempts at the node with these outcomes.
 fn non_idempotent(outcomes: &[Outcome]) -> PendingRequest {
     pending(Idempotency::NotIdempotent, DeduplicationScope::All, outcomes)
 }
--- a/src/logic/endpoint_selection/tests.rs
+++ b/src/logic/endpoint_selection/tests.rs
@@ -12,7 +12,8 @@
     LeastLoaded { backend, candidates: 1, load }
 }
 
-/// A key with one backend, which has this load; the fleet's least loaded one has none.
+/// Returns the inputs for a key whose set is one backend with this load, while the least loaded
+/// node has none.
 fn inputs(load: f64) -> ChoiceInputs<'static> {
     ChoiceInputs {
         set: &[HOME],
@@ -55,7 +56,7 @@
     Settings::from_json(json).unwrap()
 }
 
-/// Backends 1 and 2 in zone 0, of relative sizes 1 and 4, and 3 in zone 1.
+/// Returns backends 1 and 2 in zone 0, with weights 1 and 4, and backend 3 in zone 1.
 fn backends() -> BackendTable {
     let backend = |id, zone, weight| {
         let info = EndpointInfo { backend: BackendId(id), zone, weight, ..EndpointInfo::default() };
@@ -81,9 +82,9 @@
         has_small_quota: false,
     };
     let home = |proxy, key| order(proxy).home(Key(key), [HOME, IDLE].into_iter(), 1).unwrap().backend;
-    assert!((1..100).all(|key| home(1, key) == home(2, key)), "proxies agree");
+    assert!((1..100).all(|key| home(1, key) == home(2, key)), "proxies disagree on a home");
     let at_larger = (1..1_000).filter(|key| home(1, *key) == IDLE).count();
-    assert!((760..840).contains(&at_larger), "{at_larger} of 1,000, four in five expected");
+    assert!((760..840).contains(&at_larger), "{at_larger} of 999 keys, expected four in five");
 }
 
 #[test]
--- a/src/logic/give_up.rs
+++ b/src/logic/give_up.rs
@@ -23,8 +23,8 @@
 ///
 /// Inputs: the reason; whether the client may safely repeat the request at any backend; the longest
 /// Retry-After that clients heed, in ms.
-/// Reason: a rejection promises that a repeat does not execute the request twice. A class that is
-/// not in the settings stays unknown however long the client waits, so that no wait is advised.
+/// Reason: a rejection promises that a repeat has no second effect. A class that is not in the
+/// settings stays unknown however long the client waits, so that no wait is advised.
 /// Source: rule 2 (docs/decisions.md).
 pub(super) fn decide(
     reason: GiveUpReason,
--- a/src/logic/outlier_ejection/tests.rs
+++ b/src/logic/outlier_ejection/tests.rs
@@ -9,7 +9,7 @@
     Timestamp::from_ms(ms)
 }
 
-/// A backend after attempts that ended like this at these times.
+/// Returns a backend after attempts that ended at these times, in ms, with these outcomes.
 fn after(attempts: &[(f64, Outcome)]) -> Backend {
     let mut backend = Backend::default();
     for (ms, outcome) in attempts {
--- a/src/logic/queue/tests.rs
+++ b/src/logic/queue/tests.rs
@@ -14,7 +14,7 @@
     queue.add_weight(RequestId(1), 1.5);
     let order: Vec<_> = std::iter::from_fn(|| queue.pop_heaviest(Stage::QueuedForBackend)).collect();
     assert_eq!(order.iter().map(|queued| queued.id.0).collect::<Vec<_>>(), [1, 4, 3]);
-    assert!(!queue.is_empty(), "the other stage is untouched");
+    assert!(!queue.is_empty(), "the request of the other stage stays queued");
 }
 
 #[test]
@@ -23,7 +23,7 @@
     queue.push(RequestId(1), Stage::QueuedForBackend, 1.0);
     queue.add_weight(RequestId(1), 4.0);
     let heavy = queue.pop_heaviest(Stage::QueuedForBackend).unwrap();
-    assert!(!queue.restore_weight(heavy), "it is not queued");
+    assert!(!queue.restore_weight(heavy), "the request is not queued");
     queue.push(RequestId(1), Stage::QueuedForBackend, 1.0);
     assert!(queue.restore_weight(heavy));
     queue.push(RequestId(2), Stage::QueuedForBackend, 3.0);
--- a/src/logic/retry/idempotency.rs
+++ b/src/logic/retry/idempotency.rs
@@ -1,5 +1,5 @@
-//! Idempotency: whether another attempt, or a client's repeat after a rejection, could execute a
-//! request twice. Read [`RepeatSafety`] first.
+//! Idempotency: whether another attempt, or a client's repeat after a rejection, could apply the
+//! effect of a request twice. Read [`RepeatSafety`] first.
 //!
 //! Invariant: a retry of a request that may have executed could apply its effect twice. An attempt
 //! whose effect is not known counts as executed.
@@ -13,7 +13,7 @@
 /// The largest part of a deduplication window that is reserved for the write delay, as a fraction.
 const MAX_WINDOW_FRACTION_FOR_WRITES: f64 = 0.5;
 
-/// Whether a repeat of a request could execute it twice, and why not.
+/// Whether a repeat of a request could apply the request's effect twice, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::logic) enum RepeatSafety {
     /// A repeat is safe because no earlier attempt can have executed.
@@ -22,7 +22,7 @@
     Idempotent,
     /// A repeat is safe because the backends drop repeats of the request.
     Deduplicated,
-    /// A repeat is not safe: the request may execute twice.
+    /// A repeat is not safe: the effect of the request may be applied twice.
     Unsafe,
 }
 
@@ -33,7 +33,8 @@
     }
 }
 
-/// Decides whether an attempt now, at a backend that drops repeats, could execute a request twice.
+/// Decides whether an attempt now, at a backend that drops repeats, could apply the effect of a
+/// request twice.
 ///
 /// Inputs: the request with its class and attempts; the times.
 /// Reason: repeats are dropped only within the deduplication window.
@@ -42,8 +43,8 @@
     repeat_safety(pending, |first| is_inside_window(first, &pending.class, time))
 }
 
-/// Decides whether an attempt at this backend, within the deduplication window, could execute a
-/// request twice.
+/// Decides whether an attempt at this backend, within the deduplication window, could apply the
+/// effect of a request twice.
 ///
 /// Inputs: the request with its class and attempts; the endpoint list's entries of this backend and
 /// of all others.
@@ -61,7 +62,8 @@
     })
 }
 
-/// Decides whether a client's repeat of a request, at any backend, could execute the request twice.
+/// Decides whether a client's repeat of a request, at any backend, could apply the effect of the
+/// request twice.
 ///
 /// Inputs: the request with its class and attempts; the times.
 /// Reason: a rejection invites the client to send the request again to any proxy.
@@ -72,7 +74,7 @@
 }
 
 /// Returns the time left in which another attempt of a request with an idempotency key may be sent,
-/// or `None` if no deduplication window limits the attempt.
+/// or `None` if no deduplication window applies.
 pub(super) fn window_left(pending: &PendingRequest, time: DecisionTime) -> Option<TimeSpan> {
     let class = &pending.class;
     if class.idempotency != Idempotency::IdempotencyKey {
--- a/src/logic/retry/mod.rs
+++ b/src/logic/retry/mod.rs
@@ -1,6 +1,6 @@
 //! Retries: whether and where a request may be attempted again. Read [`check_attempt`] first.
-//! `budget` limits the number of retries; `idempotency` decides whether a retry could execute the
-//! request twice.
+//! `budget` limits the number of retries; `idempotency` decides whether a retry could apply the
+//! request's effect twice.
 
 mod budget;
 pub(super) mod idempotency;
@@ -47,7 +47,7 @@
 /// Decides whether a request may be attempted (again) at a backend that drops repeats.
 ///
 /// Inputs: the request with its class, limits and attempts, none of which is in flight; the times.
-/// Reason: another attempt must not execute the request twice, must not exceed the number of
+/// Reason: another attempt must not apply the request's effect twice, must not exceed the number of
 /// attempts that the settings allow, and is of no use after the deadline.
 /// Source: rules 1 and 2 (docs/decisions.md).
 ///
--- a/src/logic/slow_start/tests.rs
+++ b/src/logic/slow_start/tests.rs
@@ -20,11 +20,11 @@
 
 #[test]
 fn a_warming_backend_gets_half_of_what_overloads_it_and_only_keys_whose_home_it_is() {
-    // At its start: half of 3 times 0.2 of its capacity.
+    // At the start the limit is half of 3 times 0.2 of the capacity.
     assert_eq!(decision(1, 0.29, 0.0), SlowStartDecision::WithinFraction);
     assert_eq!(decision(1, 0.31, 0.0), SlowStartDecision::WarmingUp);
     assert_eq!(decision(2, 0.0, 0.0), SlowStartDecision::WarmingUp);
-    // After half of its warm-up: half of 3 times 0.6.
+    // After half of the warm-up time it is half of 3 times 0.6.
     assert_eq!(decision(1, 0.89, 5_000.0), SlowStartDecision::WithinFraction);
     assert_eq!(decision(1, 0.91, 5_000.0), SlowStartDecision::WarmingUp);
 }
--- a/tests/backend_knowledge.rs
+++ b/tests/backend_knowledge.rs
@@ -1,4 +1,5 @@
-//! What the module knows of a node, for how long, and what counts against a new process of it.
+//! Tests of the state that a balancer keeps for a node: how long it lasts, and what a new process
+//! of the node inherits.
 
 mod common;
 
@@ -6,12 +7,12 @@
 use pinetrail::interface::*;
 use pinetrail::settings::Settings;
 
-/// Sends reads of many keys until one is queued; the ids of those that were sent.
+/// Sends reads of different keys until one is queued. Returns the ids of the reads that were sent.
 fn send_until_queued(harness: &mut BalancerHarness, from: RequestNumber) -> Vec<RequestNumber> {
     (from..from + 100).take_while(|id| sent(&harness.request(read(*id, *id))).is_some()).collect()
 }
 
-/// The only node, with a new process that is warm by now.
+/// Replaces the process of node 1 by a new one that is already warm.
 fn restart_node(harness: &mut BalancerHarness) {
     harness.event(Event::EndpointList {
         form: ListForm::Delta,
@@ -19,23 +20,26 @@
     });
 }
 
-/// Guards against a new process whose capacity is taken by what the one before it was sent.
+/// Guards against attempts at an old process that use up the capacity of the new one.
 #[test]
 fn attempts_at_an_old_process_take_no_capacity_of_the_new_one() {
     let mut harness = BalancerHarness::without_origin(1);
     let before = send_until_queued(&mut harness, 1);
     restart_node(&mut harness);
     let after = send_until_queued(&mut harness, 1000);
-    // The one that was queued goes first.
+    // The request that was queued is sent first.
     assert_eq!(after.len() + 1, before.len());
     for id in &before {
         harness.end(*id, 0, 1, Outcome::Ok);
     }
-    assert!(sent(&harness.request(read(2000, 2000))).is_none(), "nor do their ends free capacity there");
+    assert!(
+        sent(&harness.request(read(2000, 2000))).is_none(),
+        "the end of an attempt at the old process freed capacity of the new one"
+    );
 }
 
-/// Guards against a new process that is ejected, an outlier or slow because the one before it
-/// broke.
+/// Guards against a new process that is ejected, counts as an outlier or gets a lower limit because
+/// attempts at the old process fail late.
 #[test]
 fn late_ends_of_an_old_process_do_not_count_against_the_new_one() {
     for outcome in [Outcome::ConnectFailed, Outcome::Reset, Outcome::Error, Outcome::Timeout, Outcome::Full] {
@@ -52,8 +56,8 @@
     }
 }
 
-/// Guards against one moment that counts as many: each of several connects that failed together
-/// made the ejection longer.
+/// Guards against an ejection that grows with each of several connections that fail at the same
+/// time.
 #[test]
 fn connections_that_fail_together_eject_a_node_no_longer_than_a_single_one() {
     let mut harness = BalancerHarness::without_origin(2);
@@ -67,10 +71,11 @@
         }
     }
     harness.now += 5001.0;
-    assert!(send_until_queued(&mut harness, 1000).len() > 10, "both are tried after 5 s at the latest");
+    assert!(send_until_queued(&mut harness, 1000).len() > 10, "a node was still ejected after 5 s");
 }
 
-/// Guards against a proxy that is partitioned for a moment and then tries no node for 4 s.
+/// Guards against a proxy that sends no attempts for 4 s after a short network partition, because
+/// all nodes are ejected.
 #[test]
 fn when_most_of_the_fleet_is_ejected_each_node_gets_one_trial_at_a_time() {
     let mut harness = BalancerHarness::without_origin(3);
@@ -85,17 +90,17 @@
     };
     assert_eq!(fail(&mut harness, 1), 3);
     harness.now += 700.0;
-    assert!(send_until_queued(&mut harness, 50).is_empty(), "not at once");
+    assert!(send_until_queued(&mut harness, 50).is_empty(), "a trial was sent before the trial interval");
     harness.now += 600.0;
     let trials = send_until_queued(&mut harness, 100);
-    assert_eq!(trials.len(), 3, "one for each");
+    assert_eq!(trials.len(), 3, "each node gets one trial");
     for id in &trials {
         for server in 1..=3 {
             harness.end(*id, 0, server, Outcome::Ok);
         }
     }
-    assert!(send_until_queued(&mut harness, 200).len() > 20, "all serve again");
-    // One of three that is ejected gets no trial.
+    assert!(send_until_queued(&mut harness, 200).len() > 20, "a node stayed excluded after its trial");
+    // While only one of three nodes is ejected, that node gets no trial.
     let mut harness = BalancerHarness::without_origin(3);
     harness.request(read(1, 1));
     let (_, ejected) = sent(&harness.request(read(2, 2))).unwrap();
@@ -103,8 +108,8 @@
     assert!((100..120).all(|id| sent(&harness.request(read(id, id))).is_none_or(|sent| sent.1 != ejected)));
 }
 
-/// Guards against a node that returns under its old name and keeps what counted against the one
-/// before.
+/// Guards against a node that was removed and returns under the same id, but keeps the ejection of
+/// its predecessor.
 #[test]
 fn a_node_that_returns_after_it_was_gone_counts_as_new_whatever_its_start() {
     for attempt_in_flight in [false, true] {
@@ -114,7 +119,7 @@
         }
         harness.request(read(2, 2));
         harness.end(2, 0, 1, Outcome::ConnectFailed);
-        assert!(sent(&harness.request(read(3, 3))).is_none(), "it is ejected");
+        assert!(sent(&harness.request(read(3, 3))).is_none(), "the node is not ejected");
         harness.event(Event::EndpointList {
             form: ListForm::Delta,
             endpoints: vec![EndpointInfo { state: EndpointState::Gone, ..endpoint(1) }],
@@ -124,7 +129,7 @@
     }
 }
 
-/// Guards against a cold node that passes for warm since a list is behind.
+/// Guards against a cold node that counts as warm because an outdated list states an earlier start.
 #[test]
 fn an_older_start_of_a_listed_node_does_not_make_it_warm() {
     let mut harness = BalancerHarness::without_origin(3);
@@ -133,10 +138,10 @@
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: list });
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: (1..=3).map(endpoint).collect() });
     let sent: usize = (1..50).map(|id| sends(&harness.request(read(id, id))).len()).sum();
-    assert!((1..=24).contains(&sent), "{sent} of 49, about 15 expected");
+    assert!((1..=24).contains(&sent), "{sent} of 49 requests sent, expected about 15");
 }
 
-/// Guards against a write that a cache node takes, so that the origin never gets it.
+/// Guards against a write that is sent to a cache node and never reaches the origin.
 #[test]
 fn a_write_goes_to_no_cache_node_when_the_origin_is_absent() {
     let mut harness = BalancerHarness::with_origin(4);
@@ -159,7 +164,8 @@
     );
 }
 
-/// Guards against a request that fails though a node of its scope could still take it.
+/// Guards against a request that fails although a node in its deduplication scope could take the
+/// retry.
 #[test]
 fn a_retry_goes_to_a_node_of_the_same_dedup_scope() {
     for key in 1..40 {
@@ -171,12 +177,13 @@
     }
 }
 
-/// Guards against a waiter sent where it failed a moment ago, though the value is there.
+/// Guards against a request that waited for a fetch and is then sent to the node that holds the
+/// value, although an attempt there has failed before.
 #[test]
 fn a_waiter_is_not_sent_to_a_node_where_it_has_failed() {
     let mut harness = BalancerHarness::with_origin(3);
     for id in 100..110 {
-        // enough for a few retries
+        // These requests deposit enough in the retry budget for a few retries.
         assert_ne!(harness.served(id, id), 0);
     }
     let (_, home) = sent(&harness.request(read(1, 5))).unwrap();
@@ -184,12 +191,12 @@
     let (_, other) = sent(&harness.end(2, 0, home, Outcome::Error)).unwrap();
     assert_ne!(other, home);
     harness.end(1, 0, home, Outcome::Miss);
-    assert!(sends(&harness.end(2, 1, other, Outcome::Miss)).is_empty(), "it waits for the fetch");
+    assert!(sends(&harness.end(2, 1, other, Outcome::Miss)).is_empty(), "the request waits for the fetch");
     let after = sends(&harness.end(1, 1, ORIGIN, Outcome::Ok));
     assert!(after.iter().all(|to| *to != (2, home)) && !after.is_empty(), "{after:?}");
 }
 
-/// Guards against a request that is queued for the origin though it has no attempt left.
+/// Guards against a request that is queued for the origin although it has no attempt left.
 #[test]
 fn a_request_without_an_attempt_left_is_rejected_at_once() {
     let mut harness = BalancerHarness::with_origin(2);
@@ -201,7 +208,7 @@
         endpoints: vec![EndpointInfo { state: EndpointState::Ready, ..endpoint(ORIGIN) }],
     });
     let (_, server) = sent(&harness.request(read(1, 5))).unwrap();
-    // The origin has no capacity left.
+    // These writes use up the capacity of the origin.
     for id in 10..20 {
         harness.request(Request { is_write: true, ..read(id, id) });
     }
@@ -215,7 +222,7 @@
     );
 }
 
-/// Guards against limits that were derived from settings which are not active any more.
+/// Guards against concurrency limits that still follow the group size of earlier settings.
 #[test]
 fn another_group_size_gives_each_proxy_another_part_of_a_node() {
     let sized = |size: u32| {
@@ -225,7 +232,7 @@
     let mut harness = BalancerHarness::without_origin(1);
     assert_eq!(send_until_queued(&mut harness, 1).len(), 10);
     harness.balancer.apply_settings(sized(2));
-    assert_eq!(send_until_queued(&mut harness, 1000).len(), 6, "16 in all");
+    assert_eq!(send_until_queued(&mut harness, 1000).len(), 6, "16 attempts are in flight in all");
     harness.balancer.apply_settings(sized(30));
     for id in 1..=10 {
         harness.end(id, 0, 1, Outcome::Ok);
@@ -233,7 +240,8 @@
     assert!(send_until_queued(&mut harness, 2000).is_empty());
 }
 
-/// One of many proxies whose only node was slow for so long that few are admitted.
+/// Returns one of 200 proxies whose only node has been slow for so long that few requests are
+/// admitted.
 fn slowed_balancer() -> BalancerHarness {
     let mut harness = BalancerHarness::numbered(1, 1);
     for id in 1..200 {
@@ -245,7 +253,7 @@
     harness
 }
 
-/// Guards against attempts that reached no backend, taken for a sign of capacity.
+/// Guards against attempts that reached no backend but raise the admission probability.
 #[test]
 fn attempts_that_reach_no_backend_do_not_raise_admission() {
     let mut harness = slowed_balancer();
@@ -258,11 +266,11 @@
             harness.end_after(id, 0, 1, Outcome::Moot, 0.0);
         }
     }
-    assert!((1..60).contains(&admitted), "{admitted} of 400");
+    assert!((1..60).contains(&admitted), "{admitted} of 400 requests admitted");
 }
 
-/// Guards against an admission probability that nothing raises again: it is only adjusted while the
-/// group is large.
+/// Guards against an admission probability that stays low after the group has shrunk: it is
+/// adjusted only while the proxy has a small quota.
 #[test]
 fn a_group_that_shrinks_admits_every_request_again() {
     let mut harness = slowed_balancer();
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,5 +1,6 @@
-//! What many proxies that do not communicate send a cold node together: beyond the budget of N
-//! requests only chance is left, which is twice the root of N, and two.
+//! Tests of slow start over many proxies that do not communicate: together they exceed the budget
+//! of a cold node only by chance. For a budget of N requests, chance is allowed to add twice the
+//! square root of N, plus two.
 
 mod common;
 
@@ -10,31 +11,33 @@
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a warm node takes in a second, all proxies together.
+/// The capacity of a warm node, in requests per second from all proxies together.
 const CAPACITY: f64 = 25.0;
 const NODES: u32 = 10;
 
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     proxies: u32,
-    /// Settings of the site.
+    /// The values of the settings `FallMultiple`, `StartCapacity`, `Cold` and `TipAfter`.
     overload_multiple: f64,
     start_capacity: f64,
     warm_up_time: Milliseconds,
     overload_time: Milliseconds,
-    /// How many of ten nodes are replaced, one after the other, within how long.
+    /// The number of nodes, of ten, that are replaced one after the other, and the time within
+    /// which this happens.
     replaced: u32,
     replaced_within: Milliseconds,
-    /// The share of the fleet's capacity that is requested.
+    /// The request rate, as a fraction of the fleet's capacity.
     utilization: f64,
-    /// The share of requests that name one of a few keys, and how many these are.
+    /// The fraction of requests that are for hot keys, and the number of hot keys.
     hot_fraction: f64,
     hot_keys: KeyNumber,
-    /// How long a node takes for a response at most.
+    /// The largest latency of a response.
     latency: Milliseconds,
-    /// Whether nodes miss what they were not asked for before, and an origin has it.
+    /// Whether nodes miss keys that they do not hold, which are then fetched from an origin
+    /// (cache-aside).
     cache_aside: bool,
-    /// The share of attempts that fail.
+    /// The fraction of attempts that fail.
     failure_fraction: f64,
 }
 
@@ -56,22 +59,22 @@
 
 struct SentAttempt {
     id: RequestNumber,
-    /// Its number among the request's attempts.
+    /// The number of the attempt among those of its request.
     ordinal: u8,
     server: BackendNumber,
     sent: Milliseconds,
 }
 
-/// What happens at a time of the run's clock; proxies are named by their numbers.
+/// An event of the simulation. A proxy is identified by its number.
 enum FleetEvent {
     RequestArrives,
     AttemptEnds(usize, SentAttempt),
-    /// The timer with this token.
+    /// The timer with this token fires at a proxy.
     TimerFires(usize, u64),
     NodeIsReplaced(u32),
 }
 
-/// A fleet of balancers, and what they sent to cold nodes.
+/// A simulated fleet of balancers, with the attempts that they sent to cold nodes.
 struct FleetRun {
     scenario: Scenario,
     now: Milliseconds,
@@ -81,11 +84,12 @@
     next_sequence: u64,
     balancers: Vec<Balancer>,
     attempts: BTreeMap<(usize, RequestNumber), u8>,
-    /// The key of each request, where it missed, and what each node holds.
+    /// The key of each request, the nodes at which the request missed, and the keys that each node
+    /// holds.
     keys: BTreeMap<RequestNumber, KeyNumber>,
     missed: BTreeMap<RequestNumber, Vec<BackendNumber>>,
     cached: BTreeSet<(BackendNumber, KeyNumber)>,
-    /// When each cold node started, and when it was sent attempts since.
+    /// The start time of each cold node, and the times of the attempts sent to the node since then.
     cold_nodes: BTreeMap<BackendNumber, (Milliseconds, Vec<Milliseconds>)>,
 }
 
@@ -120,7 +124,7 @@
         for at in 0..run.balancers.len() {
             run.feed(at, Event::EndpointList { form: ListForm::Full, endpoints: list.clone() });
         }
-        // Tables are full by then.
+        // Nodes are replaced from 8 s after the start on, when the key tables are filled.
         for number in 0..scenario.replaced {
             let after = 8_000.0 + scenario.replaced_within * f64::from(number) / f64::from(scenario.replaced);
             run.schedule(after, FleetEvent::NodeIsReplaced(number + 1));
@@ -192,7 +196,7 @@
     fn outcome(&mut self, id: RequestNumber, server: BackendNumber) -> Outcome {
         let key = self.keys[&id];
         if server == ORIGIN {
-            // The value is stored where it missed.
+            // The value is stored at the nodes at which the request missed.
             self.cached.extend(self.missed.remove(&id).into_iter().flatten().map(|node| (node, key)));
         } else if self.scenario.cache_aside && !self.cached.contains(&(server, key)) {
             self.missed.entry(id).or_default().push(server);
@@ -231,8 +235,9 @@
         }
     }
 
-    /// The most that any cold node was sent beyond its budget in any span, over what chance may
-    /// add: above 1 is too much.
+    /// Returns the largest number of attempts beyond its budget that any cold node was sent within
+    /// any period of `overload_time`, divided by the excess that chance may add. A result above 1
+    /// breaks the rule.
     fn worst_excess(&self) -> f64 {
         let scenario = &self.scenario;
         let mut worst_excess = 0.0f64;
@@ -261,31 +266,32 @@
     }
 }
 
-/// Scenarios over the range of the settings, each of which once sent a cold node too much or might.
+/// Returns scenarios over the range of the settings, each of which has sent a cold node too many
+/// requests before, or could.
 fn scenarios() -> Vec<Scenario> {
     vec![
         SCENARIO,
         Scenario { proxies: 20, ..SCENARIO },
         Scenario { proxies: 300, ..SCENARIO },
-        // Few proxies see gaps between loads, and send all that looks for the least loaded to an
-        // idle node.
+        // Where few proxies share the fleet, they see gaps between loads, and send all requests for
+        // the least loaded node to an idle one.
         Scenario { proxies: 1, latency: 300.0, ..SCENARIO },
         Scenario { proxies: 3, latency: 300.0, ..SCENARIO },
         Scenario { proxies: 3, replaced: 1, latency: 300.0, utilization: 0.95, ..SCENARIO },
-        // Budgets of a few requests.
+        // Budgets of only a few requests.
         Scenario { overload_time: 500.0, start_capacity: 0.05, ..SCENARIO },
         Scenario { overload_multiple: 2.0, start_capacity: 0.05, overload_time: 1_000.0, ..SCENARIO },
-        // Fast to warm, slow to warm, and all of the fleet but one.
+        // A short and a long warm-up time, and a replacement of all nodes but one.
         Scenario { warm_up_time: 6_000.0, ..SCENARIO },
         Scenario { warm_up_time: 60_000.0, ..SCENARIO },
         Scenario { replaced: 9, replaced_within: 20_000.0, ..SCENARIO },
-        // Nearly all requests name a few keys.
+        // Nearly all requests are for a few keys.
         Scenario { hot_fraction: 0.9, ..SCENARIO },
         Scenario { proxies: 1, hot_fraction: 0.9, ..SCENARIO },
-        // More than all can take, and misses that wait for another's fetch.
+        // More requests than the fleet can take, with many failures in the second scenario.
         Scenario { utilization: 1.2, ..SCENARIO },
         Scenario { proxies: 3, utilization: 1.2, failure_fraction: 0.2, latency: 300.0, ..SCENARIO },
-        // One key of a third or of a tenth of all requests, wherever it lives.
+        // A single hot key with 30 % or 10 % of all requests, whose home varies with the seed.
         Scenario { hot_keys: 1, ..SCENARIO },
         Scenario { hot_keys: 1, proxies: 300, ..SCENARIO },
         Scenario { hot_keys: 1, proxies: 3, latency: 300.0, ..SCENARIO },
@@ -311,10 +317,14 @@
             let run = FleetRun::simulate(scenario, seed + 10 * at as u64);
             assert!(
                 run.attempts_at_cold_nodes() > 10,
-                "they get something: {} {scenario:?}",
+                "only {} attempts at cold nodes: {scenario:?}",
                 run.attempts_at_cold_nodes()
             );
-            assert!(run.worst_excess() <= 1.0, "seed {seed}: {:.2} {scenario:?}", run.worst_excess());
+            assert!(
+                run.worst_excess() <= 1.0,
+                "seed {seed}: {:.2} times the allowed excess in {scenario:?}",
+                run.worst_excess()
+            );
         }
     }
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Arbitrary legal event sequences, with fixed seeds, against the invariants of the rules.
+//! Property tests: the rules hold for one balancer under arbitrary legal sequences of events. The
+//! sequences are generated from fixed seeds.
 
 mod common;
 
@@ -39,28 +40,28 @@
     ]
 }
 
-/// Applies steps to one proxy and records what could be seen of them.
+/// Applies steps to one proxy and records the history that is visible from outside.
 struct RecordedProxy {
     harness: BalancerHarness,
     recorder: EventRecorder,
-    /// The requests without a final response, and how many attempts each has had.
+    /// The requests without a final response, with the number of attempts of each.
     open: BTreeMap<RequestNumber, u8>,
     /// The attempts in flight.
     in_flight: Vec<SentAttempt>,
-    /// When timers fire, and their tokens.
+    /// The times at which timers fire, and their tokens.
     timers: Vec<(Milliseconds, u64)>,
     next_request: RequestNumber,
-    /// By how many places the classes have moved in the active settings.
+    /// The number of places by which the active settings rotate the list of classes.
     class_shift: u8,
 }
 
 struct SentAttempt {
     id: RequestNumber,
-    /// Its number among the request's attempts.
+    /// The number of the attempt among those of its request.
     ordinal: u8,
     server: BackendNumber,
     sent: Milliseconds,
-    /// Its number among the recorded attempts.
+    /// The number of the attempt among all recorded attempts.
     number: u64,
 }
 
@@ -84,8 +85,8 @@
     }
 
     fn record_active_settings(&mut self, attempts: usize) {
-        // A proxy that knows of a drain sends nothing more there; the time that rules allow is the
-        // network's.
+        // A proxy that knows of a drain sends nothing more to the backend at once. The time that
+        // the rules allow for this is meant for the network.
         let figures = Figures { attempts, stop_within: 0.0, ..recorded_events::figures() };
         self.recorder
             .record(self.harness.now, HistoryEvent::ConfigActivated { proxy: PROXY.into(), figures });
@@ -101,7 +102,7 @@
                     let now = self.harness.now;
                     let number = self.recorder.record_attempt(now, PROXY, &id.to_string(), server, 10.0);
                     let attempts =
-                        self.open.get_mut(&id).expect("nothing is sent for a request that is over");
+                        self.open.get_mut(&id).expect("an attempt is sent only for a pending request");
                     self.in_flight.push(SentAttempt { id, ordinal: *attempts, server, sent: now, number });
                     *attempts += 1;
                 }
@@ -123,13 +124,13 @@
     fn send_list(&mut self, form: ListForm, list: Vec<EndpointInfo>) {
         self.recorder.record_list(self.harness.now, PROXY, form != ListForm::Delta, &list);
         self.feed(Event::EndpointList { form, endpoints: list });
-        // What is sent from now on is sent later.
+        // Attempts that follow must have a later time than the list.
         self.harness.now += 0.01;
     }
 
     fn wait(&mut self, time: Milliseconds) {
         let end = self.harness.now + time;
-        // A timer comes in the first batch at or after its time, never in the one that set it.
+        // A timer fires in the first batch at or after its time, never in the batch that set it.
         while self.harness.now < end {
             self.harness.now = (self.harness.now + 1.0).min(end);
             let now = self.harness.now;
@@ -238,12 +239,12 @@
             proxy.apply(step);
         }
         proxy.wait(1000.0);
-        // The recording goes on until everybody's time is over.
+        // The last event is later than every deadline, so that the checker sees missing responses.
         proxy.recorder.record_list(proxy.harness.now, PROXY, false, &[]);
         let history = proxy.recorder.history();
         match check(&history) {
             Ok(breaches) => prop_assert!(breaches.is_empty(), "{}", breaches[0]),
-            Err(error) => prop_assert_eq!(error, CheckError::NoRequest, "it is whole"),
+            Err(error) => prop_assert_eq!(error, CheckError::NoRequest, "the checker rejected the history"),
         }
         Ok(())
     });
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules of the data path, checked without the simulator.
+//! Tests of the four rules of the data path on one balancer: a single final response, safe repeats,
+//! no attempts at draining backends, and a bounded load on cold backends.
 
 mod common;
 
@@ -11,7 +12,7 @@
 
 #[test]
 fn one_final_response_under_every_order_of_outcome_deadline_and_disconnect() {
-    // Each order of: the attempt's outcome, the deadline, the client's disconnect.
+    // Every order of three steps: 0 is the attempt's outcome, 1 the deadline, 2 the disconnect.
     for outcome in ALL_OUTCOMES {
         for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
             let mut harness = BalancerHarness::without_origin(4);
@@ -92,7 +93,8 @@
         let mut harness = BalancerHarness::without_origin(4);
         let arrival = harness.request(Request { class, ..read(1, 5) });
         let end = harness.deadline(&arrival);
-        // At 800 ms the window of 300 ms is over: only what is idempotent may be rejected.
+        // The deadline at 800 ms is after the deduplication window of 300 ms: only idempotent
+        // requests may be rejected.
         assert_eq!(matches!(finals(&end)[0], Action::Reject { .. }), is_rejected, "{class}");
     }
 }
@@ -108,7 +110,7 @@
 fn attempts_stay_within_the_limit() {
     let mut harness = BalancerHarness::without_origin(9);
     for id in 100..110 {
-        // enough for a few retries
+        // These requests deposit enough in the retry budget for a few retries.
         assert_ne!(harness.served(id, id), 0);
     }
     let (mut actions, mut attempts) = (harness.request(read(1, 5)), 0);
@@ -173,7 +175,7 @@
     let mut harness = BalancerHarness::with_origin(2);
     let (_, server) = sent(&harness.request(read(1, 5))).unwrap();
     harness.end(1, 0, server, Outcome::Miss);
-    assert!(sends(&harness.request(read(2, 5))).is_empty(), "it waits for the fetch");
+    assert!(sends(&harness.request(read(2, 5))).is_empty(), "the request waits for the fetch");
     harness.event(Event::EndpointList {
         form: ListForm::Delta,
         endpoints: vec![EndpointInfo { state: EndpointState::Draining, ..endpoint(server) }],
@@ -182,7 +184,8 @@
     assert!(sends(&actions).iter().all(|(_, to)| *to != server), "{actions:?}");
 }
 
-/// Sends steady traffic for 1.5 s; the work sent to backend 9 and to all others.
+/// Sends steady traffic for 1.5 s, where attempts at backend 9 end with `outcome`. Returns the work
+/// sent to backend 9 and the mean work sent to each of the four others, in ms.
 fn send_steady_traffic(harness: &mut BalancerHarness, outcome: Outcome) -> (f64, f64) {
     let (mut cold, mut warm) = (0.0, 0.0);
     let base = harness.now as u64 * 1000;
@@ -209,7 +212,7 @@
 
 #[test]
 fn a_cold_backend_gets_no_more_than_its_budget() {
-    // A new id, then a restart of a known one; with retries from its rejections too.
+    // A new backend, a restart of a known backend, and a new backend whose rejections are retried.
     for (known, outcome) in [(false, Outcome::Ok), (true, Outcome::Ok), (false, Outcome::Full)] {
         let mut harness = BalancerHarness::without_origin(4);
         if known {
@@ -222,16 +225,19 @@
             endpoints: vec![EndpointInfo { started_at: time(started), ..endpoint(9) }],
         });
         let (cold, warm) = send_steady_traffic(&mut harness, outcome);
-        // Start capacity 0.2 rising to 0.33 in the time, multiple 3: at most half of what makes it
-        // collapse, even if warm backends are at their full capacity.
-        assert!(cold > 0.0 && cold <= warm * 0.5 * 3.0 * 0.34, "known {known} {outcome:?}: {cold} {warm}");
+        // The capacity rises from 0.2 to 0.33 within the time, and the overload multiple is 3. The
+        // cold backend gets at most half of the load that makes it collapse, even if the warm
+        // backends are at full capacity.
+        assert!(
+            cold > 0.0 && cold <= warm * 0.5 * 3.0 * 0.34,
+            "known {known} {outcome:?}: {cold} ms of work at the cold backend, {warm} ms at a warm one"
+        );
     }
 }
 
 #[test]
 fn several_proxies_together_keep_the_budget_of_a_cold_backend() {
-    // Four proxies that do not communicate, each with its own share of the traffic and its own
-    // table.
+    // Four proxies do not communicate; each has its own part of the traffic and its own state.
     let (mut cold, mut warm) = (0.0, 0.0);
     for _ in 0..4 {
         let mut harness = BalancerHarness::without_origin(4);
@@ -245,7 +251,10 @@
         cold += to_cold;
         warm += to_warm;
     }
-    assert!(cold > 0.0 && cold <= warm * 0.5 * 3.0 * 0.34, "{cold} {warm}");
+    assert!(
+        cold > 0.0 && cold <= warm * 0.5 * 3.0 * 0.34,
+        "{cold} ms of work at the cold backends, {warm} ms at warm ones"
+    );
 }
 
 #[test]
@@ -255,8 +264,9 @@
     let cold = |id| EndpointInfo { started_at: time(started), ..endpoint(id) };
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: (1..=3).map(cold).collect() });
     let burst: usize = (1..50).map(|id| sends(&harness.request(read(id, id))).len()).sum();
-    // Half of multiple 3 times start capacity 0.2 of the keys, wherever else they are rejected.
-    assert!((1..=24).contains(&burst), "{burst} of 49, about 15 expected; the others wait");
+    // The fraction of keys that are sent is half of the overload multiple 3 times the start
+    // capacity 0.2. All other requests are queued.
+    assert!((1..=24).contains(&burst), "{burst} of 49 requests sent, expected about 15");
 }
 
 #[test]
@@ -278,7 +288,7 @@
             harness.end(id, 1, to, Outcome::Ok);
         }
     }
-    assert!(all > 100 && from_cold * 10 < all, "{from_cold} of {all}");
+    assert!(all > 100 && from_cold * 10 < all, "{from_cold} of {all} misses came from the cold node");
 }
 
 #[test]
@@ -289,7 +299,7 @@
         let Some((_, server)) = sent(&harness.request(read(id, id))) else { continue };
         at_origin += harness.end(id, 0, server, Outcome::Miss).iter().filter(|a| is_origin_send(a)).count();
     }
-    assert!((1..=8).contains(&at_origin), "{at_origin}");
+    assert!((1..=8).contains(&at_origin), "{at_origin} attempts in flight at the origin");
 }
 
 fn is_origin_send(action: &Action) -> bool {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The codec, on frames made by hand, and what the adapter does with bad input.
+//! Tests of the simulator's codec on hand-made frames, and of the adapter process on bad input.
 
 mod common;
 
@@ -190,7 +190,7 @@
     };
     let lacking = common::settings_json(true).replace("\"TipAfter\"", "\"Other\"");
     let reply = attach(lacking.as_bytes());
-    assert_eq!(reply[8], 1, "the fault action");
+    assert_eq!(reply[8], 1, "the reply's record is not a fault");
     assert!(String::from_utf8_lossy(&reply).contains("TipAfter"));
     assert_eq!(attach(b"nonsense")[8], 1);
     assert_eq!(attach(common::settings_json(true).as_bytes()), vec![0; 8]);
