--- a/src/logic/endpoint_selection/mod.rs
+++ b/src/logic/endpoint_selection/mod.rs
@@ -79,12 +79,12 @@
     }
 }
 
-/// The first in a key's order of the backends whose loads count as the least.
+/// The backend that counts as the least loaded one for a key.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeastLoaded {
     /// The identifier of the backend.
     backend: BackendId,
-    /// The number of candidates, the first backends in the key's order, from which this proxy
+    /// The number of candidates (the first backends in the key's order) from which this proxy
     /// selected the backend.
     candidates: usize,
     /// The least load of all, in requests in flight.
--- a/src/logic/endpoint_selection/rendezvous_order.rs
+++ b/src/logic/endpoint_selection/rendezvous_order.rs
@@ -18,7 +18,7 @@
 pub(in crate::logic) struct Home {
     /// The identifier of the backend.
     pub(in crate::logic) backend: BackendId,
-    /// The number of candidates, the first backends in the key's order, from which this proxy
+    /// The number of candidates (the first backends in the key's order) from which this proxy
     /// selected the home.
     pub(in crate::logic) candidates: usize,
 }
