--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -80,7 +80,7 @@
     now: Milliseconds,
     rng: SmallRng,
     first_hot_key: KeyNumber,
-    agenda: BTreeMap<(u64, u64), FleetEvent>,
+    event_queue: BTreeMap<(u64, u64), FleetEvent>,
     next_sequence: u64,
     balancers: Vec<Balancer>,
     attempts: BTreeMap<(usize, RequestNumber), u8>,
@@ -110,7 +110,7 @@
             now: 100_000.0,
             rng: SmallRng::seed_from_u64(seed),
             first_hot_key: 1 + seed % 90,
-            agenda: BTreeMap::new(),
+            event_queue: BTreeMap::new(),
             next_sequence: 0,
             balancers: (0..scenario.proxies).map(balancer).collect(),
             attempts: BTreeMap::new(),
@@ -121,8 +121,8 @@
         };
         let mut list: Vec<EndpointInfo> = (1..=NODES).map(endpoint).collect();
         list.extend(scenario.cache_aside.then(|| endpoint(ORIGIN)));
-        for at in 0..run.balancers.len() {
-            run.feed(at, Event::EndpointList { form: ListForm::Full, endpoints: list.clone() });
+        for proxy in 0..run.balancers.len() {
+            run.feed(proxy, Event::EndpointList { form: ListForm::Full, endpoints: list.clone() });
         }
         // Nodes are replaced from 8 s after the start on, when the key tables are filled.
         for number in 0..scenario.replaced {
@@ -136,20 +136,20 @@
 
     fn schedule(&mut self, after: Milliseconds, event: FleetEvent) {
         self.next_sequence += 1;
-        self.agenda.insert((((self.now + after) * 1000.0) as u64, self.next_sequence), event);
+        self.event_queue.insert((((self.now + after) * 1000.0) as u64, self.next_sequence), event);
     }
 
     fn run(&mut self, length: Milliseconds) {
         let until = self.now + length;
-        while let Some(((at, _), event)) = self.agenda.pop_first() {
+        while let Some(((at, _), event)) = self.event_queue.pop_first() {
             self.now = self.now.max(at as f64 / 1000.0);
             if self.now > until {
                 return;
             }
             match event {
                 FleetEvent::RequestArrives => self.send_request(),
-                FleetEvent::TimerFires(at, token) => self.feed(at, Event::Timer(token)),
-                FleetEvent::AttemptEnds(at, attempt) => {
+                FleetEvent::TimerFires(proxy, token) => self.feed(proxy, Event::Timer(token)),
+                FleetEvent::AttemptEnds(proxy, attempt) => {
                     let outcome = self.outcome(attempt.id, attempt.server);
                     let end = AttemptEnd {
                         id: RequestId(attempt.id),
@@ -160,16 +160,16 @@
                         outcome,
                         load_report: Vec::new(),
                     };
-                    self.feed(at, Event::AttemptEnd(end));
+                    self.feed(proxy, Event::AttemptEnd(end));
                 }
                 FleetEvent::NodeIsReplaced(old) => {
                     let (new, started) = (NODES + old, self.now);
                     self.cold_nodes.insert(new, (started, Vec::new()));
                     let gone = EndpointInfo { state: EndpointState::Gone, ..endpoint(old) };
                     let change = vec![gone, EndpointInfo { started_at: time(started), ..endpoint(new) }];
-                    for at in 0..self.balancers.len() {
+                    for proxy in 0..self.balancers.len() {
                         self.feed(
-                            at,
+                            proxy,
                             Event::EndpointList { form: ListForm::Delta, endpoints: change.clone() },
                         );
                     }
@@ -187,10 +187,10 @@
         } else {
             100 + (3000.0 * self.rng.gen::<f64>().powi(3)) as KeyNumber
         };
-        let at = self.rng.gen_range(0..self.balancers.len());
+        let proxy = self.rng.gen_range(0..self.balancers.len());
         let id = self.next_sequence;
         self.keys.insert(id, key);
-        self.feed(at, Event::Request(read(id, key)));
+        self.feed(proxy, Event::Request(read(id, key)));
     }
 
     fn outcome(&mut self, id: RequestNumber, server: BackendNumber) -> Outcome {
@@ -209,14 +209,14 @@
         }
     }
 
-    fn feed(&mut self, at: usize, event: Event) {
+    fn feed(&mut self, proxy: usize, event: Event) {
         let mut actions = Vec::new();
-        self.balancers[at].handle(time(self.now), event, &mut actions);
+        self.balancers[proxy].handle(time(self.now), event, &mut actions);
         for action in actions {
             match action {
                 Action::StartAttempt { request: id, backend: server, .. } => {
                     let (id, server) = (id.0, server.0);
-                    let attempt = self.attempts.entry((at, id)).or_default();
+                    let attempt = self.attempts.entry((proxy, id)).or_default();
                     let number = *attempt;
                     *attempt += 1;
                     if let Some((_, sent)) = self.cold_nodes.get_mut(&server) {
@@ -224,11 +224,11 @@
                     }
                     let latency = self.rng.gen_range(5.0..self.scenario.latency);
                     let attempt = SentAttempt { id, ordinal: number, server, sent: self.now };
-                    self.schedule(latency, FleetEvent::AttemptEnds(at, attempt));
+                    self.schedule(latency, FleetEvent::AttemptEnds(proxy, attempt));
                 }
                 Action::SetTimer { delay: wait, token }
                 | Action::SetRequestTimer { delay: wait, token, .. } => {
-                    self.schedule(wait.as_ms().max(0.001), FleetEvent::TimerFires(at, token));
+                    self.schedule(wait.as_ms().max(0.001), FleetEvent::TimerFires(proxy, token));
                 }
                 _ => {}
             }
