--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -1,50 +1,49 @@
-//! The counters of the proxy: connections, requests, attempts and faults by kind. Read [`Counters`]
-//! first.
+//! Counts the proxy's connections, requests, attempts and faults by kind. Read [`Counters`] first.
 //!
 //! Invariant: the names in `stats` and in the log are the strings in the list of `counters!`, in
-//! its order. Dashboards and alarms read them. They are older than the terms of the fields: a
-//! *consumer* is a client, a *provider* a backend, a *call* an attempt.
+//! its order, because dashboards and alarms read them. The names are older than the terms of the
+//! fields: a *consumer* is a client, a *provider* is a backend, and a *call* is an attempt.
 
 use crate::interface::{GiveUpReason, Outcome};
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// One counter.
+/// A monotonic counter that any thread may increment.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Adds 1.
+    /// Adds 1 to the counter.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Adds a number.
+    /// Adds `count` to the counter.
     pub fn add(&self, count: usize) {
         self.0.fetch_add(count as u64, Ordering::Relaxed);
     }
 
-    /// The present value.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// The names of counters, as `stats` shows them, with their values.
+/// Counters as pairs of the name in `stats` and the value.
 pub type CounterList = Vec<(&'static str, u64)>;
 
-/// The counters of another part of the process.
+/// Counters that another part of the process keeps and that are read through a function.
 #[derive(Default)]
 pub struct ExternalCounters(OnceLock<Box<dyn Fn() -> CounterList + Send + Sync>>);
 
 impl ExternalCounters {
-    /// Sets the function that reads them. Only the first call has an effect.
+    /// Sets the function that reads the counters. Only the first call has an effect.
     pub fn set_source(&self, list: impl Fn() -> CounterList + Send + Sync + 'static) {
         let _ = self.0.set(Box::new(list));
     }
 
-    /// The counters; none without a source.
+    /// Returns the counters, or an empty list if no source is set.
     fn list(&self) -> CounterList {
         self.0.get().map_or(CounterList::new(), |list| list())
     }
@@ -58,16 +57,16 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $field:ident => $name:literal,)*) => {
-        /// All counters of one process, from 0 at its start.
+        /// All counters of one process, starting from 0.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $field: Counter,)*
-            /// The counters of the fleet and of the policy.
+            /// Counters of the fleet and the policy.
             pub external: ExternalCounters,
         }
 
         impl Counters {
-            /// All counters in a fixed order, the external ones last.
+            /// Lists all counters in a fixed order, the external ones last.
             pub fn list(&self) -> CounterList {
                 let mut list = vec![$(($name, self.$field.get()),)*];
                 list.extend(self.external.list());
@@ -86,27 +85,27 @@
     connections_unlikely_to_return => "consumers_hopeless",
     /// Client connections closed because too many were in the same phase.
     connections_over_budget => "consumers_over_budget",
-    /// Client connections closed because they were in one phase for too long.
+    /// Client connections closed because they stayed in one phase for too long.
     connections_overdue => "consumers_late",
-    /// Reads accepted.
+    /// Read requests accepted.
     reads_accepted => "taken_reads",
-    /// Writes accepted.
+    /// Write requests accepted.
     writes_accepted => "taken_writes",
-    /// Commands that were unknown, malformed or too large.
+    /// Commands of clients that were unknown, malformed or too large.
     commands_malformed => "taken_malformed",
-    /// Requests rejected because there was no memory for their responses.
+    /// Requests rejected because the memory budget had no room for their responses.
     requests_rejected_for_memory => "rejected_for_memory",
     /// Requests served.
     requests_served => "answered_served",
     /// Requests rejected.
     requests_rejected => "answered_rejected",
-    /// Requests failed.
+    /// Requests that got the response "failed".
     requests_failed => "answered_failed",
     /// Requests cancelled because their client disconnected.
     requests_cancelled => "consumers_gone",
-    /// Requests that the guard of the dispatcher expired.
+    /// Requests that the dispatcher's periodic guard failed because their timer was lost or late.
     requests_expired => "overdue",
-    /// Attempts that the decision module asked for.
+    /// Attempts that the decision module requested.
     attempts_requested => "calls_ordered",
     /// Attempts that were served.
     attempts_served => "calls_ok",
@@ -122,37 +121,38 @@
     attempts_connect_failed => "calls_connect_failed",
     /// Attempts whose connection broke.
     attempts_reset => "calls_reset",
-    /// Attempts cancelled.
+    /// Attempts cancelled before they ended.
     attempts_cancelled => "calls_cancelled",
-    /// Attempts not sent.
+    /// Attempts that ended without being sent.
     attempts_not_sent => "calls_moot",
     /// Responses of backends that were malformed or incomplete.
     responses_malformed => "answers_spoilt",
     /// Long values that were streamed completely.
     values_streamed => "values_flowed",
-    /// Long values that broke off while they streamed.
+    /// Long values whose stream broke off.
     values_broken => "values_broken",
     /// Connections opened to backends.
     backend_connections => "provider_connections",
-    /// Watches started at discovery.
+    /// Discovery watches started.
     watches => "watches",
-    /// Watches that failed or ended.
+    /// Discovery watches that failed or ended.
     watches_failed => "watches_failed",
-    /// Lists and changes received from discovery.
+    /// Endpoint lists, full or with changes only, received from discovery.
     endpoint_lists => "lists",
-    /// Reloads of the configuration at SIGHUP.
+    /// Reloads of the configuration on SIGHUP.
     reloads => "reloads",
-    /// Reloads that found a bad configuration; the old one stayed active.
+    /// Reloads that found an invalid configuration and left the old one active.
     reloads_failed => "reloads_failed",
     /// Panics caught in a coroutine or the decision module.
     panics => "panics",
-    /// Requests that failed because the process stopped.
+    /// Requests failed because the process stopped.
     requests_failed_at_stop => "answered_at_stop",
     /// Final responses that were ready only after the client's deadline.
     responses_late => "answered_late",
-    /// Hold-ups of the whole process.
+    /// Hold-ups of the whole process (see [`hold_up`](super::hold_up)).
     hold_ups => "held_up",
-    /// Bytes that were discarded after the end of their connection was announced.
+    /// Bytes that clients sent after the end of their connection was announced, and that were
+    /// discarded.
     bytes_discarded => "bytes_discarded",
     /// Requests that were given up because the settings lack their class.
     given_up_unknown_class => "given_up_unknown_class",
@@ -177,7 +177,7 @@
 }
 
 impl Counters {
-    /// The counter of an attempt's outcome.
+    /// Returns the counter of attempts with this outcome.
     pub fn outcome(&self, outcome: Outcome) -> &Counter {
         match outcome {
             Outcome::Ok => &self.attempts_served,
@@ -192,7 +192,7 @@
         }
     }
 
-    /// The counter of a reason for giving a request up.
+    /// Returns the counter of requests that were given up for this reason.
     pub fn given_up(&self, reason: GiveUpReason) -> &Counter {
         match reason {
             GiveUpReason::UnknownClass => &self.given_up_unknown_class,
@@ -208,7 +208,7 @@
         }
     }
 
-    /// All counters as one line of `name=value` pairs for the log.
+    /// Formats all counters as one line of `name=value` pairs.
     pub fn line(&self) -> String {
         let mut line = String::from("counters");
         for (name, value) in self.list() {
--- a/src/net/counters_golden_tests.rs
+++ b/src/net/counters_golden_tests.rs
@@ -1,9 +1,11 @@
-//! Golden tests of the names and the order of counters in `stats` and in the log. Dashboards and
-//! alarms of operators read them by name. The list was recorded before any renaming.
+//! Golden tests of the names and the order of counters in `stats` and in the log, which the
+//! dashboards and alarms of operators read by name. The list was recorded before the fields were
+//! renamed.
 
 use super::Counters;
 use crate::interface::Outcome;
 
+/// The recorded names of the counters, in their order.
 const NAMES: [&str; 48] = [
     "consumers_accepted",
     "consumers_evicted",
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -1,22 +1,21 @@
-//! Counts the file descriptors that clients and backends share.
-//! [`pinetrail_connection_limits::DescriptorBudget`] decides how many each side may use. Read
-//! [`Descriptors`] first.
+//! Counts the file descriptors that client and backend connections share. How many each side may
+//! use is decided by [`pinetrail_connection_limits::DescriptorBudget`]. Read [`Descriptors`] first.
 
 use pinetrail_connection_limits::{DescriptorBudget, Timestamp};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// The fraction of all descriptors that only clients may use.
+/// The fraction of all descriptors that is reserved for client connections.
 const CLIENT_RESERVE_FRACTION: f64 = 0.5;
-/// The fraction of all descriptors that only backends may use.
+/// The fraction of all descriptors that is reserved for backend connections.
 const BACKEND_RESERVE_FRACTION: f64 = 0.25;
 
-/// The descriptors of one proxy, without those for its own use.
+/// The descriptors for the connections of one proxy, without those for the proxy's own use.
 #[derive(Debug)]
 pub struct Descriptors {
     started: Instant,
-    /// Guards the budget, and makes the comparison and the change of counts one step.
+    /// Guards the budget, and makes the check and the change of the counts atomic.
     ///
     /// Invariant: no coroutine waits and no other lock is taken while this one is held.
     budget: Mutex<DescriptorBudget>,
@@ -24,16 +23,16 @@
     backends: AtomicUsize,
 }
 
-/// The capacity for client connections.
+/// The current capacity for client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientCapacity {
-    /// The number that may be open now.
+    /// The number of client connections that may be open now.
     pub limit: usize,
-    /// Whether one more can be accepted.
+    /// Whether one more client connection can be accepted.
     pub can_accept: bool,
 }
 
-/// The descriptor of a backend connection, released when it is dropped.
+/// A descriptor that is reserved for a backend connection until this value is dropped.
 #[derive(Debug)]
 pub struct BackendDescriptor(Arc<Descriptors>);
 
@@ -44,7 +43,7 @@
 }
 
 impl Descriptors {
-    /// A number of descriptors, none of them in use.
+    /// Creates a count of `total` descriptors, none of them in use.
     pub fn new(total: usize) -> Arc<Descriptors> {
         let budget = DescriptorBudget::new(total, CLIENT_RESERVE_FRACTION, BACKEND_RESERVE_FRACTION);
         Arc::new(Descriptors {
@@ -55,8 +54,8 @@
         })
     }
 
-    /// Lowers the total to `min_total`, or to the descriptors in use plus `spare` if that is more;
-    /// returns the total.
+    /// Lowers the total to the larger of `min_total` and the descriptors in use plus `spare`, and
+    /// returns the new total.
     pub fn shrink(&self, min_total: usize, spare: usize) -> usize {
         let mut budget = self.budget();
         let in_use = self.clients.load(Ordering::Acquire) + self.backends.load(Ordering::Acquire);
@@ -65,18 +64,19 @@
         total
     }
 
-    /// Changes the total.
+    /// Changes the total number of descriptors.
     pub fn resize(&self, total: usize) {
         self.budget().resize(total);
     }
 
-    /// The clock of the descriptors and of the client connections: milliseconds since the start.
+    /// Returns the time in milliseconds since the start, on the clock that the descriptors and the
+    /// client connections share.
     pub fn now(&self) -> Timestamp {
         Timestamp::from_millis(self.started.elapsed().as_millis() as u64)
     }
 
-    /// Reserves a descriptor for a backend connection, if the budget allows one. The demand is
-    /// recorded in both cases.
+    /// Reserves a descriptor for a backend connection if the budget allows it. The demand is
+    /// recorded in either case.
     ///
     /// Decides: whether a backend connection may be opened.
     /// Inputs: the descriptors in use by backends and clients, and the budget.
--- a/src/net/drain/tests.rs
+++ b/src/net/drain/tests.rs
@@ -13,8 +13,12 @@
 
     assert!(times.iter().all(|at| (ms(400)..ms(1800)).contains(at)));
     times.dedup();
-    assert!(times.len() > 60, "spread");
-    assert_eq!(schedule.idle_close_at(0, ms(3000)), ms(3500), "a late connection has time for a command");
+    assert!(times.len() > 60, "almost every connection has its own close time");
+    assert_eq!(
+        schedule.idle_close_at(0, ms(3000)),
+        ms(3500),
+        "a connection that is opened late has time for a command"
+    );
 }
 
 #[test]
@@ -41,6 +45,6 @@
     // Waits beyond 3 s count as 3 s.
     assert_eq!(drain(9000), schedule(500, 3050, 3350));
     assert_eq!(drain(1), schedule(500, 500, 500));
-    // With an unknown wait, no request is accepted that the kill could find without a response.
+    // With an unknown wait, no request is accepted that SIGKILL could find without a response.
     assert_eq!(DrainSchedule::for_longest_wait(None), schedule(500, 500, 3350));
 }
--- a/src/net/hold_up/tests.rs
+++ b/src/net/hold_up/tests.rs
@@ -22,15 +22,19 @@
     let start = Instant::now();
     let monitor = HoldUpMonitor::new(INTERVAL, start);
     let end = start + ms(140);
-    assert_eq!(monitor.unread_time(end), ms(140), "read before the late tick");
+    assert_eq!(monitor.unread_time(end), ms(140), "input that is read before the late tick");
 
     assert_eq!(monitor.tick(end), ms(130));
 
-    assert_eq!(monitor.unread_time(end + ms(5)), ms(145), "and after it");
+    assert_eq!(monitor.unread_time(end + ms(5)), ms(145), "input that is read after the late tick");
     monitor.tick(end + INTERVAL);
     assert_eq!(monitor.unread_time(end + ms(15)), ms(155));
     monitor.tick(end + ms(31));
-    assert_eq!(monitor.unread_time(end + ms(35)), Duration::ZERO, "the input of the hold-up has been read");
+    assert_eq!(
+        monitor.unread_time(end + ms(35)),
+        Duration::ZERO,
+        "all input that arrived during the hold-up has been read"
+    );
 }
 
 #[test]
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,19 +1,19 @@
-//! The program's output, one line at a time: the log on standard error, the counters on standard
-//! output.
+//! Writes the program's output line by line: the log to standard error, the counters to standard
+//! output. Read [`log`] first.
 //!
-//! Note: a line that cannot be written is dropped. `eprintln!` and `println!` panic when the reader
-//! has closed the pipe, which would end the proxy.
+//! Note: a line that cannot be written is dropped. `eprintln!` and `println!` would panic if the
+//! reader has closed the pipe, and that would end the proxy.
 
 use std::io::Write;
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The most lines about faults that are written in one [`FAULT_PERIOD`].
+/// The maximum number of fault lines written in one [`FAULT_PERIOD`].
 const MAX_FAULT_LINES: u32 = 10;
-/// The period over which lines about faults are counted.
+/// The period over which fault lines are counted.
 const FAULT_PERIOD: Duration = Duration::from_secs(1);
 
-/// The rate limiter for lines about faults.
+/// The rate limiter for fault lines.
 struct FaultRateLimiter {
     period_started: Option<Instant>,
     written: u32,
@@ -23,21 +23,24 @@
 static LIMITER: Mutex<FaultRateLimiter> =
     Mutex::new(FaultRateLimiter { period_started: None, written: 0, suppressed: 0 });
 
-/// Writes a line about a fault: an event that loses a request, or that would lose it without a
-/// second safeguard. At most ten lines a second are written; the others are only counted.
+/// Writes a line about a fault: an event that loses a request, or would lose it without a second
+/// safeguard. At most ten lines a second are written; the number of suppressed ones is written with
+/// the next line.
 pub fn log_fault(line: &str) {
     let Some(suppressed) = LIMITER.lock().unwrap_or_else(PoisonError::into_inner).admit() else { return };
     if suppressed > 0 {
-        log(&format!("FAULT: {suppressed} more lines were suppressed"));
+        log(&format!("FAULT: {suppressed} lines about faults were suppressed to limit the rate"));
     }
     log(&format!("FAULT: {line}"));
-    // With its time, where the request log is on.
+    // The request log, if enabled, shows the line with its time.
     tracing::warn!(target: "fault", "{line}");
 }
 
 impl FaultRateLimiter {
-    /// Decides: whether a line about a fault is written; if so, how many were suppressed before it.
-    /// Inputs: the lines of the present period, and its age.
+    /// Admits a fault line if the rate allows it, and returns how many were suppressed before it.
+    ///
+    /// Decides: whether a fault line is written.
+    /// Inputs: the number of lines in the current period, and the age of the period.
     /// Reason: a fault that repeats must not fill the log.
     /// Source: docs/on-call.md.
     fn admit(&mut self) -> Option<u32> {
@@ -60,7 +63,7 @@
     let _ = writeln!(std::io::stderr(), "pinetrail: {line}");
 }
 
-/// Writes a line to standard output, where the counters go.
+/// Writes a line to standard output, which is for the counters.
 pub fn print(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -1,23 +1,23 @@
-//! The memory budget of clients' commands and backends' responses, which is reserved before a byte
-//! of either is stored. Read [`MemoryBudget`] first.
+//! The memory budget for commands of clients and responses of backends. Memory is reserved from it
+//! before a byte of either is stored. Read [`MemoryBudget`] first.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// The fraction of the memory limit for commands and responses. The rest is for the program and its
-/// stacks.
+/// The fraction of the process's memory limit that commands and responses may use. The rest is for
+/// the program and its stacks.
 const VALUE_FRACTION: f64 = 0.22;
 const BYTES_PER_MB: u32 = 1 << 20;
 
-/// The budget, and how much of it is reserved.
+/// The memory for commands and responses, and how much of it is reserved.
 #[derive(Debug)]
 pub struct MemoryBudget {
     limit_bytes: AtomicUsize,
-    /// Exceeds the limit only after the limit was lowered.
+    /// The reserved memory. It exceeds the limit only after the limit was lowered.
     reserved_bytes: AtomicUsize,
 }
 
-/// A part of the budget, released when it is dropped.
+/// Reserved memory of a [`MemoryBudget`], released when this value is dropped.
 #[derive(Debug)]
 pub struct MemoryReservation {
     budget: Arc<MemoryBudget>,
@@ -25,21 +25,21 @@
 }
 
 impl MemoryBudget {
-    /// The budget of a program with a memory limit in MB.
+    /// Creates the budget of a process with a memory limit in MB.
     pub fn new(limit_mb: usize) -> Arc<MemoryBudget> {
         let limit_bytes = AtomicUsize::new(MemoryBudget::bytes_within(limit_mb));
         Arc::new(MemoryBudget { limit_bytes, reserved_bytes: AtomicUsize::new(0) })
     }
 
-    /// The bytes for commands and responses within a program's memory limit in MB.
+    /// Returns the bytes for commands and responses of a process with a memory limit in MB.
     pub fn bytes_within(limit_mb: usize) -> usize {
         (limit_mb as f64 * VALUE_FRACTION * f64::from(BYTES_PER_MB)) as usize
     }
 
-    /// Reserves memory, if enough is free.
+    /// Reserves memory for a command or response; `None` if not enough is free.
     ///
     /// Decides: whether a command or response may be stored.
-    /// Inputs: its size, the limit and the reserved memory, in bytes.
+    /// Inputs: the size of the command or response, the limit and the reserved memory, in bytes.
     /// Reason: the process must not exceed its memory limit, whatever clients and backends send.
     pub fn reserve(self: &Arc<Self>, bytes: usize) -> Option<MemoryReservation> {
         let limit = self.limit_bytes.load(Ordering::Acquire);
@@ -48,7 +48,7 @@
         Some(MemoryReservation { budget: Arc::clone(self), bytes })
     }
 
-    /// Lowers the limit to `min_bytes`, or to the reserved memory if that is more; returns the
+    /// Lowers the limit to the larger of `min_bytes` and the reserved memory, and returns the new
     /// limit in bytes.
     pub fn shrink(&self, min_bytes: usize) -> usize {
         let limit = min_bytes.max(self.reserved_bytes.load(Ordering::Acquire));
@@ -56,7 +56,7 @@
         limit
     }
 
-    /// Changes the limit.
+    /// Changes the limit, in bytes.
     pub fn resize(&self, limit_bytes: usize) {
         self.limit_bytes.store(limit_bytes, Ordering::Release);
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,10 +1,12 @@
-//! The proxy on real sockets. Clients ([`client`]) and backends ([`backend`]) meet only in the
-//! [`dispatcher`], which alone asks the decision module. The codecs of the protocols are the crate
-//! [`pinetrail_codec`], the configuration is [`pinetrail_config`]. [`lifecycle`] starts and ends all
-//! of it; [`fleet`] and [`policy`] drive the control plane, and are off unless configured.
+//! The proxy on real sockets. Clients ([`client`]) and backends ([`backend`]) are connected only
+//! through the [`dispatcher`], the only caller of the decision module. The crate
+//! [`pinetrail_codec`] has the codecs of the protocols, [`pinetrail_config`] the configuration.
+//! [`lifecycle`] starts and stops everything; [`fleet`] and [`policy`] drive the control plane, and
+//! are off unless configured. Read [`dispatcher`] first.
 //!
-//! Terms: a *backend* is a cache node or the origin, a *request* a client's command until its one
-//! response, an *attempt* one try of it at one backend. `docs/glossary.md` has the others.
+//! Terms: a *backend* is a cache node or the origin, a *request* is a client's command until its
+//! one response, and an *attempt* is one try of a request at one backend. `docs/glossary.md`
+//! defines the others.
 
 pub mod admin;
 pub mod attempt_id;
--- a/src/net/request_log.rs
+++ b/src/net/request_log.rs
@@ -1,10 +1,11 @@
-//! The request log: one structured line for each step of a request, an attempt and a client
-//! connection, with the reason of each end. The lines with one `id` are a request's timeline. Read
-//! [`init`] first.
+//! The request log: one structured line for each step of a request, an attempt or a client
+//! connection, with the reason for each end. The lines with the same `id` are the timeline of one
+//! request. Read [`init`] first.
 //!
-//! The environment variable `LB_LOG` enables it with `tracing`'s targets: `debug` for everything,
-//! or `request=debug,attempt=debug,connection=debug`. A thread writes the lines to standard error
-//! from a bounded queue. The worker never waits for it, and lines beyond the queue are dropped.
+//! The environment variable `LB_LOG` enables the log with a list of `tracing` targets: `debug` for
+//! everything, or `request=debug,attempt=debug,connection=debug`. A separate thread writes the
+//! lines from a bounded queue to standard error. The worker never waits for that thread; lines that
+//! do not fit into the queue are dropped.
 
 use super::attempt_id::AttemptId;
 use crate::interface::{GiveUpReason, Outcome, RequestId};
@@ -16,23 +17,23 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 
-/// The environment variable with the targets to log.
+/// The environment variable that lists the targets to log.
 const VARIABLE: &str = "LB_LOG";
-/// The number of lines that may wait to be written. Further lines are dropped.
+/// The number of lines that may be queued for writing. Further lines are dropped.
 const MAX_QUEUED_LINES: usize = 4096;
 
 /// Why the request log cannot start.
 #[derive(Debug, Error)]
 pub enum RequestLogError {
-    /// The variable is not a list of targets.
+    /// The environment variable is not a list of targets.
     #[error("{VARIABLE}: {0}")]
     Filter(#[from] tracing_subscriber::filter::ParseError),
-    /// Another log was started before.
+    /// Another subscriber of `tracing` was installed before.
     #[error("{VARIABLE}: {0}")]
     Init(#[from] TryInitError),
 }
 
-/// The running log. It writes the queued lines when it is dropped, at the end of the process.
+/// The running request log. Dropping it, at the end of the process, writes the queued lines.
 pub struct RequestLog {
     _writer: WorkerGuard,
 }
@@ -40,17 +41,17 @@
 /// Why a client connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed it, or its sending direction, or it broke.
+    /// The client closed the connection or its sending direction, or the connection broke.
     ClientGone,
-    /// The client sent `quit`, or an error ended it.
+    /// The client sent `quit`, or an error ended the connection.
     Finished,
-    /// It was in one phase for too long.
+    /// The connection stayed in one phase for too long.
     Overdue,
-    /// It was idle, and connections of its kind are rarely reused.
+    /// The connection was idle, and connections of its kind are rarely reused.
     UnlikelyToReturn,
-    /// Too many connections were in its phase.
+    /// Too many connections were in the same phase.
     OverBudget,
-    /// It was closed to make room for others.
+    /// The connection was closed to make room for others.
     Evicted,
     /// The process stops.
     Stopping,
@@ -60,12 +61,12 @@
     BodyBroken,
 }
 
-/// Starts the log if the environment enables it. Otherwise there is no thread, and a line costs the
-/// comparison of one number.
+/// Starts the request log if the environment enables it. If it is disabled, no thread runs, and
+/// each line costs one comparison of numbers.
 ///
 /// # Errors
 ///
-/// If the variable is not a list of targets.
+/// If `LB_LOG` is not a list of targets, or another subscriber of `tracing` was installed before.
 pub fn init() -> Result<Option<RequestLog>, RequestLogError> {
     let Some(text) = std::env::var(VARIABLE).ok().filter(|text| !text.is_empty()) else { return Ok(None) };
     let targets: Targets = text.parse()?;
@@ -76,78 +77,79 @@
     Ok(Some(RequestLog { _writer: guard }))
 }
 
-/// A request was accepted. Lines of its attempts have the same `number`.
+/// Logs that a request was accepted. The lines of its attempts have the same `number`.
 pub(super) fn request_accepted(number: RequestId, id: &str, class: u8, budget_ms: f64) {
     debug!(target: "request", number = number.0, id, class, budget_ms, "accepted");
 }
 
-/// A request got its final response from a backend.
+/// Logs that a request got its final response from a backend.
 pub(super) fn request_served(number: RequestId, id: &str) {
     debug!(target: "request", number = number.0, id, "served");
 }
 
-/// The final response of a request began to stream.
+/// Logs that the final response of a request, of `length` bytes, began to stream.
 pub(super) fn request_streams(number: RequestId, id: &str, length: usize) {
     debug!(target: "request", number = number.0, id, length, "streams");
 }
 
-/// A request was rejected without a response of a backend.
+/// Logs that a request was rejected without a response from a backend.
 pub(super) fn request_rejected(number: RequestId, id: &str, reason: GiveUpReason) {
     debug!(target: "request", number = number.0, id, rejected = true, ?reason, "given up");
 }
 
-/// A request failed without a response of a backend.
+/// Logs that a request failed without a response from a backend.
 pub(super) fn request_failed(number: RequestId, id: &str, reason: GiveUpReason) {
     debug!(target: "request", number = number.0, id, rejected = false, ?reason, "given up");
 }
 
-/// A client disconnected before the final response.
+/// Logs that a request was cancelled because its client disconnected before the final response.
 pub(super) fn request_cancelled(number: RequestId, id: &str) {
     debug!(target: "request", number = number.0, id, "cancelled: its client has gone");
 }
 
-/// The guard expired a request.
+/// Logs that the dispatcher's guard expired a request whose timer was lost or late.
 pub(super) fn request_expired(number: RequestId, id: &str) {
     debug!(target: "request", number = number.0, id, "expired: the guard ended it");
 }
 
-/// A request failed because the process stops.
+/// Logs that a request failed because the process stops.
 pub(super) fn request_stopped(number: RequestId, id: &str) {
     debug!(target: "request", number = number.0, id, "failed: the process stops");
 }
 
-/// An attempt was handed to the backend service.
+/// Logs that an attempt was handed to the backend service.
 pub(super) fn attempt_dispatched(attempt: AttemptId, id: &str, address: &str, time_left: Duration) {
     let AttemptId { request, attempt } = attempt;
     debug!(target: "attempt", number = request.0, id, attempt, address, ?time_left, "ordered");
 }
 
-/// An attempt was not sent, since its write was not permitted.
+/// Logs that an attempt was not sent because its write was not permitted.
 pub(super) fn attempt_not_sent(attempt: AttemptId, id: &str) {
     let AttemptId { request, attempt } = attempt;
     let why = "it may not be sent any more";
     debug!(target: "attempt", number = request.0, id, attempt, why, "not sent");
 }
 
-/// An attempt was written completely.
+/// Logs that an attempt was written completely.
 pub(super) fn attempt_sent(attempt: AttemptId, id: &str, new_connection: bool) {
     let AttemptId { request, attempt } = attempt;
     debug!(target: "attempt", number = request.0, id, attempt, new_connection, "sent");
 }
 
-/// An attempt has ended.
+/// Logs that an attempt ended.
 pub(super) fn attempt_ended(attempt: AttemptId, id: &str, outcome: Outcome, latency_ms: f64) {
     let AttemptId { request, attempt } = attempt;
     debug!(target: "attempt", number = request.0, id, attempt, ?outcome, latency_ms, "ended");
 }
 
-/// A client connection was accepted.
+/// Logs that a client connection was accepted.
 pub(super) fn connection_accepted(connection: u64) {
     debug!(target: "connection", connection, "accepted");
 }
 
-/// A client connection was closed, with the number of commands without a written response, and the
-/// number of bytes that were discarded after its end was announced.
+/// Logs that a client connection was closed. `unanswered` is the number of commands whose response
+/// was not written, `discarded` the number of bytes that were discarded after the end of the
+/// connection was announced.
 pub(super) fn connection_closed(connection: u64, reason: CloseReason, unanswered: usize, discarded: usize) {
     debug!(target: "connection", connection, ?reason, unanswered, discarded, "closed");
 }
--- a/src/net/time_limits.rs
+++ b/src/net/time_limits.rs
@@ -1,88 +1,91 @@
-//! The time limits of the process, each with its allowance for a hold-up: final responses,
-//! attempts, the deadline that a backend receives, the deduplication window, and the shutdown
-//! before SIGKILL. Read [`MAX_HOLD_UP`] first.
+//! The time limits of the process, each with a margin for a hold-up: for final responses, attempts,
+//! the deadline that a backend receives, the deduplication window, and the shutdown before SIGKILL.
+//! Read [`MAX_HOLD_UP`] first.
 //!
-//! Every limit is planned early enough that a process which is held up between a decision and its
-//! effect still keeps it. All spans are of the monotonic clock, so setting a wall clock moves none.
+//! Effects are planned so early before their limit that they are in time even if the process is
+//! held up between the decision and the effect. All times are of the monotonic clock, so that
+//! setting a wall clock changes none of them.
 
 use crate::time::TimeSpan;
 use std::time::{Duration, Instant};
 
-/// The longest time for which the whole process may be held up between reading its clock and
-/// writing, for instance on a machine that is short of processors.
+/// The longest hold-up of the whole process between reading the clock and writing that all time
+/// limits allow for. Hold-ups happen for instance on a machine that is short of processors.
 pub const MAX_HOLD_UP: Duration = Duration::from_millis(150);
-/// How late a timer and the coroutine that it wakes may run without a hold-up.
+/// The longest delay of a timer and of the coroutine that it wakes if there is no hold-up.
 pub const TIMER_LATENCY: Duration = Duration::from_millis(10);
-/// On sockets, the time limits of clients and backends are longer by this.
+/// The time by which clients and backends on sockets extend their time limits.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// An effect that is planned this long before its limit keeps it through a hold-up.
+/// The time before a limit at which an effect is planned, so that the effect is in time even after
+/// a hold-up.
 const HOLD_UP_MARGIN: Duration = Duration::from_millis(110);
-/// The margin of a short limit is at most this fraction of the limit. The whole margin would cost
-/// more requests their response than hold-ups do.
+/// The largest margin of a limit, as a fraction of the limit. With the whole margin, short limits
+/// would cost more requests their response than hold-ups do.
 const MAX_MARGIN_FRACTION: f64 = 0.15;
-/// Milliseconds in a second, for the conversion of the decision module's spans.
+/// The milliseconds in a second, for the conversion of the decision module's [`TimeSpan`]s.
 pub const MS_PER_SECOND: f64 = 1000.0;
 
-// The sum that the margin stands for.
+// Margin and slack together cover the longest hold-up and the timer latency.
 const _: () = assert!(
     HOLD_UP_MARGIN.as_millis() + SOCKET_SLACK.as_millis()
         == (MAX_HOLD_UP.as_millis() + TIMER_LATENCY.as_millis())
 );
 
-/// A request that is open this long after its response was due has lost its timer, and is expired
-/// by the guard. Its response is in time, also after the shortest wait, unless the process is held
-/// up at that moment.
+/// The time after which the dispatcher's guard expires a request whose response was due. A request
+/// that is still open then has lost its timer. The failure is in time for the client, even with the
+/// shortest wait, unless the process is held up at that moment.
 pub const GUARD_DELAY: Duration = Duration::from_millis(50);
 
-/// The time between the last responses and SIGKILL. SIGTERM may be noticed late by one hold-up, and
-/// a second one may precede the last write.
+/// The time between the last responses and SIGKILL. One hold-up may delay the handling of SIGTERM,
+/// and a second one the last write.
 pub const SHUTDOWN_RESERVE: Duration = Duration::from_millis(350);
 
-// What `SHUTDOWN_RESERVE` stands for, with time to spare for the writes themselves.
+// The reserve covers two hold-ups and the time for the writes themselves.
 const _: () = assert!(SHUTDOWN_RESERVE.as_millis() >= 2 * MAX_HOLD_UP.as_millis() + SOCKET_SLACK.as_millis());
 
-/// A duration as a span of the decision module.
+/// Converts a duration to a [`TimeSpan`] of the decision module.
 pub fn time_span(duration: Duration) -> TimeSpan {
     TimeSpan::from_ms(duration.as_secs_f64() * MS_PER_SECOND)
 }
 
-/// The margin of a limit.
+/// Returns the margin of a time limit for a hold-up.
 ///
-/// Decides: how long before a limit its effect is planned.
-/// Inputs: the length of the limit, a span.
+/// Decides: how long before a limit an effect is planned.
+/// Inputs: the length of the limit, as a time span.
 /// Reason: a hold-up between the decision and its effect must not break the limit.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 fn hold_up_margin(limit: TimeSpan) -> TimeSpan {
     time_span(HOLD_UP_MARGIN).min(limit * MAX_MARGIN_FRACTION)
 }
 
-/// The time budget of a request.
+/// Returns the time budget of a request.
 ///
 /// Decides: how long after its arrival a request must have its final response.
-/// Inputs: how long its client waits, a span.
+/// Inputs: how long the client waits, as a time span.
 /// Reason: a response after the client's deadline is lost work.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 pub fn response_budget(client_wait: TimeSpan) -> TimeSpan {
     client_wait - hold_up_margin(client_wait)
 }
 
-/// The decision module's allowance between deciding an attempt and its last byte.
+/// Returns the time that the decision module reserves between deciding on an attempt and the write
+/// of its last byte.
 ///
-/// Decides: by how much the deduplication window ends earlier. The module takes off at most a
-/// fraction of a short window.
+/// Decides: by how much the deduplication window is taken to end earlier. The decision module
+/// shortens a short window by at most a fraction of it.
 /// Inputs: none.
-/// Reason: an attempt that is written after a hold-up must still be inside its window.
+/// Reason: an attempt that is written after a hold-up must still be inside the deduplication window.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 pub fn write_delay() -> TimeSpan {
     hold_up_margin(TimeSpan::MAX)
 }
 
-/// The deadline that a backend receives with an attempt.
+/// Returns the deadline that a backend receives with an attempt, as the remaining time in ms.
 ///
 /// Decides: the remaining time that the attempt states, in whole ms, at least 1.
-/// Inputs: the deadline of the attempt and the present moment, on the monotonic clock.
-/// Reason: the attempt ends before the client's deadline by the margin, so the stated time is below
-/// the client's remaining time and its slack even if the attempt is written after a hold-up.
+/// Inputs: the deadline of the attempt and the current time, on the monotonic clock.
+/// Reason: the attempt ends before the client's deadline by the margin. The stated time is therefore
+/// below the client's remaining time plus its slack, even if the attempt is written after a hold-up.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 pub fn remaining_deadline_ms(attempt_deadline: Instant, now: Instant) -> u128 {
     const SHORTEST_DEADLINE_MS: u128 = 1;
--- a/src/net/time_limits/tests.rs
+++ b/src/net/time_limits/tests.rs
@@ -1,11 +1,12 @@
 use super::*;
 
-/// The budget for a wait in ms, in ms.
+/// Returns the budget in ms of a request whose client waits for `client_wait_ms`.
 fn response_budget_ms(client_wait_ms: f64) -> f64 {
     response_budget(TimeSpan::from_ms(client_wait_ms)).as_ms()
 }
 
-/// How long after its deadline a client still accepts a response, with the shortest `AnswerSlack`.
+/// The time in ms after its deadline in which a client still accepts a response, with the shortest
+/// `AnswerSlack`.
 const SHORTEST_SLACK_MS: f64 = 60.0;
 
 #[test]
--- a/src/net/timer.rs
+++ b/src/net/timer.rs
@@ -1,7 +1,8 @@
-//! Cancellable timers, and sleeps whose lengths suit the coroutine library's timer lists.
+//! Cancellable timers, and sleeps whose lengths suit the timer lists of the coroutine library
+//! (`may`). Read [`TimerSet`] first.
 //!
-//! The owner of timers holds a [`TimerSet`]. Each timer runs as a coroutine, and ends at most
-//! [`MAX_OVERRUN`] after its set is dropped.
+//! The owner of timers holds a [`TimerSet`]. Each timer runs as a coroutine, which ends at most
+//! [`MAX_OVERRUN`] after the set is dropped.
 
 use super::deadline_stream::round_up_to_ms;
 use may::coroutine;
@@ -9,23 +10,24 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a timer may outlive its set.
+/// The longest time for which a timer may outlive its set.
 ///
-/// Note: ending a timer of the library early can lose other timers. A sleep is therefore split into
-/// parts, and each part runs to its end.
+/// Note: cancelling a sleep of the coroutine library can lose other timers. A sleep is therefore
+/// split into parts, and each part runs to its end.
 pub const MAX_OVERRUN: Duration = Duration::from_millis(100);
 
-/// Owns timers, and cancels them when it is dropped.
+/// A set of timers, which are cancelled when the set is dropped.
 #[derive(Debug, Default)]
 pub struct TimerSet {
     cancelled: Arc<AtomicBool>,
 }
 
 impl TimerSet {
-    /// Runs an action at a moment, unless the set was dropped before.
+    /// Runs an action at `due`, unless the set is dropped before.
     ///
-    /// Note: the moment is fixed by the caller. The timer's coroutine may begin long after this
-    /// returns, behind other work of the worker, so a delay that it counted itself would be longer.
+    /// Note: the caller passes a moment, not a delay. The timer's coroutine may start long after
+    /// this call, behind other work of the worker, so a delay that is counted from its start would
+    /// end too late.
     pub fn run_at(&self, due: Instant, action: impl FnOnce() + Send + 'static) {
         let cancelled = Arc::clone(&self.cancelled);
         may::go!(move || {
@@ -42,7 +44,7 @@
     }
 }
 
-/// Runs an action at a moment. As with [`TimerSet::run_at`], the caller fixes the moment.
+/// Runs an action at `due`, which is a moment for the same reason as in [`TimerSet::run_at`].
 pub fn run_at(due: Instant, action: impl FnOnce() + Send + 'static) {
     may::go!(move || {
         sleep_until(due, Duration::MAX, || false);
@@ -50,13 +52,13 @@
     });
 }
 
-/// Sleeps for a duration, in parts of [`sleep_part`].
+/// Sleeps for a duration, in parts whose lengths [`sleep_part`] returns.
 pub fn sleep(duration: Duration) {
     sleep_until(Instant::now() + duration, Duration::MAX, || false);
 }
 
-/// Sleeps until a moment, in parts of at most `longest_part`; returns false if it was cancelled
-/// meanwhile.
+/// Sleeps until `due`, in parts of at most `longest_part`. Returns false if the sleep was cancelled
+/// before that.
 fn sleep_until(due: Instant, longest_part: Duration, is_cancelled: impl Fn() -> bool) -> bool {
     loop {
         if is_cancelled() {
@@ -70,10 +72,11 @@
     }
 }
 
-/// The longest part of a sleep that is whole milliseconds of at most six significant bits.
+/// Returns the length of the next part of a sleep: the remaining time in whole milliseconds, with
+/// all bits after the first six significant ones cleared.
 ///
-/// may keeps a list of timers for each length of sleep. Rounded parts have a few hundred lengths,
-/// where whole sleeps would have thousands.
+/// The coroutine library keeps a list of timers for each length of sleep. The parts have a few
+/// hundred different lengths, where unsplit sleeps would have thousands.
 pub fn sleep_part(remaining: Duration) -> Duration {
     const SIGNIFICANT_BITS: u32 = 6;
     let ms = u64::try_from(round_up_to_ms(remaining).as_millis()).unwrap_or(u64::MAX);
