--- a/src/net/dispatcher/attempts.rs
+++ b/src/net/dispatcher/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts at backends: how one is started, whether it may still be written, and what its outcome
-//! means for its request. Read [`AttemptPlan`] first, then [`Dispatcher::permits_write`].
+//! Starts attempts at backends, decides whether they may still be written, and applies their
+//! outcomes to their requests. Read [`AttemptPlan`] first, then [`Dispatcher::permits_write`].
 
 use super::clock::timer_duration;
 use super::messages::{AttemptRequest, Payload, Response};
@@ -15,22 +15,22 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// An attempt as the decision module asks for it.
+/// An attempt that the decision module requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptPlan {
-    /// The request.
+    /// The request that the attempt is for.
     pub request: RequestId,
-    /// The backend.
+    /// The backend to which the attempt is sent.
     pub backend: BackendId,
-    /// The timeout in ms; the whole budget of the request if not above 0.
+    /// The timeout of the attempt. Not above 0 stands for the whole budget of the request.
     pub timeout: TimeSpan,
-    /// Within how many ms its last byte must be written.
+    /// The time within which the attempt's last byte must be written.
     pub send_within: TimeSpan,
 }
 
 impl AttemptPlan {
-    /// The end of an attempt that is not sent, and the last of its request if no response is
-    /// pending.
+    /// Returns the end of an attempt that is not sent. It is the last end of its request if no
+    /// response is pending.
     fn not_sent(&self, attempt: u8, pending: Option<&PendingResponse>) -> AttemptEnd {
         AttemptEnd {
             id: self.request,
@@ -45,11 +45,11 @@
 }
 
 impl Dispatcher {
-    /// Starts an attempt that the module asks for.
+    /// Starts an attempt that the decision module requests.
     ///
     /// # Errors
     ///
-    /// The end of the attempt, if it must not be sent.
+    /// The end of the attempt, if the attempt must not be sent.
     pub(super) fn start_attempt(
         &self,
         state: &mut DispatcherState,
@@ -64,7 +64,9 @@
         self.counters.attempts_requested.increment();
         if !in_flight.attempts.is_empty() {
             let id = &in_flight.request.opaque;
-            log(&format!("ERROR: a second attempt was ordered while one is in flight: {id}"));
+            log(&format!(
+                "ERROR: request {id}: a second attempt was requested while one is in flight; it is not sent"
+            ));
         }
         let endpoint = state.endpoints.get(&plan.backend);
         let Some(endpoint) = endpoint.filter(|endpoint| permits_start(in_flight, endpoint)) else {
@@ -78,27 +80,27 @@
         Ok(request)
     }
 
-    /// Whether an attempt may be written.
+    /// Returns whether an attempt may be written.
     ///
-    /// Decides: whether the next bytes of an attempt may go out. They may if it is not too late,
-    /// the request is open, the backend takes attempts and is the process that was selected, and
-    /// the client is connected.
-    /// Inputs: the attempt with its last moment to be sent (`send_by`, monotonic clock), the state
-    /// of its request and backend, and the state of the client's socket.
-    /// Reason: a connection may be established long after the decision, when the attempt would run
+    /// Decides: whether the next bytes of an attempt may be sent. They may if `send_by` is not
+    /// reached, the request is open, the backend takes attempts and is the process that was
+    /// selected, and the client is connected.
+    /// Inputs: the attempt with its `send_by` on the monotonic clock, the state of its request and
+    /// backend, and the state of the client's socket.
+    /// Reason: a connection may be established long after the decision. The attempt could then run
     /// for a client that has disconnected, on a backend that drains, or after its deduplication
     /// window.
     /// Source: docs/races.md.
     ///
-    /// Invariant: this is checked before the first byte, and again before each part that had to
-    /// wait. The client is checked last, so that a process that is held up after it read its clock
-    /// still notices that the client has disconnected.
+    /// Invariant: the caller checks this before the first byte, and again before each part whose
+    /// write had to wait. The client is checked last, so that a process that is held up after
+    /// reading its clock still notices that the client has disconnected.
     pub fn permits_write(&self, attempt: &AttemptRequest) -> bool {
         self.is_current(attempt) && !attempt.request.client.is_disconnected()
     }
 
-    /// Whether an attempt is in time, its request open, and its backend still the same ready
-    /// process.
+    /// Returns whether an attempt is in time, its request is open, and its backend is still the
+    /// same ready process.
     fn is_current(&self, attempt: &AttemptRequest) -> bool {
         let state = self.lock();
         if Instant::now() >= attempt.send_by {
@@ -109,14 +111,15 @@
         request.pending.is_some() && state.accepts_attempts(in_flight.backend, attempt.backend_started)
     }
 
-    /// Whether a backend takes new attempts and is still the process that started at `started`, in
-    /// Unix ms.
+    /// Returns whether a backend takes new attempts and is still the process that started at
+    /// `started`, in Unix ms.
     pub fn accepts_attempts(&self, backend: BackendId, started: Timestamp) -> bool {
         self.lock().accepts_attempts(backend, started)
     }
 
-    /// An attempt returns a value that is too long to be buffered: the response begins here, and
-    /// the attempt continues. Returns false if the request has no pending response any more.
+    /// Begins the response to a request with a value that is too long to be buffered. The attempt
+    /// continues while the value streams. Returns false if the request's response is no longer
+    /// pending.
     pub fn attempt_streaming(self: &Arc<Self>, id: AttemptId, length: usize, body: BodyReceiver) -> bool {
         let mut state = self.lock();
         let now = self.clock.now();
@@ -131,7 +134,7 @@
         true
     }
 
-    /// An attempt has ended. Only the first report of an attempt counts.
+    /// Handles the end of an attempt. Only the first report of an attempt has an effect.
     pub fn attempt_finished(self: &Arc<Self>, id: AttemptId, outcome: Outcome, payload: Option<Payload>) {
         let mut state = self.lock();
         let now = self.clock.now();
@@ -148,14 +151,14 @@
             id: id.request,
             attempt: id.attempt,
             backend: attempt.backend,
-            // The rest of a streamed value comes at the client's pace, so only the time to its
-            // beginning measures the backend.
+            // The rest of a streamed value arrives at the client's pace, so the backend's latency
+            // is measured only until the stream begins.
             latency: request.stream_began.unwrap_or(now) - attempt.sent,
             is_request_finished: request.pending.is_none(),
             outcome,
             load_report: Vec::new(),
         };
-        // The response does not depend on what the module decides, so it goes out first.
+        // The response does not depend on what the decision module decides, so it is sent first.
         if let Some((pending, payload)) = served {
             self.counters.requests_served.increment();
             request_log::request_served(id.request, state.opaque(id.request));
@@ -166,26 +169,26 @@
 }
 
 impl DispatcherState {
-    /// Whether a backend takes new attempts and is still the process that started at `started`, in
-    /// Unix ms.
+    /// Returns whether a backend takes new attempts and is still the process that started at
+    /// `started`, in Unix ms.
     fn accepts_attempts(&self, backend: BackendId, started: Timestamp) -> bool {
         let endpoint = self.endpoints.get(&backend);
         endpoint.is_some_and(|endpoint| endpoint.is_ready() && endpoint.started == started)
     }
 }
 
-/// Whether an attempt that the module asks for may start.
+/// Returns whether an attempt that the decision module requests may start.
 ///
 /// Decides: whether an attempt is handed to the backend service. It is if the request has a pending
 /// response and no other attempt in flight, and the backend is ready.
 /// Inputs: the request with its attempts in flight, and the endpoint.
-/// Reason: the module asks for no second attempt while one is in flight. If it ever did, two
-/// backends could run one request.
+/// Reason: the decision module should never request a second attempt while one is in flight. If it
+/// did, two backends could run the same request.
 fn permits_start(in_flight: &InFlightRequest, endpoint: &Endpoint) -> bool {
     endpoint.is_ready() && in_flight.pending.is_some() && in_flight.attempts.is_empty()
 }
 
-/// The attempt as the backend service receives it. Its times begin now.
+/// Creates an attempt for the backend service. The attempt's time limits are counted from now.
 fn attempt_request(
     plan: &AttemptPlan,
     attempt: u8,
--- a/src/net/dispatcher/endpoint_ids/tests.rs
+++ b/src/net/dispatcher/endpoint_ids/tests.rs
@@ -1,5 +1,5 @@
-//! Numbers are the same at every proxy and in the simulator: those below are fixed by FNV-1a's
-//! published values, or contained in the names.
+//! Tests of the numbers of keys and backends, which must be the same at every proxy and in the
+//! simulator. The expected numbers are published values of FNV-1a, or contained in the names.
 
 use super::*;
 
@@ -8,7 +8,11 @@
     assert_eq!(key_number("00000000000000ff"), Key(255));
     assert_eq!(key_number("a"), Key(0xaf63_dc4c_8601_ec8c));
     assert_eq!(key_number("foobar"), Key(0x8594_4171_f739_67e8));
-    assert_eq!(key_number("00000000000000FF"), Key(fnv1a("00000000000000FF".bytes())), "upper case");
+    assert_eq!(
+        key_number("00000000000000FF"),
+        Key(fnv1a("00000000000000FF".bytes())),
+        "upper-case digits are hashed"
+    );
 }
 
 #[test]
@@ -23,7 +27,7 @@
     assert_eq!(
         ids.get_or_assign("a"),
         BackendId(0xaf63_dc4c ^ 0x8601_ec8c),
-        "no number in the name: both halves of the hash"
+        "a name without a number has the exclusive or of the hash's halves"
     );
 }
 
--- a/src/net/dispatcher/endpoints.rs
+++ b/src/net/dispatcher/endpoints.rs
@@ -1,5 +1,5 @@
-//! Backends: endpoint lists of discovery and maintenance of operators. The list that the module
-//! receives is derived from both. Read [`Dispatcher::update_endpoints`] first.
+//! Applies the endpoint lists of discovery and the maintenance that operators order. The list that
+//! the decision module receives is derived from both. Read [`Dispatcher::update_endpoints`] first.
 
 use super::listed_endpoint::ListedEndpoint;
 use super::maintenance::MaintenanceError;
@@ -14,45 +14,48 @@
 use std::collections::BTreeSet;
 use std::sync::{Arc, MutexGuard};
 
-/// The changes that an endpoint list makes.
+/// The changes that an endpoint list causes.
 struct EndpointChanges {
-    /// The entries that the module receives.
+    /// The entries that the decision module receives.
     endpoints: Vec<EndpointInfo>,
-    /// Backends that take no new attempts, or are new processes.
+    /// The backends that take no new attempts or are new processes, so that idle connections to
+    /// them are useless.
     stale: Vec<BackendId>,
 }
 
 impl Dispatcher {
-    /// Applies an endpoint list of discovery, or the failure of a watch.
+    /// Applies an endpoint list of discovery, or the failure of a discovery watch.
     pub fn update_endpoints(self: &Arc<Self>, form: ListForm, list: Vec<Instance>) {
         let mut state = self.lock();
         let list = state.maintenance.update(form, list);
         self.apply_list(state, form, list);
     }
 
-    /// The endpoints and maintenance periods for the other process of a hot restart.
+    /// Returns the endpoints and maintenance periods for the other process of a hot restart.
     pub fn endpoint_snapshot(&self) -> EndpointSnapshot {
         self.lock().maintenance.snapshot()
     }
 
-    /// Restores the snapshot of another process, before the first list of discovery arrives.
+    /// Restores the snapshot of the other process. The caller does so before the first list of
+    /// discovery arrives.
     pub fn restore_snapshot(&self, snapshot: EndpointSnapshot) {
         self.lock().maintenance.restore(snapshot);
     }
 
-    /// Puts a cache node in maintenance: once this returns, it gets no new attempts until
-    /// [`Dispatcher::leave_maintenance`].
+    /// Puts a cache node in maintenance. Once this call returns, the node gets no new attempts
+    /// until [`Dispatcher::leave_maintenance`].
     ///
     /// # Errors
     ///
-    /// If discovery never listed the node, if it is the origin, or if too many are in maintenance.
+    /// If discovery never listed the node, if the node is the origin, or if too many nodes are in
+    /// maintenance.
     pub fn enter_maintenance(self: &Arc<Self>, name: &str) -> Result<(), MaintenanceError> {
         let mut state = self.lock();
         if state.is_listed_as_origin(name) {
             return Err(MaintenanceError::Origin(name.to_owned()));
         }
         let listed = state.maintenance.enter(name, self.clock.now())?;
-        log(&format!("{name} enters maintenance"));
+        log(&format!("{name} is in maintenance: it gets no new attempts"));
         self.apply_list(state, ListForm::Delta, listed.into_iter().collect());
         Ok(())
     }
@@ -65,12 +68,13 @@
     pub fn leave_maintenance(self: &Arc<Self>, name: &str) -> Result<(), MaintenanceError> {
         let mut state = self.lock();
         let listed = state.maintenance.leave(name, self.clock.now())?;
-        log(&format!("{name} leaves maintenance"));
+        log(&format!("{name} has left maintenance: it gets attempts while discovery lists it as ready"));
         self.apply_list(state, ListForm::Delta, listed.into_iter().collect());
         Ok(())
     }
 
-    /// Hands an endpoint list to the module, and has the idle connections to stale backends closed.
+    /// Hands an endpoint list to the decision module, and commands the backend service to close the
+    /// idle connections to stale backends.
     pub(super) fn apply_list(
         self: &Arc<Self>,
         mut state: MutexGuard<'_, DispatcherState>,
@@ -91,7 +95,7 @@
         listed.is_some_and(|node| i64::from(self.names.kind(&node.machine_type)) == self.origin_kind)
     }
 
-    /// Updates the endpoints from a list.
+    /// Updates the endpoints from a list, and returns the changes.
     fn update_endpoints(
         &mut self,
         form: ListForm,
@@ -122,7 +126,7 @@
         EndpointChanges { endpoints, stale }
     }
 
-    /// Marks the backends that a full list lacks as gone, and returns them.
+    /// Marks the backends that are missing in a full list as gone, and returns them.
     fn mark_unlisted_as_gone(&mut self, list: &[ListedEndpoint]) -> Vec<BackendId> {
         let listed: BTreeSet<BackendId> =
             list.iter().map(|listed| self.endpoint_ids.get_or_assign(&listed.name)).collect();
@@ -136,7 +140,7 @@
         unlisted
     }
 
-    /// Updates one backend; returns whether idle connections to it are useless now.
+    /// Updates one backend, and returns whether idle connections to it are now useless.
     fn update_endpoint(&mut self, listed: EndpointInfo, address: String) -> bool {
         let endpoint = Endpoint {
             address: address.into(),
--- a/src/net/dispatcher/event_loop.rs
+++ b/src/net/dispatcher/event_loop.rs
@@ -1,5 +1,5 @@
-//! Hands events to the decision module and applies the actions that it returns. Read
-//! [`Dispatcher::handle_event`] first; [`EventRun`] is what one call of it works on.
+//! Hands events to the decision module and applies the actions that the module returns. Read
+//! [`Dispatcher::handle_event`] first; each call uses one [`EventRun`].
 
 use super::attempts::AttemptPlan;
 use super::clock::timer_duration;
@@ -15,20 +15,21 @@
 use std::sync::{Arc, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// One event and the events that follow from it, handled with the dispatcher locked.
+/// The handling of one event and of the events that follow from it, while the dispatcher's lock is
+/// held.
 struct EventRun<'a> {
     dispatcher: &'a Arc<Dispatcher>,
     state: &'a mut DispatcherState,
     now: Timestamp,
-    /// Events that the module has not received yet.
+    /// The events that the decision module has not received yet.
     events: VecDeque<Event>,
-    /// Side effects, to be applied once the lock is released.
+    /// The side effects to apply once the lock is released.
     effects: Vec<SideEffect>,
 }
 
 impl Dispatcher {
-    /// Hands an event to the module and applies its actions: changes of the state at once, side
-    /// effects once the lock is released.
+    /// Hands an event to the decision module and applies the module's actions: changes of the state
+    /// at once, side effects after the lock is released.
     pub(super) fn handle_event(self: &Arc<Self>, mut state: MutexGuard<'_, DispatcherState>, event: Event) {
         let mut run = EventRun {
             dispatcher: self,
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Gives a request up: it is rejected or fails without a response of a backend. Returns the
-    /// side effect that sends the response, or none if no response is pending.
+    /// Gives a request up: the request is rejected or fails without a response from a backend.
+    /// Returns the side effect that sends the response, or `None` if no response is pending.
     fn give_up(
         &self,
         state: &mut DispatcherState,
@@ -69,7 +70,7 @@
 }
 
 impl EventRun<'_> {
-    /// Hands events to the module until none is pending.
+    /// Hands events to the decision module until none is pending.
     fn handle_all(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -84,13 +85,14 @@
         }
     }
 
-    /// Hands an event to the module, which appends its actions.
+    /// Hands an event to the decision module, which appends its actions to `actions`. If the module
+    /// panics, the only action is the failure of the event's request.
     fn call_module(&mut self, event: Event, actions: &mut Vec<Action>) {
         let request = request_of(&event);
         let balancer = &mut self.state.balancer;
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(self.now, event, actions)));
         if handled.is_err() {
-            // After a panic the module may never finish the request of this event.
+            // After a panic, the module may never finish the request of this event.
             self.dispatcher.counters.panics.increment();
             actions.clear();
             let reason = GiveUpReason::Panicked;
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Applies an action, as far as that is possible with the lock held.
+    /// Applies the part of an action that is possible while the lock is held, and collects the side
+    /// effects.
     fn apply_action(&mut self, action: Action) {
         match action {
             Action::StartAttempt { request, backend, timeout, send_within } => {
@@ -128,8 +131,8 @@
         self.effects.extend(self.dispatcher.give_up(self.state, id, response, reason));
     }
 
-    /// Starts a timer that is cancelled with its request, so that timers of finished requests do
-    /// not accumulate.
+    /// Starts a timer that is cancelled when its request has its response, so that timers of
+    /// finished requests do not accumulate.
     fn start_request_timer(&self, id: RequestId, due: Instant, token: u64) {
         let pending = self.state.requests.get(&id).and_then(|request| request.pending.as_ref());
         if let Some(pending) = pending {
@@ -141,12 +144,12 @@
     }
 }
 
-/// The Retry-After that a client is advised, in whole ms rounded up; none for no time.
+/// Returns the retry-after for a client, rounded up to whole ms; `None` if it is not above 0.
 fn retry_after_advice(retry_after: TimeSpan) -> Option<Duration> {
     (retry_after > TimeSpan::ZERO).then(|| Duration::from_millis(retry_after.as_ms().ceil() as u64))
 }
 
-/// The request that an event is about.
+/// Returns the request that an event is about, if any.
 fn request_of(event: &Event) -> Option<RequestId> {
     match event {
         Event::Request(request) => Some(request.id),
--- a/src/net/dispatcher/golden_tests.rs
+++ b/src/net/dispatcher/golden_tests.rs
@@ -1,6 +1,6 @@
 //! Golden tests of the endpoint snapshot, the JSON that a hot restart passes to the newer process.
-//! The older process may run the released program: a changed key breaks hot restarts, or loses the
-//! nodes in maintenance. All texts were recorded before any renaming.
+//! The older process may run an earlier release, so a changed key would break hot restarts or lose
+//! the nodes in maintenance. All texts were recorded before the fields were renamed.
 
 use super::maintenance::{MaintenanceError, MaintenanceSet};
 use super::snapshot::{EndpointSnapshot, PeerAddress};
@@ -49,7 +49,8 @@
     PeerAddress { name: "p1".into(), start: 1_700_000_000_000_001, address }
 }
 
-/// Two nodes are listed, and a third one was. `a` is in maintenance; `b` has left maintenance.
+/// Returns a set with two listed nodes and one that is no longer listed. Node `a` is in
+/// maintenance, and `b` has left maintenance.
 fn maintenance_set() -> MaintenanceSet {
     let mut set = MaintenanceSet::default();
     let unlisted = Instance { instance_id: "old".into(), ..instance() };
--- a/src/net/dispatcher/listed_endpoint.rs
+++ b/src/net/dispatcher/listed_endpoint.rs
@@ -1,30 +1,33 @@
-//! [`ListedEndpoint`]: an entry of the endpoint list in the decision module's terms.
+//! [`ListedEndpoint`]: an entry of the endpoint list, converted for the decision module.
 
 use crate::interface::{BackendId, EndpointInfo, EndpointState};
 use crate::net::log::log;
 use crate::time::Timestamp;
 use pinetrail_config::{Instance, Names};
 
-/// One entry of the endpoint list.
+/// An entry of the endpoint list, converted for the decision module.
 #[derive(Clone, Debug)]
 pub(super) struct ListedEndpoint {
-    /// Its name, the same at every proxy.
+    /// The name of the backend, the same at every proxy.
     pub name: String,
-    /// Its address for this proxy.
+    /// The address at which this proxy reaches the backend.
     pub address: String,
-    /// The entry that the module receives. The dispatcher sets its number.
+    /// The entry that the decision module receives. The dispatcher sets its backend number.
     pub info: EndpointInfo,
 }
 
 impl ListedEndpoint {
-    /// Converts an entry of the list. An entry in an unknown state is logged and gives none.
+    /// Converts an entry of the list. An entry whose state is unknown is logged and ignored.
     pub(super) fn from_instance(names: &Names, instance: Instance) -> Option<ListedEndpoint> {
         let state = match instance.lifecycle.as_str() {
             Instance::READY => EndpointState::Ready,
             Instance::DRAINING => EndpointState::Draining,
             Instance::GONE => EndpointState::Gone,
             other => {
-                log(&format!("{} is in the unknown state {other:?}", instance.instance_id));
+                log(&format!(
+                    "discovery lists {} in the unknown state {other:?}; the entry is ignored",
+                    instance.instance_id
+                ));
                 return None;
             }
         };
--- a/src/net/dispatcher/maintenance.rs
+++ b/src/net/dispatcher/maintenance.rs
@@ -1,6 +1,6 @@
 //! The nodes that operators keep in maintenance. [`MaintenanceSet`] stores the endpoint list of
-//! discovery and the maintenance of operators separately, and derives from both the list that the
-//! decision module receives. Neither overwrites the other, in whatever order they change.
+//! discovery separately from the nodes in maintenance, and derives from both the list that the
+//! decision module receives. Therefore neither overwrites the other, in whatever order they change.
 
 use super::snapshot::{EndpointSnapshot, MaintenancePeriod};
 use crate::interface::ListForm;
@@ -9,18 +9,19 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use thiserror::Error;
 
-/// The number of stored names of nodes that are no longer listed. The oldest is removed first.
+/// The maximum number of stored names of nodes that are no longer listed. The oldest name is
+/// removed first.
 const MAX_UNLISTED_NAMES: usize = 4096;
-/// The number of nodes that may be in maintenance at once.
+/// The maximum number of nodes in maintenance at once.
 const MAX_IN_MAINTENANCE: usize = 4096;
 
 /// Why a node cannot enter or leave maintenance.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MaintenanceError {
-    /// Discovery has never listed it.
+    /// Discovery has never listed the node.
     #[error("{0} was never listed")]
     NeverListed(String),
-    /// It is the origin, without which every miss and every write would fail.
+    /// The node is the origin, without which every miss and every write would fail.
     #[error("{0} is the origin, which is no cache node")]
     Origin(String),
     /// `MAX_IN_MAINTENANCE` nodes are in maintenance already.
@@ -34,13 +35,13 @@
     /// The entries that discovery listed last, by name.
     listed: BTreeMap<String, Instance>,
     unlisted: UnlistedNames,
-    /// The nodes in maintenance, with the beginning in Unix ms.
+    /// The nodes in maintenance, each with the beginning of its maintenance in Unix ms.
     in_maintenance: BTreeMap<String, Timestamp>,
     /// The last maintenance period of each node that has left maintenance.
     past_maintenance: BTreeMap<String, MaintenancePeriod>,
 }
 
-/// The names of nodes that were listed once and are no longer, without duplicates.
+/// The names of nodes that were once listed and are no longer, without duplicates.
 #[derive(Debug, Default)]
 struct UnlistedNames {
     names: BTreeSet<String>,
@@ -48,14 +49,14 @@
 }
 
 impl UnlistedNames {
-    /// Adds a name. A name that is there already keeps its age.
+    /// Adds a name. A name that is already stored keeps its age.
     fn insert(&mut self, name: String) {
         if self.names.insert(name.clone()) {
             self.oldest_first.push_back(name);
         }
     }
 
-    /// Removes the oldest name if there are more than [`MAX_UNLISTED_NAMES`], and returns it.
+    /// Removes and returns the oldest name if there are more than [`MAX_UNLISTED_NAMES`].
     fn pop_excess(&mut self) -> Option<String> {
         if self.oldest_first.len() <= MAX_UNLISTED_NAMES {
             return None;
@@ -67,7 +68,7 @@
 }
 
 impl MaintenanceSet {
-    /// The state for the other process of a hot restart.
+    /// Returns the state for the other process of a hot restart.
     pub(super) fn snapshot(&self) -> EndpointSnapshot {
         EndpointSnapshot {
             listed: self.listed.values().cloned().collect(),
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Restores the state of another process, except the list, which arrives like any list.
+    /// Restores the state of the other process, except its endpoint list, which the caller applies
+    /// like a list of discovery.
     pub(super) fn restore(&mut self, snapshot: EndpointSnapshot) {
         for name in snapshot.unlisted {
             self.insert_unlisted(name);
@@ -87,7 +89,7 @@
         self.past_maintenance = snapshot.past_maintenance;
     }
 
-    /// Stores a list of discovery, and returns the list that the module receives.
+    /// Stores a list of discovery, and returns the list that the decision module receives.
     pub(super) fn update(&mut self, form: ListForm, list: Vec<Instance>) -> Vec<Instance> {
         if matches!(form, ListForm::Cached | ListForm::Full) {
             self.clear_listed(&list);
@@ -104,7 +106,8 @@
         list.into_iter().map(|node| self.effective(node)).collect()
     }
 
-    /// Clears the stored list before a full one, and keeps the names that the full one lacks.
+    /// Clears the stored list before a full one, and stores the names that are missing in the full
+    /// one.
     fn clear_listed(&mut self, list: &[Instance]) {
         for name in std::mem::take(&mut self.listed).into_keys() {
             if !list.iter().any(|node| node.instance_id == name) {
@@ -113,28 +116,28 @@
         }
     }
 
-    /// All listed nodes as the module receives them.
+    /// Returns all listed nodes as the decision module receives them.
     pub(super) fn all_listed(&self) -> Vec<Instance> {
         self.listed.values().map(|node| self.effective(node.clone())).collect()
     }
 
-    /// The entry of a node in the last list, if it is listed.
+    /// Returns the entry of a node as discovery listed it last; `None` if the node is not listed.
     pub(super) fn listed(&self, name: &str) -> Option<&Instance> {
         self.listed.get(name)
     }
 
-    /// Puts a node in maintenance, and returns the entry that the module receives, if the node is
-    /// listed. A second call for the same node changes nothing.
+    /// Puts a node in maintenance, and returns the entry that the decision module receives; `None`
+    /// if the node is not listed. A second call for the same node changes nothing.
     ///
     /// Decides: whether a node may enter maintenance.
     /// Inputs: the node's name, the names that were ever listed, and the number of nodes in
     /// maintenance.
-    /// Reason: a wrong name is an operator's mistake, and the stored state is bounded.
+    /// Reason: a wrong name must be reported to the operator, and the stored state is bounded.
     /// Source: docs/daily-operation.md.
     ///
     /// # Errors
     ///
-    /// If the node was never listed, or too many are in maintenance.
+    /// If the node was never listed, or too many nodes are in maintenance.
     pub(super) fn enter(&mut self, name: &str, now: Timestamp) -> Result<Option<Instance>, MaintenanceError> {
         self.require_listed_once(name)?;
         if !self.in_maintenance.contains_key(name) && self.in_maintenance.len() >= MAX_IN_MAINTENANCE {
@@ -145,7 +148,7 @@
     }
 
     /// Ends the maintenance of a node, however often it was started, and returns the entry that the
-    /// module receives, if the node is listed.
+    /// decision module receives; `None` if the node is not listed.
     ///
     /// # Errors
     ///
@@ -173,15 +176,15 @@
         self.listed.get(name).map(|node| self.effective(node.clone()))
     }
 
-    /// The entry of a node as the module receives it.
+    /// Derives the entry of a node that the decision module receives.
     ///
-    /// Decides: the state and the start time of a listed node. A ready node in maintenance is
-    /// draining. A node that has left maintenance counts as started then if its listed start
-    /// precedes the maintenance.
+    /// Decides: the state and the start time of a listed node. A ready node in maintenance becomes
+    /// draining. A node that has left maintenance counts as started at the end of the maintenance,
+    /// if its listed start precedes the beginning.
     /// Inputs: the listed entry, whether the node is in maintenance, and its last maintenance
     /// period in Unix ms.
-    /// Reason: discovery lags by seconds, so a node that restarted during maintenance is cold
-    /// before its new start is listed. Taken for warm, it would be overloaded.
+    /// Reason: discovery lags by seconds, so a node that restarted during maintenance is back
+    /// before its new start is listed. It is cold, and would be overloaded if it counted as warm.
     /// Source: docs/daily-operation.md.
     fn effective(&self, mut node: Instance) -> Instance {
         if self.in_maintenance.contains_key(&node.instance_id) && node.lifecycle == Instance::READY {
--- a/src/net/dispatcher/maintenance/tests.rs
+++ b/src/net/dispatcher/maintenance/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the entries that the module receives for nodes in maintenance and after it.
+//! Tests of the entries that the decision module receives for nodes in maintenance and after it.
 
 use super::*;
 
@@ -30,8 +30,9 @@
     let full = set.update(ListForm::Full, vec![node("a", "ready", 1.0), node("b", "ready", 1.0)]);
     assert_eq!(states(&full), [("draining", 1.0), ("ready", 1.0)]);
     assert_eq!(states(&set.update(ListForm::Delta, vec![node("a", "gone", 1.0)])), [("gone", 1.0)]);
-    assert_eq!(set.leave("b", at(12.0)).unwrap().unwrap().lifecycle, "ready", "never in maintenance");
-    // It is listed again after a restart, still in maintenance; one call ends that.
+    assert_eq!(set.leave("b", at(12.0)).unwrap().unwrap().lifecycle, "ready", "b was never in maintenance");
+    // Node a is listed again after a restart, still in maintenance. One call ends its maintenance,
+    // although it was started twice.
     assert_eq!(states(&set.update(ListForm::Delta, vec![node("a", "ready", 20.0)])), [("draining", 20.0)]);
     assert_eq!(states(&set.leave("a", at(30.0)).unwrap().into_iter().collect::<Vec<_>>()), [("ready", 20.0)]);
     assert_eq!(states(&set.update(ListForm::Delta, vec![node("a", "draining", 20.0)])), [("draining", 20.0)]);
--- a/src/net/dispatcher/messages.rs
+++ b/src/net/dispatcher/messages.rs
@@ -1,5 +1,5 @@
 //! The messages between clients, the dispatcher and backends, independent of any wire protocol.
-//! Read [`ClientRequest`] first, then [`AttemptRequest`], which is made from it.
+//! Read [`ClientRequest`] first, then [`AttemptRequest`], which is created from a client's request.
 
 use crate::interface::BackendId;
 use crate::net::attempt_id::AttemptId;
@@ -10,35 +10,36 @@
 
 /// The connection state of a client.
 pub trait ClientPresence: std::fmt::Debug + Send + Sync {
-    /// Whether the client has closed its connection or its sending direction at this moment, even
-    /// if unread input precedes that. It does not wait.
+    /// Returns whether the client has closed its connection or its sending direction by now, even
+    /// if the process has not read all input before that. Does not wait.
     fn is_disconnected(&self) -> bool;
 }
 
 /// A client's request, independent of its wire protocol.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// The client that sent it.
+    /// The client that sent the request.
     pub client: Arc<dyn ClientPresence>,
-    /// Its id as the client sent it.
+    /// The request's id as the client sent it.
     pub opaque: String,
-    /// Its key as the client sent it.
+    /// The key as the client sent it.
     pub key: String,
-    /// Index of its class in the settings of `version`.
+    /// The index of the request's class in the settings of `version`.
     pub class: u8,
-    /// Index of its tenant there.
+    /// The index of the request's tenant in the settings of `version`.
     pub tenant: u32,
-    /// The version of the names ([`Names::version`](pinetrail_config::Names)) it was parsed with.
+    /// The version of the names ([`Names::version`](pinetrail_config::Names)) that were active when
+    /// the request was parsed.
     pub version: u64,
-    /// How long the client still waits.
+    /// How long the client still waits for the response.
     pub budget: TimeSpan,
-    /// The expected work, if the client sent a hint.
+    /// The expected work of the request, if the client sent a hint.
     pub hint: Option<TimeSpan>,
-    /// Whether the client marked it as a repeat.
+    /// Whether the client marked the request as a repeat.
     pub repeat: bool,
-    /// The labels of the command (name and value), in their order.
+    /// The labels of the command as pairs of name and value, in the order in which they were sent.
     pub labels: Vec<(String, String)>,
-    /// The value of a write.
+    /// The value to store, for a write.
     pub value: Option<Vec<u8>>,
 }
 
@@ -54,30 +55,31 @@
 /// The one final response to a request.
 #[derive(Debug)]
 pub enum Response {
-    /// Served, with the complete payload.
+    /// The request was served, and the payload is complete.
     Complete(Payload),
-    /// Served, with a long value that arrives in pieces.
+    /// The request was served with a long value that arrives in pieces.
     Stream {
-        /// Its length in bytes.
+        /// The length of the value in bytes.
         length: usize,
-        /// The receiving end of its pieces.
+        /// The receiving end of the stream of pieces.
         body: BodyReceiver,
     },
-    /// Rejected: the client may safely send the request again.
+    /// The request was rejected. The client may safely send it again.
     Rejected {
-        /// How long the client should wait before that, in whole ms; none gives no advice.
+        /// How long the client should wait before it sends the request again, in whole ms; `None`
+        /// for no advice.
         retry_after: Option<Duration>,
     },
-    /// Failed: whether the request ran is unknown.
+    /// The request failed. Whether a backend executed it is unknown.
     Failed,
 }
 
-/// An attempt to make at a backend.
+/// An attempt that the backend service is to make.
 #[derive(Clone, Debug)]
 pub struct AttemptRequest {
-    /// Its id.
+    /// The id of the attempt.
     pub id: AttemptId,
-    /// The backend.
+    /// The backend to which the attempt is sent.
     pub backend: BackendId,
     /// The address of the backend.
     pub address: Arc<str>,
@@ -89,42 +91,44 @@
     pub backend_started: Timestamp,
     /// When the attempt times out.
     pub deadline: Instant,
-    /// By when its last byte must be written. After that the attempt is not sent.
+    /// By when the attempt's last byte must be written. After that the attempt is not sent.
     pub send_by: Instant,
 }
 
 /// A command for the backend service.
 #[derive(Clone, Debug)]
 pub enum BackendCommand {
-    /// Make an attempt. Its outcome must be reported to
+    /// Make an attempt, and report its outcome to
     /// [`Dispatcher::attempt_finished`](super::Dispatcher::attempt_finished).
     Attempt(AttemptRequest),
-    /// Close the idle connections to a backend: it takes no new attempts, or is a new process.
+    /// Close the idle connections to a backend that takes no new attempts or is a new process.
     CloseIdleConnections(BackendId),
 }
 
-/// Receives the response to one request.
+/// A callback that receives the response to one request.
 ///
-/// Invariant: it may be called while the dispatcher's lock is held. It stores the response and
-/// wakes the coroutine that writes it, but never waits or calls the dispatcher.
+/// Invariant: the callback may be called while the dispatcher's lock is held. It stores the
+/// response and wakes the coroutine that writes it, but never waits and never calls the dispatcher.
 pub type ResponseCallback = Box<dyn FnOnce(Response) + Send>;
 
-/// Why a request is not accepted. A request that may be submitted again is returned.
+/// Why a request is not accepted. A request that the caller may submit again is returned.
 pub enum SubmitError {
-    /// Another open request has its id.
+    /// Another open request has the same id.
     IdInUse,
-    /// Other settings have become active since it was parsed, so it must be parsed again.
+    /// Other settings have become active since the request was parsed, so the caller must parse it
+    /// again.
     Outdated {
-        /// The request.
+        /// The request that was submitted.
         request: Box<ClientRequest>,
-        /// Receives its response.
+        /// The callback that was submitted with the request.
         respond: ResponseCallback,
     },
-    /// A change of the fleet's policy is being decided: submit the request again shortly.
+    /// A change of the fleet's policy is being decided. The caller should submit the request again
+    /// shortly.
     PolicyChanging {
-        /// The request.
+        /// The request that was submitted.
         request: Box<ClientRequest>,
-        /// Receives its response.
+        /// The callback that was submitted with the request.
         respond: ResponseCallback,
     },
     /// This process holds no admission lease and may not admit requests.
--- a/src/net/dispatcher/mod.rs
+++ b/src/net/dispatcher/mod.rs
@@ -1,7 +1,10 @@
-//! The dispatcher connects clients, backends and discovery with the decision module. [`Dispatcher`]
-//! owns the module, the open requests and the clock: it converts reports into the module's events,
-//! and the module's actions into responses, commands and timers. It has no sockets and no wire
-//! protocol, and passes payloads through unchanged. Read `event_loop` next.
+//! Connects clients, backends and discovery with the decision module. Read [`Dispatcher`] first,
+//! then `event_loop`.
+//!
+//! [`Dispatcher`] owns the decision module, the open requests and the clock. It converts what
+//! clients, backends and discovery report into events for the module, and the module's actions into
+//! responses, commands and timers. It uses no sockets and no wire protocol, and passes payloads
+//! through unchanged.
 
 mod attempts;
 mod clock;
@@ -46,40 +49,40 @@
 
 /// The parameters of a new [`Dispatcher`].
 pub struct DispatcherParameters {
-    /// The first settings of the decision module.
+    /// The initial settings of the decision module.
     pub settings: Settings,
     /// The seed of the decision module's random numbers.
     pub seed: u64,
-    /// The names of the first settings.
+    /// The names in the initial settings.
     pub names: Names,
     /// The counters of the process.
     pub counters: Arc<Counters>,
-    /// Where commands for the backend service go.
+    /// The channel to the backend service.
     pub commands: Sender<BackendCommand>,
-    /// Where subscriptions for discovery go.
+    /// The channel to discovery; each message asks it to watch the endpoint list.
     pub subscriptions: Sender<()>,
 }
 
-/// Connects clients, backends and discovery with the decision module, which only it calls.
+/// The only caller of the decision module. Connects it with clients, backends and discovery.
 pub struct Dispatcher {
     clock: Clock,
     counters: Arc<Counters>,
     /// Guards the decision module and the state of requests and backends, so that events are
-    /// decided one after another.
+    /// handled one after another.
     ///
-    /// Invariant: no coroutine waits while it holds this lock. Callbacks that run under it only
-    /// store and wake, sends to the (unbounded) channels return at once, and side effects are
-    /// applied after its release. The admission lease's lock is taken inside it, never the other
-    /// way round.
+    /// Invariant: no coroutine waits while it holds this lock. Callbacks that run under the lock
+    /// only store a value and wake a coroutine, sends to the unbounded channels return at once, and
+    /// side effects are applied after the lock is released. The admission lease's lock is taken
+    /// while this lock is held, never the other way round.
     state: Mutex<DispatcherState>,
     commands: Sender<BackendCommand>,
     subscriptions: Sender<()>,
-    /// The lease that admits requests, where a fleet has one policy.
+    /// The lease that admits requests; set only in a fleet with a common policy.
     lease: OnceLock<Arc<AdmissionLease>>,
 }
 
 impl Dispatcher {
-    /// A dispatcher with a new decision module.
+    /// Creates a dispatcher with a new decision module.
     pub fn new(parameters: DispatcherParameters) -> Arc<Dispatcher> {
         let DispatcherParameters { settings, seed, names, counters, commands, subscriptions } = parameters;
         let settings = Settings { write_delay: write_delay(), ..settings };
@@ -107,8 +110,8 @@
         })
     }
 
-    /// Locks the state. A panic of the module under the lock is caught, so a poisoned lock is still
-    /// usable.
+    /// Locks the state. A poisoned lock is still usable, since panics of the decision module are
+    /// caught while the lock is held.
     fn lock(&self) -> MutexGuard<'_, DispatcherState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/src/net/dispatcher/settings.rs
+++ b/src/net/dispatcher/settings.rs
@@ -1,6 +1,5 @@
-//! The settings of the dispatcher: the module's settings and names, the fleet's policy, the quota,
-//! and the admission lease. Read [`Dispatcher::apply_settings`] first, then
-//! [`Dispatcher::admission`].
+//! Applies settings, the fleet's policy and the proxy's quota, and admits requests under an
+//! admission lease. Read [`Dispatcher::apply_settings`] first, then [`Dispatcher::admission`].
 
 use super::state::DispatcherState;
 use super::Dispatcher;
@@ -13,38 +12,38 @@
 use std::time::Instant;
 
 impl Dispatcher {
-    /// The names of the active settings.
+    /// Returns the names in the active settings.
     pub fn names(&self) -> Arc<Names> {
         Arc::clone(&self.lock().names)
     }
 
     /// Calls `read` with the active settings and names.
     ///
-    /// Invariant: `read` runs with the dispatcher locked, and neither waits nor calls the
+    /// Invariant: `read` runs while the dispatcher's lock is held, and neither waits nor calls the
     /// dispatcher.
     pub fn with_active_settings<T>(&self, read: impl FnOnce(&Settings, &Names) -> T) -> T {
         let state = self.lock();
         read(state.balancer.settings(), &state.names)
     }
 
-    /// Requires this lease for the admission of requests. Only the first call has an effect.
+    /// Requires `lease` for the admission of requests. Only the first call has an effect.
     pub fn set_admission_lease(&self, lease: Arc<AdmissionLease>) {
         let _ = self.lease.set(lease);
     }
 
-    /// Whether requests are admitted only under a lease.
+    /// Returns whether requests are admitted only under a lease.
     pub fn requires_lease(&self) -> bool {
         self.lease.get().is_some()
     }
 
-    /// Whether this process has no admission lease and rejects requests.
+    /// Returns whether this process lacks a required admission lease and rejects requests.
     pub fn is_fenced(&self) -> bool {
         self.requires_lease()
             && matches!(self.admission(self.lock().policy_version), Admission::Reject { .. })
     }
 
-    /// The admission of a request that was parsed by this version of the names; none if the request
-    /// must be parsed again.
+    /// Returns the admission of a request that was parsed with this version of the names; `None` if
+    /// the request must be parsed again.
     pub fn admission_for(&self, version: u64) -> Option<Admission> {
         let state = self.lock();
         if state.names.version == version {
@@ -54,16 +53,17 @@
         }
     }
 
-    /// The admission of requests under a policy version.
+    /// Returns the admission of requests under a policy version.
     ///
     /// Decides: whether a request is admitted, waits for a policy change, or is rejected with a
     /// retry-after. Without a fleet policy every request is admitted.
-    /// Inputs: the policy version of the active settings, the admission lease, and the present
-    /// moment on the monotonic clock.
-    /// Reason: no process may serve by an old policy after the fleet has agreed on a new one.
+    /// Inputs: the policy version of the active settings, the admission lease, and the current time
+    /// on the monotonic clock.
+    /// Reason: no process may serve under an old policy after the fleet has agreed on a new one.
     /// Source: docs/policy-design.md.
     ///
-    /// Invariant: this is called when a request is submitted, with the active settings locked.
+    /// Invariant: a request's admission is decided when it is submitted, while the lock on the
+    /// active settings is held.
     pub(super) fn admission(&self, policy_version: u64) -> Admission {
         match self.lease.get() {
             Some(lease) => lease.admission(policy_version, tokio::time::Instant::now()),
@@ -71,15 +71,15 @@
         }
     }
 
-    /// Activates a version of the fleet's policy, as [`Dispatcher::apply_settings`] does.
+    /// Activates a version of the fleet's policy, like [`Dispatcher::apply_settings`].
     pub fn apply_policy(self: &Arc<Self>, version: u64, settings: Settings, names: Names) {
         let mut state = self.lock();
         state.policy_version = version;
         self.activate(state, settings, names);
     }
 
-    /// Activates settings and their names in one step. Open requests keep the settings that they
-    /// were submitted with.
+    /// Activates settings and their names in one step. Open requests keep the settings with which
+    /// they were submitted.
     pub fn apply_settings(self: &Arc<Self>, settings: Settings, names: Names) {
         self.activate(self.lock(), settings, names);
     }
@@ -94,15 +94,15 @@
         state.balancer.apply_settings(Settings { write_delay: write_delay(), ..settings });
         names.version = state.names.version + 1;
         state.names = Arc::new(names);
-        // Other settings may number kinds and zones differently.
+        // Apply the list again, because the new settings may number kinds and zones differently.
         let listed = state.maintenance.all_listed();
         self.apply_list(state, ListForm::Delta, listed);
     }
 
-    /// Applies the proxy's quota. What it has beyond its guaranteed minimum expires at `expires`.
+    /// Applies the proxy's quota. The part above the guaranteed minimum expires at `expires`.
     ///
     /// Invariant: the expiry is a moment, not a duration. A process that is stopped before this
-    /// call would count a duration from its continuation, and use the lease for too long.
+    /// call would count a duration from when it continues, and would use the lease for too long.
     pub fn apply_quota(self: &Arc<Self>, quota: Quota, expires: Instant) {
         let expires_at = self.clock.at(expires);
         self.handle_event(self.lock(), Event::Quota(Quota { expires_at, ..quota }));
--- a/src/net/dispatcher/side_effect.rs
+++ b/src/net/dispatcher/side_effect.rs
@@ -1,5 +1,5 @@
-//! The effects of the decision module's actions outside the dispatcher's state. [`SideEffect`]s are
-//! collected while the lock is held and applied once it is released.
+//! [`SideEffect`]: an effect of the decision module's actions outside the dispatcher's state. Side
+//! effects are collected while the dispatcher's lock is held, and applied once it is released.
 
 use super::messages::{BackendCommand, Response};
 use super::state::PendingResponse;
@@ -15,19 +15,19 @@
     Respond(PendingResponse, Response),
     /// Pass a command to the backend service.
     Command(BackendCommand),
-    /// Hand the module a timer event.
+    /// Hand a timer event to the decision module at `due`.
     StartTimer {
-        /// When.
+        /// When the timer fires.
         due: Instant,
-        /// The module's token for the timer.
+        /// The decision module's token for the timer.
         token: u64,
     },
-    /// Have discovery watch the endpoint list.
+    /// Make discovery watch the endpoint list.
     Subscribe,
 }
 
 impl Dispatcher {
-    /// Applies a side effect. Called with the lock released.
+    /// Applies a side effect. The caller does not hold the dispatcher's lock.
     pub(super) fn apply(self: &Arc<Self>, effect: SideEffect) {
         match effect {
             SideEffect::Respond(pending, response) => pending.send(response),
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Passes a command to the backend service. It never waits, so it may be called with the lock
-    /// held.
+    /// Passes a command to the backend service. Never waits, so the caller may hold the
+    /// dispatcher's lock.
     pub(super) fn send_command(&self, command: BackendCommand) {
         // The receiver is dropped only when the process stops.
         let _ = self.commands.send(command);
--- a/src/net/dispatcher/snapshot.rs
+++ b/src/net/dispatcher/snapshot.rs
@@ -1,5 +1,5 @@
-//! The endpoints and peers that one process passes to the other in a hot restart, as JSON. The
-//! other process may run another release, so `serde(rename)` fixes the keys. Read
+//! The endpoints and peers that one process passes to the other in a hot restart, as JSON. Because
+//! the other process may run another release, `serde(rename)` fixes the keys. Read
 //! [`EndpointSnapshot`] first.
 
 use crate::time::Timestamp;
@@ -8,33 +8,33 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The endpoint list, the maintenance of nodes, and the addresses of peers.
+/// The endpoint list, the maintenance periods of nodes, and the addresses of peers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointSnapshot {
-    /// The listed backends, as discovery listed them last.
+    /// The backends in the last list of discovery.
     #[serde(rename = "told")]
     pub listed: Vec<Instance>,
-    /// The names of nodes that were listed and are no longer, the oldest first.
+    /// The names of nodes that are no longer listed, the oldest first.
     #[serde(rename = "gone")]
     pub(super) unlisted: Vec<String>,
-    /// The nodes in maintenance, with the beginning in Unix ms.
+    /// The nodes in maintenance, each with the beginning of its maintenance in Unix ms.
     #[serde(rename = "out")]
     pub(super) in_maintenance: BTreeMap<String, Timestamp>,
     /// The last maintenance period of each node that has left maintenance.
     #[serde(rename = "back")]
     pub(super) past_maintenance: BTreeMap<String, MaintenancePeriod>,
-    /// The processes of the fleet, if there is one.
+    /// The processes of the fleet; empty without a fleet.
     #[serde(rename = "links", default, skip_serializing_if = "Vec::is_empty")]
     pub peers: Vec<PeerAddress>,
 }
 
-/// A finished maintenance period. As JSON it is an array of both moments.
+/// A finished maintenance period. In JSON it is an array of the beginning and the end.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(Timestamp, Timestamp)", into = "(Timestamp, Timestamp)")]
 pub(super) struct MaintenancePeriod {
-    /// When it began, in Unix ms.
+    /// When the maintenance began, in Unix ms.
     pub began: Timestamp,
-    /// When it ended, in Unix ms.
+    /// When the maintenance ended, in Unix ms.
     pub ended: Timestamp,
 }
 
@@ -53,11 +53,11 @@
 /// A process of the fleet, and the address at which it accepts connections of peers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerAddress {
-    /// Its proxy's name.
+    /// The name of the process's proxy.
     pub name: String,
-    /// When it started, in Unix microseconds.
+    /// When the process started, in Unix microseconds.
     pub start: u64,
-    /// Where it accepts connections of peers.
+    /// The address at which the process accepts connections of peers.
     #[serde(rename = "place")]
     pub address: SocketAddr,
 }
--- a/src/net/dispatcher/start_times/tests.rs
+++ b/src/net/dispatcher/start_times/tests.rs
@@ -5,12 +5,12 @@
 }
 
 const HOUR: TimeSpan = TimeSpan::from_ms(3_600_000.0);
-/// This process's clock at the last list.
+/// The time of this process's clock at the arrival of the last list.
 const LAST_LIST: Timestamp = Timestamp::from_ms(360_000_000.0);
-/// The same clock now, ten minutes later.
+/// The current time of the same clock, ten minutes later.
 const NOW: Timestamp = Timestamp::from_ms(360_600_000.0);
 
-/// Start times after a first list with backend 1, which started an hour before.
+/// Returns the start times after a first list with backend 1, which started an hour before.
 fn after_a_list() -> StartTimes {
     let mut starts = StartTimes::default();
     let clocks = ClockReading { own: LAST_LIST, wall: LAST_LIST };
@@ -19,12 +19,13 @@
     starts
 }
 
-/// The clocks now, after the wall clock was set by this.
+/// Returns the current time of both clocks after the wall clock was set by `step`.
 fn now(step: TimeSpan) -> ClockReading {
     ClockReading { own: NOW, wall: NOW + step }
 }
 
-/// Guards against a cold backend that passes for a warm one because a wall clock was set.
+/// Guards against a cold backend that counts as warm because a wall clock was set: this host's and
+/// discovery's, or discovery's alone.
 #[test]
 fn a_restart_is_never_taken_for_older_whatever_wall_clock_was_set() {
     for step in [HOUR * -1.0, ms(-3000.0), TimeSpan::ZERO, ms(3000.0), HOUR] {
@@ -33,7 +34,7 @@
             let clocks = now(if own_steps { step } else { TimeSpan::ZERO });
             let started = starts.translate(BackendId(1), NOW - ms(1000.0) + step, clocks);
             let is_small_step_elsewhere = !own_steps && step == ms(-3000.0);
-            // A small step of discovery's clock alone looks like a start.
+            // A small step back of discovery's clock alone cannot be told from an earlier start.
             let tolerance = if is_small_step_elsewhere { ms(3000.0) } else { TimeSpan::ZERO };
             assert!(
                 started >= NOW - ms(1000.0) - tolerance && started <= NOW,
@@ -60,7 +61,7 @@
     assert_eq!(
         first.translate(BackendId(1), NOW - HOUR * 2.0, now(TimeSpan::ZERO)),
         NOW - HOUR * 2.0,
-        "a first list"
+        "the start is in the first list"
     );
 }
 
--- a/src/net/dispatcher/state.rs
+++ b/src/net/dispatcher/state.rs
@@ -1,5 +1,5 @@
-//! The state behind the dispatcher's one lock: [`DispatcherState`]. It holds every open request
-//! ([`InFlightRequest`]) and every listed backend ([`Endpoint`]) beside the decision module.
+//! The state behind the dispatcher's lock: the decision module, every open request
+//! ([`InFlightRequest`]) and every listed backend ([`Endpoint`]). Read [`DispatcherState`] first.
 
 use super::endpoint_ids::EndpointIds;
 use super::maintenance::MaintenanceSet;
@@ -18,23 +18,23 @@
 pub(super) struct DispatcherState {
     /// The decision module.
     pub balancer: Balancer,
-    /// The names of the active settings, with the module's numbers for them.
+    /// The names in the active settings, with the decision module's numbers for them.
     pub names: Arc<Names>,
-    /// The number of the origin's machine kind; negative if there is none.
+    /// The number of the origin's machine kind; negative if there is no origin.
     pub origin_kind: i64,
-    /// Requests without a response, or with an attempt in flight.
+    /// The requests that have no response yet or have an attempt in flight.
     pub requests: BTreeMap<RequestId, InFlightRequest>,
-    /// When pending responses are due, the earliest first.
+    /// The due times of pending responses, the earliest first.
     pub due: BTreeSet<(Instant, RequestId)>,
-    /// The clients' ids of `requests`. An id identifies at most one open request.
+    /// The ids that clients gave to `requests`. An id identifies at most one open request.
     pub open_ids: BTreeSet<String>,
     /// The request id that was assigned last.
     pub last_id: RequestId,
-    /// The backends of the endpoint list, and removed ones with an attempt in flight.
+    /// The backends in the endpoint list, and removed ones with an attempt in flight.
     pub endpoints: BTreeMap<BackendId, Endpoint>,
-    /// The module's numbers for the names of backends.
+    /// The decision module's numbers for the names of backends.
     pub endpoint_ids: EndpointIds,
-    /// The start times of the processes of listed backends.
+    /// The start times of the listed backends' processes.
     pub start_times: StartTimes,
     /// The endpoint list as discovery sent it, and the nodes in maintenance.
     pub maintenance: MaintenanceSet,
@@ -43,74 +43,77 @@
     pub policy_version: u64,
 }
 
-/// A request, until its response is sent and all its attempts have ended.
+/// A request whose response is not sent yet or whose attempts have not all ended.
 pub(super) struct InFlightRequest {
     /// The client's request.
     pub request: Arc<ClientRequest>,
-    /// The pending response; none once it is sent. Only [`DispatcherState::take_pending`] takes it.
+    /// The pending response; `None` once the response is sent. Only
+    /// [`DispatcherState::take_pending`] takes it.
     pub pending: Option<PendingResponse>,
-    /// When its response is due.
+    /// When the response is due.
     pub due: Instant,
-    /// The number of attempts that the module has asked for, including those that were not sent.
+    /// The number of attempts that the decision module has requested, including those that were not
+    /// sent.
     pub attempts_requested: u8,
     /// The attempts in flight, by attempt number.
     pub attempts: BTreeMap<u8, InFlightAttempt>,
-    /// When its response began to stream, in Unix ms.
+    /// When the response began to stream, in Unix ms.
     pub stream_began: Option<Timestamp>,
 }
 
 /// An attempt that the backend service has received and that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InFlightAttempt {
-    /// The backend that receives it.
+    /// The backend to which the attempt is sent.
     pub backend: BackendId,
-    /// When it was handed to the backend service, in Unix ms.
+    /// When the attempt was handed to the backend service, in Unix ms.
     pub sent: Timestamp,
 }
 
 /// A response that is still to be sent, and the timers that are cancelled with it.
 pub(super) struct PendingResponse {
-    /// Receives the response.
+    /// The callback that receives the response.
     pub respond: ResponseCallback,
-    /// The module's timers for the request.
+    /// The decision module's timers for the request.
     pub timers: TimerSet,
 }
 
 impl PendingResponse {
-    /// Sends the response, then cancels the timers, so that the response goes out before they wake.
+    /// Sends the response, then cancels the timers, so that the response is sent before their
+    /// coroutines run.
     pub(super) fn send(self, response: Response) {
         (self.respond)(response);
         drop(self.timers);
     }
 }
 
-/// A backend as the last endpoint list has it.
+/// A backend as described by the last endpoint list.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
-    /// Its address.
+    /// The address of the backend.
     pub address: Arc<str>,
-    /// Its state in the list.
+    /// The state of the backend in the list.
     pub state: EndpointState,
-    /// When its process started, in Unix ms on this process's clock.
+    /// When the backend's process started, in Unix ms on this proxy process's clock.
     pub started: Timestamp,
-    /// Whether it is the origin.
+    /// Whether the backend is the origin.
     pub is_origin: bool,
 }
 
 impl Endpoint {
-    /// Whether it takes new attempts.
+    /// Returns whether the backend takes new attempts.
     pub(super) fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// Whether another entry is the same process at the same address.
+    /// Returns whether `other` is the same process at the same address.
     pub(super) fn is_same_process(&self, other: &Endpoint) -> bool {
         self.address == other.address && self.started == other.started
     }
 }
 
 impl DispatcherState {
-    /// Removes backends that are no longer listed and have no attempt in flight. Without this the
+    /// Removes the backends that are no longer listed and have no attempt in flight. Otherwise the
     /// map would grow with every replaced backend.
     pub(super) fn remove_unlisted_endpoints(&mut self) {
         let requests = self.requests.values();
@@ -122,19 +125,19 @@
         self.endpoint_ids.retain(|backend| endpoints.contains_key(&backend));
     }
 
-    /// The client's id of a request; empty if the request was removed.
+    /// Returns the id that the client gave to a request; empty if the request was removed.
     pub(super) fn opaque(&self, id: RequestId) -> &str {
         self.requests.get(&id).map_or("", |in_flight| &in_flight.request.opaque)
     }
 
-    /// Removes a request, and frees its client's id for another.
+    /// Removes a request, and frees the id that its client gave to it.
     fn remove_request(&mut self, id: RequestId) {
         if let Some(request) = self.requests.remove(&id) {
             self.open_ids.remove(&request.request.opaque);
         }
     }
 
-    /// Removes a request that has its response and no attempt in flight.
+    /// Removes a request if its response is sent and it has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished =
             |request: &InFlightRequest| request.pending.is_none() && request.attempts.is_empty();
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Takes the pending response of a request, if it has one.
+    /// Takes the pending response of a request; `None` if the request has none.
     ///
     /// Invariant: the caller sends the response or drops it, so that a request gets at most one.
     pub(super) fn take_pending(&mut self, id: RequestId) -> Option<PendingResponse> {
--- a/src/net/dispatcher/submit.rs
+++ b/src/net/dispatcher/submit.rs
@@ -1,5 +1,4 @@
-//! Client requests: how they are accepted, cancelled, aborted and expired. Read
-//! [`Dispatcher::submit`] first.
+//! Accepts, cancels, aborts and expires client requests. Read [`Dispatcher::submit`] first.
 
 use super::clock::timer_duration;
 use super::endpoint_ids::key_number;
@@ -19,18 +18,18 @@
 /// Why a request fails without the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AbortReason {
-    /// The process stops.
+    /// The process is stopping.
     Stopping,
-    /// Its timer was lost: it is open although its response was due.
+    /// The request is still open although its response was due, so its timer was lost or late.
     Expired,
 }
 
 impl Dispatcher {
-    /// Accepts a request. Its one response goes to `respond`, unless the client cancels first.
+    /// Accepts a request. Its response goes to `respond`, unless the request is cancelled first.
     ///
     /// # Errors
     ///
-    /// Why it is not accepted; `respond` is not called then.
+    /// If the request is not accepted. `respond` is not called then.
     pub fn submit(
         self: &Arc<Self>,
         request: ClientRequest,
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Stores a request and the moment at which its response is due.
+    /// Stores a request and the time at which its response is due.
     pub(super) fn insert_request(
         &self,
         state: &mut DispatcherState,
@@ -94,10 +93,10 @@
         state.requests.insert(id, in_flight);
     }
 
-    /// Cancels a request whose client has disconnected: it gets no response.
+    /// Cancels a request whose client has disconnected. The request gets no response.
     pub fn cancel(self: &Arc<Self>, id: RequestId) {
         let mut state = self.lock();
-        // Dropped at the end of this function together with its timers, when the lock is released.
+        // Dropped together with its timers at the end of this function, after the lock is released.
         let pending = state.take_pending(id);
         if pending.is_some() {
             self.counters.requests_cancelled.increment();
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Fails every request without a response, since the process stops.
+    /// Fails every request without a response, because the process stops.
     pub fn abort_all(self: &Arc<Self>) {
         let pending: Vec<RequestId> = {
             let state = self.lock();
@@ -118,8 +117,9 @@
         }
     }
 
-    /// The guard: fails the requests that are past their time and [`GUARD_DELAY`]. Called
-    /// periodically by a coroutine that is independent of the requests' own timers.
+    /// Fails the requests that have no response [`GUARD_DELAY`] after it was due. This is the guard
+    /// against lost timers: a coroutine calls it periodically, independently of the requests' own
+    /// timers.
     pub fn expire_requests(self: &Arc<Self>) {
         while let Some(id) = self.first_expired() {
             self.abort(id, AbortReason::Expired);
@@ -132,7 +132,7 @@
         is_expired(*due).then_some(*id)
     }
 
-    /// Fails a request that has no response yet.
+    /// Fails a request if it has no response yet.
     fn abort(self: &Arc<Self>, id: RequestId, reason: AbortReason) {
         let mut state = self.lock();
         let Some(pending) = state.take_pending(id) else { return };
@@ -146,7 +146,7 @@
                 request_log::request_expired(id, state.opaque(id));
                 let late = state.requests.get(&id).map_or(Duration::ZERO, |request| request.due.elapsed());
                 log_fault(&format!(
-                    "request {} was open {} ms after its time: its timer is lost or late",
+                    "request {} fails: its response is {} ms overdue, because a timer was lost or late",
                     state.opaque(id),
                     late.as_millis()
                 ));
@@ -157,24 +157,25 @@
         pending.send(Response::Failed);
     }
 
-    /// The number of requests without a response.
+    /// Returns the number of requests without a response.
     pub fn pending_count(&self) -> usize {
         self.lock().requests.values().filter(|request| request.pending.is_some()).count()
     }
 }
 
-/// Whether the guard expires a request.
+/// Returns whether the guard expires a request.
 ///
-/// Decides: whether a request that is still open fails now. It does [`GUARD_DELAY`] after its
-/// response was due.
-/// Inputs: the moment at which its response was due, on the monotonic clock.
-/// Reason: the module sets a timer for each deadline; if one is lost, the client must not wait.
+/// Decides: whether a request that is still open fails now, which it does from [`GUARD_DELAY`]
+/// after its response was due.
+/// Inputs: the time at which the response was due, on the monotonic clock.
+/// Reason: the decision module sets a timer for each deadline. If a timer is lost, the client must
+/// not wait for ever.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 fn is_expired(due: Instant) -> bool {
     due.elapsed() >= GUARD_DELAY
 }
 
-/// A request in the module's terms.
+/// Converts a client's request for the decision module.
 fn module_request(id: RequestId, request: &ClientRequest) -> Request {
     Request {
         id,
--- a/src/net/dispatcher/tests.rs
+++ b/src/net/dispatcher/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the dispatcher. Each test plays the client and the backend service, and checks the
+//! Tests of the dispatcher. Each test acts as the client and the backend service, and checks the
 //! responses, the commands and the rejections.
 
 use super::*;
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How long an expected command may take.
+/// The timeout for an expected command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
 
 const SETTINGS: &str = r#"{
@@ -85,7 +85,7 @@
     }
 }
 
-/// A callback, and the responses that it received.
+/// Returns a callback, and the responses that it has received.
 fn response_recorder() -> (ResponseCallback, Arc<Mutex<Vec<Response>>>) {
     let responses = Arc::new(Mutex::new(Vec::new()));
     let slot = Arc::clone(&responses);
@@ -96,7 +96,9 @@
     fn next_attempt(&self) -> AttemptRequest {
         match self.commands.recv_timeout(COMMAND_TIMEOUT).unwrap() {
             BackendCommand::Attempt(attempt) => attempt,
-            BackendCommand::CloseIdleConnections(backend) => panic!("connections to {backend} are closed"),
+            BackendCommand::CloseIdleConnections(backend) => {
+                panic!("an attempt is expected, but the idle connections to {backend} are to be closed")
+            }
         }
     }
 }
@@ -190,7 +192,7 @@
 }
 
 /// Guards against an attempt for a client that disconnected while the process was held up, so that
-/// its end of stream is still unread.
+/// the end of the client's stream has not been read yet.
 #[test]
 fn no_attempt_is_written_for_a_client_that_has_disconnected() {
     let fixture = fixture();
@@ -205,16 +207,20 @@
     assert!(!fixture.dispatcher.permits_write(&attempt));
 }
 
-/// Guards against a request whose timer is lost, so that the module gets no event at its deadline.
+/// Guards against a request that stays open because its timer is lost and the decision module gets
+/// no event at the deadline.
 #[test]
 fn the_guard_expires_a_request_whose_timer_is_lost() {
     let fixture = fixture();
     let (respond, responses) = response_recorder();
-    // Stored without an event for the module, which therefore sets no timer.
+    // The request is stored without an event for the decision module, so that no timer is set.
     let lost = ClientRequest { budget: TimeSpan::ZERO, ..request("a") };
     fixture.dispatcher.insert_request(&mut fixture.dispatcher.lock(), RequestId(1), lost, respond);
     fixture.dispatcher.expire_requests();
-    assert!(responses.lock().unwrap().is_empty(), "the timer may only be late");
+    assert!(
+        responses.lock().unwrap().is_empty(),
+        "the request expired before GUARD_DELAY, although its timer may only be late"
+    );
 
     std::thread::sleep(GUARD_DELAY);
     fixture.dispatcher.expire_requests();
--- a/src/net/time_limits.rs
+++ b/src/net/time_limits.rs
@@ -9,8 +9,9 @@
 use crate::time::TimeSpan;
 use std::time::{Duration, Instant};
 
-/// The longest hold-up of the whole process between reading the clock and writing that all time
-/// limits allow for. Hold-ups happen for instance on a machine that is short of processors.
+/// The longest hold-up of the whole process, between reading its clock and writing, for which the
+/// time limits have a margin. Hold-ups happen for instance on a machine that is short of
+/// processors.
 pub const MAX_HOLD_UP: Duration = Duration::from_millis(150);
 /// The longest delay of a timer and of the coroutine that it wakes if there is no hold-up.
 pub const TIMER_LATENCY: Duration = Duration::from_millis(10);
@@ -74,7 +75,7 @@
 /// Decides: by how much the deduplication window is taken to end earlier. The decision module
 /// shortens a short window by at most a fraction of it.
 /// Inputs: none.
-/// Reason: an attempt that is written after a hold-up must still be inside the deduplication window.
+/// Reason: an attempt that is written after a hold-up must still be inside the window.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 pub fn write_delay() -> TimeSpan {
     hold_up_margin(TimeSpan::MAX)
@@ -84,8 +85,9 @@
 ///
 /// Decides: the remaining time that the attempt states, in whole ms, at least 1.
 /// Inputs: the deadline of the attempt and the current time, on the monotonic clock.
-/// Reason: the attempt ends before the client's deadline by the margin. The stated time is therefore
-/// below the client's remaining time plus its slack, even if the attempt is written after a hold-up.
+/// Reason: the attempt ends before the client's deadline by the margin. The stated time is
+/// therefore below the client's remaining time plus its slack, even if the attempt is written after
+/// a hold-up.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 pub fn remaining_deadline_ms(attempt_deadline: Instant, now: Instant) -> u128 {
     const SHORTEST_DEADLINE_MS: u128 = 1;
