--- a/src/net/dispatcher/endpoint_ids.rs
+++ b/src/net/dispatcher/endpoint_ids.rs
@@ -50,7 +50,7 @@
     parse_hex(digits, BACKEND_DIGITS).map(|number| BackendId(number as u32))
 }
 
-/// Hashes a backend's name with `zeros` 0 bytes appended to a number.
+/// Returns the hashed number of a backend's name with `zeros` 0 bytes appended.
 fn hashed_endpoint_number(name: &str, zeros: usize) -> BackendId {
     let hash = fnv1a(name.bytes().chain(std::iter::repeat_n(0, zeros)));
     BackendId((hash >> 32) as u32 ^ hash as u32)
@@ -79,7 +79,7 @@
         self.taken.retain(|id| keep(*id));
     }
 
-    /// Returns the number of a name, after assigning one to a new name.
+    /// Returns the number of a name. A new name is assigned a number first.
     pub(super) fn get_or_assign(&mut self, name: &str) -> BackendId {
         if let Some(id) = self.by_name.get(name) {
             return *id;
--- a/src/net/dispatcher/endpoints.rs
+++ b/src/net/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! Applies the endpoint lists of discovery and the maintenance that operators order. The list that
+//! Applies the endpoint lists of discovery and the maintenance that operators start. The list that
 //! the decision module receives is derived from both. Read [`Dispatcher::update_endpoints`] first.
 
 use super::listed_endpoint::ListedEndpoint;
--- a/src/net/dispatcher/snapshot.rs
+++ b/src/net/dispatcher/snapshot.rs
@@ -11,7 +11,7 @@
 /// The endpoint list, the maintenance periods of nodes, and the addresses of peers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointSnapshot {
-    /// The backends in the last list of discovery.
+    /// The listed backends, each with the entry that discovery sent last.
     #[serde(rename = "told")]
     pub listed: Vec<Instance>,
     /// The names of nodes that are no longer listed, the oldest first.
--- a/src/net/dispatcher/tests.rs
+++ b/src/net/dispatcher/tests.rs
@@ -96,9 +96,7 @@
     fn next_attempt(&self) -> AttemptRequest {
         match self.commands.recv_timeout(COMMAND_TIMEOUT).unwrap() {
             BackendCommand::Attempt(attempt) => attempt,
-            BackendCommand::CloseIdleConnections(backend) => {
-                panic!("an attempt is expected, but the idle connections to {backend} are to be closed")
-            }
+            BackendCommand::CloseIdleConnections(backend) => panic!("connections to {backend} are closed"),
         }
     }
 }
