--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -121,7 +121,7 @@
     attempts_connect_failed => "calls_connect_failed",
     /// Attempts whose connection broke.
     attempts_reset => "calls_reset",
-    /// Attempts cancelled before they ended.
+    /// Attempts that were cancelled.
     attempts_cancelled => "calls_cancelled",
     /// Attempts that ended without being sent.
     attempts_not_sent => "calls_moot",
--- a/src/net/hold_up.rs
+++ b/src/net/hold_up.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The delay of a tick from which it indicates a hold-up.
+/// The shortest delay of a tick that indicates a hold-up.
 const MIN_HOLD_UP: Duration = Duration::from_millis(20);
 /// The time after a hold-up within which the input that arrived during it is read.
 const CATCH_UP_TIME: Duration = Duration::from_millis(30);
