--- a/crates/drift/src/alarm.rs
+++ b/crates/drift/src/alarm.rs
@@ -1,7 +1,7 @@
 //! [`Alarms`]: when drift is an alarm. It is one once it has lasted, and no second time until the
 //! process was without drift for long enough. The rule is [`AlarmRecord::update`].
 
-use crate::{DriftDetector, DriftState, ProcessKey, Timestamp, Timing, TrackedNode};
+use crate::{DriftDetector, DriftState, ProcessKey, Timestamp, Timing, TrackedProcess};
 use std::collections::BTreeMap;
 
 /// An alarm: a process that does not have the approved policy active.
@@ -45,10 +45,10 @@
 
 impl Trend {
     /// The trend after the present state of the process.
-    fn after(self, now: Timestamp, node: &TrackedNode) -> Trend {
-        match (node.state, self) {
+    fn after(self, now: Timestamp, tracked: &TrackedProcess) -> Trend {
+        match (tracked.state, self) {
             (state, Trend::Drifting { since }) if state.is_drift() => Trend::Drifting { since },
-            (state, _) if state.is_drift() => Trend::Drifting { since: node.state_since },
+            (state, _) if state.is_drift() => Trend::Drifting { since: tracked.state_since },
             (DriftState::Same, Trend::Recovering { since }) => Trend::Recovering { since },
             (DriftState::Same, _) => Trend::Recovering { since: now },
             // A state that is neither drift nor `Same` neither begins nor interrupts a recovery.
@@ -106,16 +106,16 @@
     /// Invariant: an alarm stays due until [`Alarms::mark_raised`]: a new leader raises what its
     /// predecessor did not raise before it failed.
     pub fn due(&mut self, now: Timestamp, detector: &DriftDetector) -> Vec<Alarm> {
-        let nodes: Vec<TrackedNode> = detector.nodes().collect();
-        self.records.retain(|process, _| nodes.iter().any(|node| node.process == *process));
+        let processes: Vec<TrackedProcess> = detector.processes().collect();
+        self.records.retain(|process, _| processes.iter().any(|tracked| tracked.process == *process));
         let mut due = Vec::new();
-        for node in nodes {
-            let record = self.records.entry(node.process.clone()).or_default();
-            if record.update(now, &node, self.timing) == AlarmDecision::Due {
+        for tracked in processes {
+            let record = self.records.entry(tracked.process.clone()).or_default();
+            if record.update(now, &tracked, self.timing) == AlarmDecision::Due {
                 due.push(Alarm {
-                    process: node.process,
-                    state: node.state,
-                    differing_parts: node.differing_parts,
+                    process: tracked.process,
+                    state: tracked.state,
+                    differing_parts: tracked.differing_parts,
                 });
             }
         }
@@ -132,8 +132,8 @@
     /// Reason: operators need one alarm for a drift that lasts, none for a short one, and not one
     /// for each time that a process alternates between both.
     /// Source: docs/policy-design.md.
-    fn update(&mut self, now: Timestamp, node: &TrackedNode, timing: Timing) -> AlarmDecision {
-        self.trend = self.trend.after(now, node);
+    fn update(&mut self, now: Timestamp, tracked: &TrackedProcess, timing: Timing) -> AlarmDecision {
+        self.trend = self.trend.after(now, tracked);
         match self.trend {
             Trend::Drifting { since } => {
                 if now.saturating_duration_since(since) < timing.alarm_delay {
@@ -146,7 +146,7 @@
             }
             Trend::Recovering { since } => {
                 let has_recovered = now.saturating_duration_since(since) >= timing.recovery_time;
-                if has_recovered && node.state == DriftState::Same {
+                if has_recovered && tracked.state == DriftState::Same {
                     self.alarm = AlarmState::NotRaised;
                 }
                 AlarmDecision::NoLastingDrift
--- a/crates/drift/src/alarm/tests.rs
+++ b/crates/drift/src/alarm/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{ApprovedPolicy, NodeStatus, PartDigests, Report};
+use crate::{ApprovedPolicy, PartDigests, ProcessStatus, Report};
 
 fn digests(digest: u64) -> PartDigests {
     BTreeMap::from([("Orgs".to_owned(), digest)])
@@ -29,7 +29,7 @@
             let report = Report {
                 sequence: self.sequence,
                 version: 1,
-                status: NodeStatus::Admitting,
+                status: ProcessStatus::Admitting,
                 part_digests: digests(digest),
                 raised_alarms: vec![],
             };
--- a/crates/drift/src/detector.rs
+++ b/crates/drift/src/detector.rs
@@ -1,7 +1,7 @@
 //! [`DriftDetector`]: the state of each process, by its last report and by the age of that. The rule
-//! is [`NodeRecord::state_at`].
+//! is [`ProcessRecord::state_at`].
 
-use crate::{NodeStatus, PartDigests, ProcessKey, Report, Timestamp, Timing};
+use crate::{PartDigests, ProcessKey, ProcessStatus, Report, Timestamp, Timing};
 use std::cmp::Ordering;
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
@@ -56,7 +56,7 @@
 
 /// A process as the detector sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TrackedNode {
+pub struct TrackedProcess {
     /// Which process it is.
     pub process: ProcessKey,
     /// How it compares with what was approved.
@@ -72,7 +72,7 @@
 }
 
 /// The record of a process.
-struct NodeRecord {
+struct ProcessRecord {
     report: Report,
     last_report_at: Timestamp,
     state: DriftState,
@@ -88,7 +88,7 @@
     approved: ApprovedPolicy,
     /// When `approved` was set.
     approved_at: Timestamp,
-    nodes: BTreeMap<ProcessKey, NodeRecord>,
+    processes: BTreeMap<ProcessKey, ProcessRecord>,
 }
 
 impl DriftDetector {
@@ -113,7 +113,7 @@
 
     /// Records a report. One that is out of order or duplicated changes nothing.
     pub fn record_report(&mut self, now: Timestamp, process: ProcessKey, report: Report) {
-        match self.nodes.entry(process) {
+        match self.processes.entry(process) {
             Entry::Occupied(mut entry) => {
                 let record = entry.get_mut();
                 if record.report.sequence >= report.sequence {
@@ -123,7 +123,7 @@
                 record.last_report_at = now;
             }
             Entry::Vacant(entry) => {
-                entry.insert(NodeRecord {
+                entry.insert(ProcessRecord {
                     report,
                     last_report_at: now,
                     state: DriftState::Changing,
@@ -139,19 +139,19 @@
     pub fn refresh(&mut self, now: Timestamp) {
         let baseline =
             Baseline { timing: self.timing, approved: &self.approved, approved_at: self.approved_at };
-        for record in self.nodes.values_mut() {
+        for record in self.processes.values_mut() {
             record.refresh(now, &baseline);
         }
     }
 
     /// Removes the processes for which `is_known` is false.
     pub fn retain(&mut self, is_known: impl Fn(&ProcessKey) -> bool) {
-        self.nodes.retain(|process, _| is_known(process));
+        self.processes.retain(|process, _| is_known(process));
     }
 
     /// All processes, in the order of their keys.
-    pub fn nodes(&self) -> impl Iterator<Item = TrackedNode> + '_ {
-        self.nodes.iter().map(|(process, record)| TrackedNode {
+    pub fn processes(&self) -> impl Iterator<Item = TrackedProcess> + '_ {
+        self.processes.iter().map(|(process, record)| TrackedProcess {
             process: process.clone(),
             state: record.state,
             state_since: record.state_since,
@@ -169,7 +169,7 @@
     approved_at: Timestamp,
 }
 
-impl NodeRecord {
+impl ProcessRecord {
     fn refresh(&mut self, now: Timestamp, baseline: &Baseline<'_>) {
         if self.report.version > baseline.approved.version {
             self.ahead_since.get_or_insert(now);
@@ -198,9 +198,9 @@
             return DriftState::Silent;
         }
         match self.report.status {
-            NodeStatus::Fenced => DriftState::Fenced,
-            NodeStatus::CatchingUp => DriftState::Changing,
-            NodeStatus::Admitting => self.compare_version(now, baseline),
+            ProcessStatus::Fenced => DriftState::Fenced,
+            ProcessStatus::CatchingUp => DriftState::Changing,
+            ProcessStatus::Admitting => self.compare_version(now, baseline),
         }
     }
 
--- a/crates/drift/src/detector/tests.rs
+++ b/crates/drift/src/detector/tests.rs
@@ -14,7 +14,7 @@
 
 fn report(sequence: u64, version: u64, digest: u64) -> Report {
     let part_digests = digests(digest);
-    Report { sequence, version, status: NodeStatus::Admitting, part_digests, raised_alarms: vec![] }
+    Report { sequence, version, status: ProcessStatus::Admitting, part_digests, raised_alarms: vec![] }
 }
 
 /// Version 1 was approved at 0 ms.
@@ -24,12 +24,12 @@
     detector
 }
 
-fn only_node(detector: &DriftDetector) -> TrackedNode {
-    detector.nodes().next().unwrap()
+fn only_process(detector: &DriftDetector) -> TrackedProcess {
+    detector.processes().next().unwrap()
 }
 
 fn state(detector: &DriftDetector) -> DriftState {
-    only_node(detector).state
+    only_process(detector).state
 }
 
 #[test]
@@ -38,11 +38,11 @@
 
     detector.record_report(at(2000), process(), report(1, 1, 5));
     assert_eq!(state(&detector), DriftState::Same);
-    assert_eq!(only_node(&detector).differing_parts, Vec::<String>::new());
+    assert_eq!(only_process(&detector).differing_parts, Vec::<String>::new());
 
     detector.record_report(at(2500), process(), report(2, 1, 6));
     assert_eq!(state(&detector), DriftState::Differs);
-    assert_eq!(only_node(&detector).differing_parts, vec!["Grades".to_owned()]);
+    assert_eq!(only_process(&detector).differing_parts, vec!["Grades".to_owned()]);
 
     detector.record_report(at(2600), process(), report(1, 1, 5));
     assert_eq!(state(&detector), DriftState::Differs, "a late report changes nothing");
@@ -82,7 +82,7 @@
     detector.refresh(at(4800));
     assert_eq!(state(&detector), DriftState::Ahead, "and stays so");
 
-    let fenced = Report { status: NodeStatus::Fenced, ..report(5, 1, 5) };
+    let fenced = Report { status: ProcessStatus::Fenced, ..report(5, 1, 5) };
     detector.record_report(at(5000), process(), fenced);
     assert_eq!(state(&detector), DriftState::Fenced);
 }
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -11,7 +11,7 @@
 mod timing;
 
 pub use alarm::{Alarm, Alarms};
-pub use detector::{ApprovedPolicy, DriftDetector, DriftState, TrackedNode};
+pub use detector::{ApprovedPolicy, DriftDetector, DriftState, TrackedProcess};
 pub use pinetrail_clock::Timestamp;
-pub use report::{DriftMessage, NodeStatus, PartDigests, ProcessKey, Report};
+pub use report::{DriftMessage, PartDigests, ProcessKey, ProcessStatus, Report};
 pub use timing::Timing;
--- a/crates/drift/src/report.rs
+++ b/crates/drift/src/report.rs
@@ -20,7 +20,7 @@
 
 /// Whether a process admits requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NodeStatus {
+pub enum ProcessStatus {
     /// It does, under the policy that it has active.
     Admitting,
     /// It does not: its admission lease has ended.
@@ -40,7 +40,7 @@
     /// The version that it has active, by its own account.
     pub version: u64,
     /// Whether it admits requests.
-    pub status: NodeStatus,
+    pub status: ProcessStatus,
     /// The digests of the policy that it has active.
     pub part_digests: PartDigests,
     /// The processes about which an alarm was raised, as far as it knows: a process that has just
--- a/crates/drift/tests/golden_bytes.rs
+++ b/crates/drift/tests/golden_bytes.rs
@@ -3,7 +3,7 @@
 //! new version must write what an old one reads, and read what an old one writes. A test that fails
 //! here says that the program has changed its format; the recorded bytes are not to be adapted.
 
-use pinetrail_drift::{DriftMessage, NodeStatus, ProcessKey, Report};
+use pinetrail_drift::{DriftMessage, ProcessKey, ProcessStatus, Report};
 use std::collections::BTreeMap;
 
 fn hex(bytes: &[u8]) -> String {
@@ -26,7 +26,7 @@
 }
 
 /// A report in which every field has a value that appears nowhere else in it.
-fn report(status: NodeStatus) -> Report {
+fn report(status: ProcessStatus) -> Report {
     Report {
         sequence: 300,
         version: 7,
@@ -40,17 +40,17 @@
 }
 
 /// The recorded bytes for each variant. A new variant does not compile until it has some.
-fn recorded_report(status: NodeStatus) -> &'static str {
+fn recorded_report(status: ProcessStatus) -> &'static str {
     match status {
-        NodeStatus::Admitting => {
+        ProcessStatus::Admitting => {
             "00ac0207000206477261646573ef9bafcdf8acd1910106536166657479ffffffffffffffffff\
              0102026e318080f9c0c1c48203026e3205"
         }
-        NodeStatus::Fenced => {
+        ProcessStatus::Fenced => {
             "00ac0207010206477261646573ef9bafcdf8acd1910106536166657479ffffffffffffffffff\
              0102026e318080f9c0c1c48203026e3205"
         }
-        NodeStatus::CatchingUp => {
+        ProcessStatus::CatchingUp => {
             "00ac0207020206477261646573ef9bafcdf8acd1910106536166657479ffffffffffffffffff\
              0102026e318080f9c0c1c48203026e3205"
         }
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_report_has_the_recorded_bytes_for_each_state_of_admission() {
-    for status in [NodeStatus::Admitting, NodeStatus::Fenced, NodeStatus::CatchingUp] {
+    for status in [ProcessStatus::Admitting, ProcessStatus::Fenced, ProcessStatus::CatchingUp] {
         assert_recorded(&DriftMessage::Report(report(status)), recorded_report(status));
     }
 }
@@ -69,7 +69,7 @@
     let empty = Report {
         sequence: 0,
         version: 0,
-        status: NodeStatus::CatchingUp,
+        status: ProcessStatus::CatchingUp,
         part_digests: BTreeMap::new(),
         raised_alarms: Vec::new(),
     };
@@ -84,7 +84,7 @@
         DriftMessage::AlarmRaised(_) => "01026e318080f9c0c1c48203",
     };
     let raised = DriftMessage::AlarmRaised(process("n1", 1_700_000_000_000_000));
-    for message in [DriftMessage::Report(report(NodeStatus::Fenced)), raised] {
+    for message in [DriftMessage::Report(report(ProcessStatus::Fenced)), raised] {
         assert_recorded(&message, recorded(&message));
     }
 }
--- a/crates/experiments/src/membership/trials.rs
+++ b/crates/experiments/src/membership/trials.rs
@@ -1,7 +1,7 @@
 //! One trial: a fleet in simulated time, its faults, and what is measured. Read [`Trial`] first.
 
 use hdrhistogram::Histogram;
-use pinetrail_membership::{Membership, MembershipEvent, State};
+use pinetrail_membership::{MemberState, Membership, MembershipEvent};
 use pinetrail_simulation::fleet::{member_settings, Fleet, Member, ObservedEvent, BRIEF_PAUSES};
 use pinetrail_simulation::heartbeats::Heartbeats;
 use pinetrail_simulation::Time;
@@ -281,8 +281,8 @@
 /// An event as text.
 pub(super) fn event_text(event: &MembershipEvent) -> String {
     match event {
-        MembershipEvent::Member { entry, .. } => {
-            format!("{} {} (incarnation {})", entry.name, entry.state, entry.incarnation)
+        MembershipEvent::MemberChanged { record, .. } => {
+            format!("{} {} (incarnation {})", record.name, record.state, record.incarnation)
         }
         MembershipEvent::PartitionSide(side) => format!("side {side}"),
         MembershipEvent::Paused(pause) => format!("Paused({})", pause.as_millis()),
@@ -293,8 +293,8 @@
 /// The member that an event declares failed, if it is such an event.
 fn failed(observed: &ObservedEvent) -> Option<usize> {
     match &observed.event {
-        MembershipEvent::Member { entry, .. } if entry.state == State::Failed => {
-            entry.name.trim_start_matches('n').parse().ok()
+        MembershipEvent::MemberChanged { record, .. } if record.state == MemberState::Failed => {
+            record.name.trim_start_matches('n').parse().ok()
         }
         _ => None,
     }
--- a/crates/membership/src/events.rs
+++ b/crates/membership/src/events.rs
@@ -1,6 +1,6 @@
 //! The events for the rest of the program: [`MembershipEvent`].
 
-use crate::record::{MemberRecord, PartitionSide, State};
+use crate::record::{MemberRecord, MemberState, PartitionSide};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
     /// The state of a member has changed, or another process has taken its name.
-    Member {
+    MemberChanged {
         /// The member, as it is believed to be now.
-        entry: MemberRecord,
+        record: MemberRecord,
         /// The start of the process that had the name before (in Unix microseconds) and its state;
         /// none if the name is new.
-        before: Option<(u64, State)>,
+        previous: Option<(u64, MemberState)>,
     },
     /// The record of a member that had failed or left was removed.
     Forgotten(Arc<str>),
--- a/crates/membership/src/golden_tests.rs
+++ b/crates/membership/src/golden_tests.rs
@@ -7,7 +7,7 @@
 use crate::wire::{
     decode_body, decode_datagram, decode_member_id, encode_body, encode_datagram, DatagramKind,
 };
-use crate::{MemberId, Membership, Output, Settings, State, Timestamp, Timing};
+use crate::{MemberId, MemberState, Membership, Output, Settings, Timestamp, Timing};
 use std::net::SocketAddr;
 
 fn hex(bytes: &[u8]) -> String {
@@ -97,7 +97,7 @@
 
 /// What two members send to each other until both have probed and one has left. Their third peer
 /// never answers; what goes to it is not recorded.
-const CONVERSATION: &[&str] = &[
+const RECORDED_DATAGRAMS: &[&str] = &[
     "707401017db6f863066764796e6961026e318180f9c0c1c4820300000a0000018a3e",
     "70740101644d3c02066764796e6961026e328280f9c0c1c4820300000a0000028a3e",
     "70740102860e8be2066764796e6961026e328280f9c0c1c4820300000a0000028a3e",
@@ -164,7 +164,7 @@
 #[test]
 fn two_members_join_probe_and_leave_by_the_recorded_datagrams() {
     let mut members = [member(1), member(2)];
-    let mut recorded = CONVERSATION.iter();
+    let mut recorded = RECORDED_DATAGRAMS.iter();
     let mut in_flight: Vec<(usize, Vec<u8>)> = Vec::new();
     for now_ms in 0..=LEAVES_AT_MS + 1 {
         let now = Timestamp::from_millis(now_ms);
@@ -180,7 +180,7 @@
         if now_ms == LEAVES_AT_MS {
             let roster = members[1].members();
             let believed: Vec<_> = roster.iter().map(|entry| (&*entry.name, entry.state)).collect();
-            assert_eq!(believed, [("n1", State::Alive), ("n2", State::Alive)]);
+            assert_eq!(believed, [("n1", MemberState::Alive), ("n2", MemberState::Alive)]);
             members[0].leave(now, &mut out);
         }
         for output in out {
@@ -195,5 +195,5 @@
     }
     assert_eq!(recorded.next(), None, "no less is sent than was recorded");
     let left = members[1].members().into_iter().find(|entry| &*entry.name == "n1");
-    assert_eq!(left.map(|entry| entry.state), Some(State::Left));
+    assert_eq!(left.map(|entry| entry.state), Some(MemberState::Left));
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 /// The longest name of a member or a fleet, in bytes.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// The generation that a member takes to announce that it leaves. No other process announces it for
 /// that member, and no generation supersedes it.
@@ -83,7 +83,7 @@
     /// Whether a process could have this identity.
     pub(crate) fn is_valid(&self) -> bool {
         !self.name.is_empty()
-            && self.name.len() <= MAX_NAME
+            && self.name.len() <= MAX_NAME_BYTES
             && !self.address.ip().is_unspecified()
             && self.address.port() != 0
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -38,9 +38,9 @@
 
 pub use counters::MembershipCounters;
 pub use events::{MembershipEvent, NameConflict, NameHolder};
-pub use identity::{MemberId, MAX_NAME};
+pub use identity::{MemberId, MAX_NAME_BYTES};
 pub use membership::{Membership, Output};
 pub use pinetrail_clock::Timestamp;
-pub use record::{MemberRecord, PartitionSide, State};
+pub use record::{MemberRecord, MemberState, PartitionSide};
 pub use settings::{Settings, SettingsError, Timing};
-pub use wire::{decode_datagram, DatagramKind, DropReason, MAX_DATAGRAM};
+pub use wire::{decode_datagram, DatagramKind, DropReason, MAX_DATAGRAM_BYTES};
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -22,7 +22,7 @@
 use crate::health::LocalHealth;
 use crate::identity::MemberId;
 use crate::join_admission::JoinAdmission;
-use crate::record::{MemberRecord, PartitionSide, State};
+use crate::record::{MemberRecord, MemberState, PartitionSide};
 use crate::roster::Roster;
 use crate::settings::{Settings, SettingsError};
 use crate::suspicions::{Suspicion, Suspicions};
@@ -115,7 +115,7 @@
             local_id: local_id.clone(),
             admission: admission.clone(),
             timing: settings.timing,
-            max_message: wire::body_capacity(&settings.fleet),
+            max_message_bytes: wire::body_capacity(&settings.fleet),
             seed,
         });
         let mut timers = Timers::new();
@@ -207,7 +207,7 @@
             name: Arc::clone(&self.local_id.name),
             start: self.local_id.start,
             address: self.local_id.address,
-            state: if has_left { State::Left } else { State::Alive },
+            state: if has_left { MemberState::Left } else { MemberState::Alive },
             incarnation: self.swim.incarnation(),
             since: self.started_at,
         };
--- a/crates/membership/src/membership/discovery.rs
+++ b/crates/membership/src/membership/discovery.rs
@@ -9,7 +9,7 @@
 
 /// For this long after its start a member also asks a live member for the members that it knows,
 /// each time that it contacts peers.
-const NEWCOMER_PERIOD: Duration = Duration::from_secs(30);
+const INITIAL_SYNC_PERIOD: Duration = Duration::from_secs(30);
 
 impl Membership {
     /// Contacts the configured peers that are not among the live members, and does so again after
@@ -17,7 +17,7 @@
     pub(super) fn discover_peers(&mut self, out: &mut Vec<Output>) {
         if self.is_name_holder() {
             self.send_to_missing_peers(out);
-            if self.now < self.started_at + NEWCOMER_PERIOD {
+            if self.now < self.started_at + INITIAL_SYNC_PERIOD {
                 self.sync_with_live_member(out);
             }
         }
--- a/crates/membership/src/membership/name_conflict.rs
+++ b/crates/membership/src/membership/name_conflict.rs
@@ -153,7 +153,7 @@
             local_id: self.local_id.clone(),
             admission: self.admission.clone(),
             timing: self.settings.timing,
-            max_message: wire::body_capacity(&self.settings.fleet),
+            max_message_bytes: wire::body_capacity(&self.settings.fleet),
             seed: self.seed,
         });
         self.counters = counters;
--- a/crates/membership/src/membership/swim_effects.rs
+++ b/crates/membership/src/membership/swim_effects.rs
@@ -4,7 +4,7 @@
 use super::{Membership, Output, TimerKind};
 use crate::events::MembershipEvent;
 use crate::identity::MemberId;
-use crate::record::{MemberRecord, PartitionSide, State};
+use crate::record::{MemberRecord, MemberState, PartitionSide};
 use crate::swim::{SwimEvent, SwimTimer};
 use crate::wire::DatagramKind;
 
@@ -17,7 +17,7 @@
         if removes_member {
             self.swim.prune_admission();
             let remembered = self.swim.members().map(|member| member.id().name_hash()).collect();
-            let events = self.roster.remove_forgotten(&remembered);
+            let events = self.roster.retain_members(&remembered);
             out.extend(events.into_iter().map(Output::MembershipEvent));
         }
     }
@@ -65,8 +65,8 @@
         let events = self.roster.update(self.now, self.swim.members());
         let has_changed = !events.is_empty();
         for event in events {
-            if let MembershipEvent::Member { entry, .. } = &event {
-                self.count_member_change(entry);
+            if let MembershipEvent::MemberChanged { record, .. } = &event {
+                self.count_member_change(record);
             }
             out.push(Output::MembershipEvent(event));
         }
@@ -86,9 +86,9 @@
 
     fn count_member_change(&mut self, record: &MemberRecord) {
         match record.state {
-            State::Failed => self.counters.failed += 1,
-            State::Left => self.counters.left += 1,
-            State::Alive | State::Suspect => {}
+            MemberState::Failed => self.counters.failed += 1,
+            MemberState::Left => self.counters.left += 1,
+            MemberState::Alive | MemberState::Suspect => {}
         }
         self.unseen_peers.retain(|peer| *peer != record.address);
     }
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -7,7 +7,7 @@
 
 /// The state of a member, as this one sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum MemberState {
     /// It responds to probes.
     Alive,
     /// It responded neither to a direct nor to an indirect probe, and may still refute the
@@ -42,20 +42,20 @@
     /// Its address.
     pub address: SocketAddr,
     /// Its state.
-    pub state: State,
+    pub state: MemberState,
     /// How often it refuted a suspicion since it joined or rejoined.
     pub incarnation: u16,
     /// Since when it is in this state, by the clock of the member that keeps this record.
     pub since: Timestamp,
 }
 
-impl fmt::Display for State {
+impl fmt::Display for MemberState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Failed => "failed",
-            State::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Failed => "failed",
+            MemberState::Left => "left",
         })
     }
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -3,7 +3,7 @@
 
 use crate::events::MembershipEvent;
 use crate::identity::{MemberId, LEAVE_GENERATION};
-use crate::record::{MemberRecord, PartitionSide, State};
+use crate::record::{MemberRecord, MemberState, PartitionSide};
 use pinetrail_clock::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -29,8 +29,8 @@
         let id = member.id();
         let state = state_of(member);
         let known = self.records.get_mut(&id.name_hash());
-        let before = known.as_ref().map(|record| (record.start, record.state));
-        if let Some(record) = known.filter(|_| before == Some((id.start, state))) {
+        let previous = known.as_ref().map(|record| (record.start, record.state));
+        if let Some(record) = known.filter(|_| previous == Some((id.start, state))) {
             record.incarnation = member.incarnation();
             record.address = id.address;
             return None;
@@ -44,22 +44,22 @@
             since: now,
         };
         self.records.insert(id.name_hash(), record.clone());
-        Some(MembershipEvent::Member { entry: record, before })
+        Some(MembershipEvent::MemberChanged { record, previous })
     }
 
     /// Removes all members but those with these hashes of names; returns an event for each removed
     /// one, in the order of their names.
-    pub(crate) fn remove_forgotten(&mut self, name_hashes: &BTreeSet<u128>) -> Vec<MembershipEvent> {
-        let mut forgotten = Vec::new();
+    pub(crate) fn retain_members(&mut self, name_hashes: &BTreeSet<u128>) -> Vec<MembershipEvent> {
+        let mut removed = Vec::new();
         self.records.retain(|name_hash, record| {
             let stays = name_hashes.contains(name_hash);
             if !stays {
-                forgotten.push(Arc::clone(&record.name));
+                removed.push(Arc::clone(&record.name));
             }
             stays
         });
-        forgotten.sort();
-        forgotten.into_iter().map(MembershipEvent::Forgotten).collect()
+        removed.sort();
+        removed.into_iter().map(MembershipEvent::Forgotten).collect()
     }
 
     /// The members, in the order of the hashes of their names.
@@ -77,8 +77,8 @@
     /// fleet; and exactly half is no majority, or both halves could be one.
     /// Source: none in SWIM; docs/fleet.md.
     pub(crate) fn side(&self, unseen_peers: usize) -> PartitionSide {
-        let live = self.records().filter(|record| record.state <= State::Suspect).count() + 1;
-        let joined = self.records().filter(|record| record.state != State::Left).count() + 1;
+        let live = self.records().filter(|record| record.state <= MemberState::Suspect).count() + 1;
+        let joined = self.records().filter(|record| record.state != MemberState::Left).count() + 1;
         let fleet = joined + unseen_peers;
         if live == fleet {
             PartitionSide::Whole
@@ -92,11 +92,11 @@
     }
 }
 
-fn state_of(member: &foca::Member<MemberId>) -> State {
+fn state_of(member: &foca::Member<MemberId>) -> MemberState {
     match member.state() {
-        foca::State::Alive => State::Alive,
-        foca::State::Suspect => State::Suspect,
-        foca::State::Down if member.id().generation == LEAVE_GENERATION => State::Left,
-        foca::State::Down => State::Failed,
+        foca::State::Alive => MemberState::Alive,
+        foca::State::Suspect => MemberState::Suspect,
+        foca::State::Down if member.id().generation == LEAVE_GENERATION => MemberState::Left,
+        foca::State::Down => MemberState::Failed,
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,6 +1,6 @@
 //! [`Settings`]: what a member is configured with, and the checks of it.
 
-use crate::identity::MAX_NAME;
+use crate::identity::MAX_NAME_BYTES;
 use pinetrail_clock::whole_millis;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -8,9 +8,9 @@
 use thiserror::Error;
 
 /// The largest size that a fleet can be configured with.
-const MAX_SIZE: usize = 1024;
+const MAX_FLEET_SIZE: usize = 1024;
 /// The least size that a fleet can be configured with.
-const MIN_SIZE: usize = 2;
+const MIN_FLEET_SIZE: usize = 2;
 
 const PROBE_PERIOD_RANGE_MS: RangeInclusive<u64> = 50..=60_000;
 const MIN_PROBE_TIMEOUT_MS: u64 = 10;
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// A name is empty, too long, or has characters that would make log lines ambiguous.
-    #[error("{field} {value:?} is not 1 to {MAX_NAME} of letters, digits, '.', '_' and '-'")]
+    #[error("{field} {value:?} is not 1 to {MAX_NAME_BYTES} of letters, digits, '.', '_' and '-'")]
     InvalidName {
         /// The key.
         field: &'static str,
@@ -100,24 +100,24 @@
     #[error("peers: {0} is named twice")]
     DuplicatePeer(SocketAddr),
     /// The size does not hold this member and its peers, or is too large.
-    #[error("size {size} is not {least} to {MAX_SIZE}: itself and its peers")]
+    #[error("size {size} is not {min} to {MAX_FLEET_SIZE}: itself and its peers")]
     SizeOutOfRange {
         /// The configured size.
         size: usize,
         /// The least size that holds this member and its peers.
-        least: usize,
+        min: usize,
     },
     /// A duration is out of its range.
-    #[error("{field} {value} is not {least} to {most}, in ms")]
+    #[error("{field} {value} is not {min} to {max}, in ms")]
     TimeOutOfRange {
         /// The key.
         field: &'static str,
         /// Its value, in ms.
         value: u64,
         /// The least value, in ms.
-        least: u64,
+        min: u64,
         /// The greatest value, in ms.
-        most: u64,
+        max: u64,
     },
 }
 
@@ -134,9 +134,9 @@
             return Err(SettingsError::UnreachableAdvertise(self.advertise));
         }
         self.check_peers()?;
-        let least = (self.peers.len() + 1).max(MIN_SIZE);
-        if !(least..=MAX_SIZE).contains(&self.size) {
-            return Err(SettingsError::SizeOutOfRange { size: self.size, least });
+        let min = (self.peers.len() + 1).max(MIN_FLEET_SIZE);
+        if !(min..=MAX_FLEET_SIZE).contains(&self.size) {
+            return Err(SettingsError::SizeOutOfRange { size: self.size, min });
         }
         self.timing.check()
     }
@@ -182,13 +182,13 @@
     if range_ms.contains(&value) {
         return Ok(());
     }
-    let (least, most) = range_ms.into_inner();
-    Err(SettingsError::TimeOutOfRange { field, value, least, most })
+    let (min, max) = range_ms.into_inner();
+    Err(SettingsError::TimeOutOfRange { field, value, min, max })
 }
 
 fn check_name(field: &'static str, value: &str) -> Result<(), SettingsError> {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
-    if (1..=MAX_NAME).contains(&value.len()) && value.bytes().all(is_plain) {
+    if (1..=MAX_NAME_BYTES).contains(&value.len()) && value.bytes().all(is_plain) {
         Ok(())
     } else {
         Err(SettingsError::InvalidName { field, value: value.to_owned() })
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -28,7 +28,7 @@
     /// Periods and timeouts.
     pub timing: Timing,
     /// The most bytes of a message of SWIM.
-    pub max_message: usize,
+    pub max_message_bytes: usize,
     /// Equal seeds and inputs give equal outputs.
     pub seed: u64,
 }
@@ -38,7 +38,7 @@
     foca: Foca<MemberId, SwimCodec, StdRng, NoCustomBroadcast>,
     admission: JoinAdmission,
     timing: Timing,
-    max_message: usize,
+    max_message_bytes: usize,
     /// The outputs since the caller took them last.
     pub output: SwimOutput,
 }
@@ -46,12 +46,12 @@
 impl Swim {
     /// A member that knows no other member.
     pub(crate) fn new(parameters: SwimParameters) -> Swim {
-        let SwimParameters { local_id, admission, timing, max_message, seed } = parameters;
-        let config = config::for_members(&timing, max_message, 1);
+        let SwimParameters { local_id, admission, timing, max_message_bytes, seed } = parameters;
+        let config = config::for_members(&timing, max_message_bytes, 1);
         let rng = StdRng::seed_from_u64(seed);
         let foca = Foca::new(local_id, config, rng, SwimCodec::new(admission.clone()));
         let output = SwimOutput::new(admission.clone());
-        Swim { foca, admission, timing, max_message, output }
+        Swim { foca, admission, timing, max_message_bytes, output }
     }
 
     /// Handles a message of another member.
@@ -123,7 +123,7 @@
     /// Adapts the configuration to the present number of members.
     pub(crate) fn adapt_to_size(&mut self) {
         let members = self.active_count() + 1;
-        let config = config::for_members(&self.timing, self.max_message, members);
+        let config = config::for_members(&self.timing, self.max_message_bytes, members);
         // The library rejects changes of some fields, which never change here.
         let _ = self.foca.set_config(config);
     }
--- a/crates/membership/src/swim/config.rs
+++ b/crates/membership/src/swim/config.rs
@@ -24,8 +24,8 @@
 /// The suspicion timeout is never below the configured one.
 const MIN_SUSPICION_FACTOR: f64 = 1.0;
 
-/// The configuration for a fleet of so many members, this one included. `max_message` is in bytes.
-pub(super) fn for_members(timing: &Timing, max_message: usize, members: usize) -> Config {
+/// The configuration for a fleet of so many members, this one included. `max_message_bytes` is in bytes.
+pub(super) fn for_members(timing: &Timing, max_message_bytes: usize, members: usize) -> Config {
     Config {
         probe_period: timing.probe_period,
         probe_rtt: timing.probe_timeout,
@@ -33,7 +33,7 @@
         max_transmissions: max_transmissions(members),
         suspect_to_down_after: suspicion_timeout(timing, members),
         remove_down_after: Some(timing.retention),
-        max_packet_size: at_least_one(max_message),
+        max_packet_size: at_least_one(max_message_bytes),
         notify_down_members: true,
         periodic_announce: periodic(FULL_SYNC_INTERVAL, FULL_SYNC_FANOUT),
         periodic_announce_to_down_members: periodic(timing.reconnect_interval, RECONNECT_FANOUT),
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -15,11 +15,11 @@
 use thiserror::Error;
 
 /// The longest datagram, in bytes: it passes every usual link in one piece.
-pub const MAX_DATAGRAM: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 const MAGIC: [u8; 2] = *b"pt";
 const VERSION: u8 = 1;
 /// Bytes before the fleet's name.
-const HEADER_LENGTH: usize = 9;
+const HEADER_BYTES: usize = 9;
 
 /// The kind of a datagram.
 ///
@@ -78,12 +78,12 @@
 
 /// The bytes of a datagram of this fleet that the body may have.
 pub(crate) fn body_capacity(fleet: &str) -> usize {
-    MAX_DATAGRAM - HEADER_LENGTH - fleet.len()
+    MAX_DATAGRAM_BYTES - HEADER_BYTES - fleet.len()
 }
 
 /// A datagram of this fleet.
 pub(crate) fn encode_datagram(kind: DatagramKind, fleet: &str, body: &[u8]) -> Vec<u8> {
-    let mut datagram = Vec::with_capacity(HEADER_LENGTH + fleet.len() + body.len());
+    let mut datagram = Vec::with_capacity(HEADER_BYTES + fleet.len() + body.len());
     datagram.extend_from_slice(&MAGIC);
     datagram.extend_from_slice(&[VERSION, kind as u8, 0, 0, 0, 0, fleet.len() as u8]);
     datagram.extend_from_slice(fleet.as_bytes());
@@ -103,18 +103,18 @@
 ///
 /// Why the datagram is to be dropped.
 pub fn decode_datagram<'a>(fleet: &str, datagram: &'a [u8]) -> Result<(DatagramKind, &'a [u8]), DropReason> {
-    if datagram.len() < HEADER_LENGTH || datagram[..2] != MAGIC {
+    if datagram.len() < HEADER_BYTES || datagram[..2] != MAGIC {
         return Err(DropReason::UnknownProtocol);
     }
     if datagram[2] > VERSION {
         return Err(DropReason::UnsupportedVersion);
     }
     let sum = u32::from_be_bytes([datagram[4], datagram[5], datagram[6], datagram[7]]);
-    if datagram.len() > MAX_DATAGRAM || checksum(datagram) != sum {
+    if datagram.len() > MAX_DATAGRAM_BYTES || checksum(datagram) != sum {
         return Err(DropReason::Corrupt);
     }
-    let body_start = HEADER_LENGTH + usize::from(datagram[8]);
-    let name = datagram.get(HEADER_LENGTH..body_start).ok_or(DropReason::Corrupt)?;
+    let body_start = HEADER_BYTES + usize::from(datagram[8]);
+    let name = datagram.get(HEADER_BYTES..body_start).ok_or(DropReason::Corrupt)?;
     if name != fleet.as_bytes() {
         return Err(DropReason::OtherFleet);
     }
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -30,7 +30,7 @@
     };
     assert_eq!(decode_datagram("gdynia", &unknown_kind), Err(DropReason::UnsupportedVersion));
     assert_eq!(
-        decode_datagram("g", &encode_datagram(DatagramKind::Swim, "g", &[0; MAX_DATAGRAM])),
+        decode_datagram("g", &encode_datagram(DatagramKind::Swim, "g", &[0; MAX_DATAGRAM_BYTES])),
         Err(DropReason::Corrupt),
         "too long"
     );
--- a/crates/membership/tests/hard_cases/admission.rs
+++ b/crates/membership/tests/hard_cases/admission.rs
@@ -36,13 +36,13 @@
         fleet.start_member(host, 4, &[0, 1]);
     }
     assert!(fleet.run_until(5_000, |fleet| fleet.all_agree(&[0, 1])));
-    let mut strangers: Vec<Membership> = (0..200)
+    let mut joiners: Vec<Membership> = (0..200)
         .map(|n| Membership::new(member_settings(100 + n, 4, &[1]), 5, n as u64, Timestamp::ZERO).unwrap())
         .collect();
     let mut to_another = Vec::new();
-    for stranger in &mut strangers {
+    for joiner in &mut joiners {
         let mut outputs = Vec::new();
-        stranger.handle_timeout(Timestamp::ZERO, &mut outputs);
+        joiner.handle_timeout(Timestamp::ZERO, &mut outputs);
         for discovery in datagrams(&outputs) {
             fleet.act(0, |member, now, out| member.handle_datagram(now, host_address(3), &discovery, out));
             let mut answer = Vec::new();
@@ -52,7 +52,7 @@
             });
             outputs.clear();
             for reply in datagrams(&answer) {
-                stranger.handle_datagram(Timestamp::ZERO, host_address(1), &reply, &mut outputs);
+                joiner.handle_datagram(Timestamp::ZERO, host_address(1), &reply, &mut outputs);
             }
             to_another.extend(datagrams(&outputs));
         }
@@ -76,15 +76,15 @@
 fn a_flood_of_corrupt_datagrams_changes_nothing() {
     let mut fleet = five_members(4);
     let mut rng = StdRng::seed_from_u64(1);
-    let mut real = Vec::new();
+    let mut valid = Vec::new();
     fleet.act(1, |member, now, out| {
         for step in 0..60 {
             member.handle_timeout(now + STEP * step, out);
         }
-        real.extend(datagrams(out));
+        valid.extend(datagrams(out));
     });
     for round in 0..20_000 {
-        let mut bytes: Vec<u8> = real[round % real.len()].clone();
+        let mut bytes: Vec<u8> = valid[round % valid.len()].clone();
         match round % 3 {
             0 => bytes = (0..rng.random_range(0..1500)).map(|_| rng.random()).collect(),
             1 => bytes.truncate(rng.random_range(0..bytes.len())),
--- a/crates/membership/tests/hard_cases/failure_detection.rs
+++ b/crates/membership/tests/hard_cases/failure_detection.rs
@@ -1,7 +1,7 @@
 //! Which members are taken for failed, and which must not be; in simulated time with fixed seeds.
 
 use crate::{five_members, ALL};
-use pinetrail_membership::{Membership, PartitionSide, State};
+use pinetrail_membership::{MemberState, Membership, PartitionSide};
 use pinetrail_simulation::fleet::{Fleet, BRIEF_PAUSES};
 
 /// After how many ms all the others know that a host has failed; none if they do not within
@@ -10,7 +10,7 @@
     let start = fleet.now();
     let others: Vec<usize> = ALL.into_iter().filter(|host| *host != dead).collect();
     let known = |fleet: &Fleet<Membership>| {
-        others.iter().all(|host| fleet.state_seen_by(*host, dead) == Some(State::Failed))
+        others.iter().all(|host| fleet.state_seen_by(*host, dead) == Some(MemberState::Failed))
     };
     fleet.run_until(at_most, known).then(|| fleet.now() - start)
 }
--- a/crates/membership/tests/hard_cases/joining.rs
+++ b/crates/membership/tests/hard_cases/joining.rs
@@ -1,7 +1,7 @@
 //! Joining a fleet and leaving it; in simulated time with fixed seeds.
 
 use crate::{five_members, ALL};
-use pinetrail_membership::{Membership, PartitionSide, Settings, State, Timestamp};
+use pinetrail_membership::{MemberState, Membership, PartitionSide, Settings, Timestamp};
 use pinetrail_simulation::fleet::{host_address, member_settings, Fleet};
 
 #[test]
@@ -54,7 +54,7 @@
     assert_eq!(fleet.side(5), Some(PartitionSide::Alone));
     fleet.act(5, |member, now, out| member.set_peers(now, vec![host_address(1)], out).unwrap());
     // Its usual time to contact peers would come in half a second.
-    assert!(fleet.run_until(300, |fleet| fleet.state_seen_by(5, 1) == Some(State::Alive)));
+    assert!(fleet.run_until(300, |fleet| fleet.state_seen_by(5, 1) == Some(MemberState::Alive)));
     assert!(fleet.run_until(3_000, |fleet| fleet.all_agree(&[0, 1, 2, 3, 4, 5])));
     let now = Timestamp::from_millis(fleet.now());
     let mut out = Vec::new();
@@ -73,7 +73,7 @@
         fleet.act(3, Membership::leave);
         fleet.kill(3);
         let left = |fleet: &Fleet<Membership>| {
-            [0, 1, 2, 4].iter().all(|host| fleet.state_seen_by(*host, 3) == Some(State::Left))
+            [0, 1, 2, 4].iter().all(|host| fleet.state_seen_by(*host, 3) == Some(MemberState::Left))
         };
         assert!(fleet.run_until(3_000, left), "seed {seed}");
         assert_eq!(fleet.false_failures(), 0);
--- a/crates/membership/tests/hard_cases/names.rs
+++ b/crates/membership/tests/hard_cases/names.rs
@@ -2,7 +2,7 @@
 
 use crate::{datagrams, five_members, ALL};
 use pinetrail_membership::{
-    Membership, MembershipEvent, NameConflict, NameHolder, PartitionSide, Settings, State,
+    MemberState, Membership, MembershipEvent, NameConflict, NameHolder, PartitionSide, Settings,
 };
 use pinetrail_simulation::fleet::{host_address, member_settings, Fleet, ObservedEvent};
 use std::time::Duration;
@@ -24,7 +24,8 @@
     let is_at_new_address = |fleet: &Fleet<Membership>| {
         [0, 1, 3, 4].iter().all(|host| {
             let record = fleet.record_seen_by(*host, "n0002");
-            record.is_some_and(|record| record.address == host_address(5) && record.state == State::Alive)
+            record
+                .is_some_and(|record| record.address == host_address(5) && record.state == MemberState::Alive)
         })
     };
     assert!(fleet.run_until(5_000, is_at_new_address));
@@ -73,8 +74,8 @@
         fleet.start_member(*host, 6, &ALL);
     }
     assert!(fleet.run_until(5_000, |fleet| fleet.all_agree(&ALL)));
-    let twin = Settings { advertise: host_address(5), ..member_settings(2, 6, &[0, 1]) };
-    fleet.start_member_with(5, twin);
+    let duplicate = Settings { advertise: host_address(5), ..member_settings(2, 6, &[0, 1]) };
+    fleet.start_member_with(5, duplicate);
     fleet.run(10_000);
     assert_eq!(
         fleet.member(2).unwrap().name_conflict(),
@@ -90,7 +91,7 @@
     fleet.observed.clear();
     fleet.run(60_000);
     let is_about_member =
-        |observed: &&ObservedEvent| matches!(observed.event, MembershipEvent::Member { .. });
+        |observed: &&ObservedEvent| matches!(observed.event, MembershipEvent::MemberChanged { .. });
     assert_eq!(fleet.observed.iter().filter(is_about_member).count(), 0, "{:?}", fleet.observed);
     // Once the later process has ended the earlier one rejoins.
     fleet.kill(5);
--- a/crates/membership/tests/hard_cases/pauses.rs
+++ b/crates/membership/tests/hard_cases/pauses.rs
@@ -1,21 +1,21 @@
 //! Processes that do not run for a time; in simulated time with fixed seeds.
 
 use crate::{five_members, ALL};
-use pinetrail_membership::{Membership, MembershipEvent, State};
+use pinetrail_membership::{MemberState, Membership, MembershipEvent};
 use pinetrail_simulation::fleet::{Fleet, ObservedEvent};
 
 /// The host whose process pauses.
 const PAUSED: usize = 1;
 
 /// Whether the member that pauses believes that some member is in this state.
-fn sees_any(fleet: &Fleet<Membership>, state: State) -> bool {
+fn sees_any(fleet: &Fleet<Membership>, state: MemberState) -> bool {
     ALL.iter().any(|other| fleet.state_seen_by(PAUSED, *other) == Some(state))
 }
 
 /// The first event that says that the member that pauses took another to be in this state.
-fn believed_by_paused(fleet: &Fleet<Membership>, state: State) -> Option<&ObservedEvent> {
-    let is_such = |event: &&ObservedEvent| event.host == PAUSED && event.is_about(state);
-    fleet.observed.iter().find(is_such)
+fn believed_by_paused(fleet: &Fleet<Membership>, state: MemberState) -> Option<&ObservedEvent> {
+    let is_match = |event: &&ObservedEvent| event.host == PAUSED && event.is_about(state);
+    fleet.observed.iter().find(is_match)
 }
 
 /// Guards against taking a member for failed whose process pauses a little.
@@ -41,10 +41,10 @@
         let mut fleet = five_members(seed);
         // It has just begun to suspect a member: the time to refute passes while it is paused.
         fleet.network.cut_into(&[&[1], &[0, 2, 3, 4]]);
-        assert!(fleet.run_until(4_000, |fleet| sees_any(fleet, State::Suspect)));
+        assert!(fleet.run_until(4_000, |fleet| sees_any(fleet, MemberState::Suspect)));
         fleet.pause(PAUSED);
         fleet.network.heal();
-        assert!(fleet.run_until(10_000, |fleet| fleet.state_seen_by(0, PAUSED) == Some(State::Failed)));
+        assert!(fleet.run_until(10_000, |fleet| fleet.state_seen_by(0, PAUSED) == Some(MemberState::Failed)));
         fleet.run(10_000);
         fleet.observed.clear();
         fleet.resume(PAUSED);
@@ -53,7 +53,7 @@
             observed.host == PAUSED && matches!(observed.event, MembershipEvent::Paused(_))
         };
         assert!(fleet.observed.iter().any(notices_pause));
-        assert_eq!(believed_by_paused(&fleet, State::Failed), None, "seed {seed}");
+        assert_eq!(believed_by_paused(&fleet, MemberState::Failed), None, "seed {seed}");
     }
 }
 
@@ -68,7 +68,7 @@
         fleet.observed.clear();
         fleet.resume(PAUSED);
         fleet.run(1_500);
-        assert_eq!(believed_by_paused(&fleet, State::Suspect), None, "paused after {after}");
+        assert_eq!(believed_by_paused(&fleet, MemberState::Suspect), None, "paused after {after}");
     }
 }
 
@@ -82,9 +82,9 @@
         for to in [0, 2, 3, 4] {
             fleet.network.cut(PAUSED, to);
         }
-        assert!(fleet.run_until(4_000, |fleet| sees_any(fleet, State::Suspect)));
+        assert!(fleet.run_until(4_000, |fleet| sees_any(fleet, MemberState::Suspect)));
         fleet.run(after);
-        if sees_any(&fleet, State::Failed) {
+        if sees_any(&fleet, MemberState::Failed) {
             break;
         }
         pauses += 1;
@@ -94,7 +94,7 @@
         fleet.observed.clear();
         fleet.resume(PAUSED);
         fleet.run(4_000);
-        assert_eq!(believed_by_paused(&fleet, State::Failed), None, "paused after {after} ms");
+        assert_eq!(believed_by_paused(&fleet, MemberState::Failed), None, "paused after {after} ms");
     }
     assert!(pauses > 50, "up to the end of the suspicion: {pauses}");
 }
--- a/crates/membership/tests/hard_cases/suspicions.rs
+++ b/crates/membership/tests/hard_cases/suspicions.rs
@@ -2,17 +2,17 @@
 //! one suspicion.
 
 use crate::{five_members, ALL};
-use pinetrail_membership::{Membership, State};
+use pinetrail_membership::{MemberState, Membership};
 use pinetrail_simulation::fleet::Fleet;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 /// Each plays other faults.
-const SEEDS: u64 = 2_000;
+const SEED_COUNT: u64 = 2_000;
 /// The faults of one seed.
-const FAULTS: usize = 12;
+const FAULTS_PER_SEED: usize = 12;
 /// The longest time between two faults, in ms: less than a suspicion lasts.
-const LONGEST_BREAK_MS: u64 = 700;
+const MAX_FAULT_INTERVAL_MS: u64 = 700;
 /// How long a suspicion may last once the network is whole and all members run, in ms.
 const SUSPICION_BOUND_MS: u64 = 5_000;
 /// By then all members must agree, in ms: one that had failed must rejoin too.
@@ -50,7 +50,7 @@
 
 fn is_any_suspected(fleet: &Fleet<Membership>) -> bool {
     let suspects = |observer: usize| {
-        ALL.iter().any(|other| fleet.state_seen_by(observer, *other) == Some(State::Suspect))
+        ALL.iter().any(|other| fleet.state_seen_by(observer, *other) == Some(MemberState::Suspect))
     };
     ALL.iter().any(|observer| suspects(*observer))
 }
@@ -59,23 +59,23 @@
 /// suspicion, and the suspected member never hears of it.
 #[test]
 fn every_suspicion_ends_once_the_network_is_whole() {
-    let mut endless = Vec::new();
-    let mut divided = Vec::new();
-    for seed in 0..SEEDS {
+    let mut unended = Vec::new();
+    let mut diverged = Vec::new();
+    for seed in 0..SEED_COUNT {
         let mut random = StdRng::seed_from_u64(seed);
         let mut fleet = five_members(seed);
-        for _ in 0..FAULTS {
+        for _ in 0..FAULTS_PER_SEED {
             inject_fault(&mut fleet, &mut random);
-            fleet.run(random.random_range(1..=LONGEST_BREAK_MS));
+            fleet.run(random.random_range(1..=MAX_FAULT_INTERVAL_MS));
         }
         end_faults(&mut fleet);
         if !fleet.run_until(SUSPICION_BOUND_MS, |fleet| !is_any_suspected(fleet)) {
-            endless.push(seed);
+            unended.push(seed);
         }
         if !fleet.run_until(RECOVERY_BOUND_MS - SUSPICION_BOUND_MS, |fleet| fleet.all_agree(&ALL)) {
-            divided.push(seed);
+            diverged.push(seed);
         }
     }
-    assert!(endless.is_empty(), "suspicions that last in {} seeds: {endless:?}", endless.len());
-    assert!(divided.is_empty(), "members that do not agree in {} seeds: {divided:?}", divided.len());
+    assert!(unended.is_empty(), "suspicions that last in {} seeds: {unended:?}", unended.len());
+    assert!(diverged.is_empty(), "members that do not agree in {} seeds: {diverged:?}", diverged.len());
 }
--- a/crates/simulation/src/fleet/members.rs
+++ b/crates/simulation/src/fleet/members.rs
@@ -3,8 +3,8 @@
 
 use super::{host_address, Fleet, ObservedEvent};
 use pinetrail_membership::{
-    MemberRecord, Membership, MembershipCounters, MembershipEvent, Output, PartitionSide, Settings, State,
-    Timestamp, Timing,
+    MemberRecord, MemberState, Membership, MembershipCounters, MembershipEvent, Output, PartitionSide,
+    Settings, Timestamp, Timing,
 };
 use std::net::SocketAddr;
 
@@ -66,7 +66,7 @@
     }
 
     /// The state that one host believes another to be in; none if it has no record of it.
-    pub fn state_seen_by(&self, observer: usize, other: usize) -> Option<State> {
+    pub fn state_seen_by(&self, observer: usize, other: usize) -> Option<MemberState> {
         self.record_seen_by(observer, &member_name(other)).map(|record| record.state)
     }
 
@@ -97,14 +97,14 @@
     /// The number of observed events in which a member declared another failed. All of them are
     /// false alarms if nothing was killed.
     pub fn false_failures(&self) -> usize {
-        self.observed.iter().filter(|observed| observed.is_about(State::Failed)).count()
+        self.observed.iter().filter(|observed| observed.is_about(MemberState::Failed)).count()
     }
 }
 
 impl ObservedEvent {
     /// Whether it says that a member is in this state now.
-    pub fn is_about(&self, state: State) -> bool {
-        matches!(&self.event, MembershipEvent::Member { entry, .. } if entry.state == state)
+    pub fn is_about(&self, state: MemberState) -> bool {
+        matches!(&self.event, MembershipEvent::MemberChanged { record, .. } if record.state == state)
     }
 }
 
@@ -113,8 +113,10 @@
 fn sees_exactly(member: &Membership, names: &[String]) -> bool {
     // Members come in the order of their names.
     let records = member.members();
-    let live: Vec<&MemberRecord> = records.iter().filter(|record| record.state <= State::Suspect).collect();
-    let is_as_named =
-        |(record, name): (&&MemberRecord, &String)| record.state == State::Alive && *record.name == **name;
+    let live: Vec<&MemberRecord> =
+        records.iter().filter(|record| record.state <= MemberState::Suspect).collect();
+    let is_as_named = |(record, name): (&&MemberRecord, &String)| {
+        record.state == MemberState::Alive && *record.name == **name
+    };
     live.len() == names.len() && live.iter().zip(names).all(is_as_named)
 }
--- a/crates/simulation/src/heartbeats.rs
+++ b/crates/simulation/src/heartbeats.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::{host_address, Member};
 use crate::Time;
-use pinetrail_membership::{MemberRecord, MembershipEvent, Output, State, Timestamp};
+use pinetrail_membership::{MemberRecord, MemberState, MembershipEvent, Output, Timestamp};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -42,8 +42,8 @@
 }
 
 /// The event that reports the believed state of a host.
-fn state_changed(now: Timestamp, host: usize, state: State) -> Output {
-    let entry = MemberRecord {
+fn state_changed(now: Timestamp, host: usize, state: MemberState) -> Output {
+    let record = MemberRecord {
         name: format!("n{host:04}").into(),
         start: 0,
         address: host_address(host),
@@ -51,7 +51,7 @@
         incarnation: 0,
         since: now,
     };
-    Output::MembershipEvent(MembershipEvent::Member { entry, before: None })
+    Output::MembershipEvent(MembershipEvent::MemberChanged { record, previous: None })
 }
 
 impl Member for Heartbeats {
@@ -70,7 +70,7 @@
             let is_silent = peer.last_seen.is_some_and(|last| last + self.timeout < now);
             if is_silent && !peer.has_failed {
                 peer.has_failed = true;
-                out.push(state_changed(now, host, State::Failed));
+                out.push(state_changed(now, host, MemberState::Failed));
             }
         }
     }
@@ -83,7 +83,7 @@
         peer.last_seen = Some(now);
         if peer.has_failed {
             peer.has_failed = false;
-            out.push(state_changed(now, host, State::Alive));
+            out.push(state_changed(now, host, MemberState::Alive));
         }
     }
 }
--- a/src/net/fleet/active_member.rs
+++ b/src/net/fleet/active_member.rs
@@ -3,7 +3,7 @@
 use super::quota::{LocalQuota, QuotaDriver};
 use crate::net::polled_socket::PolledSocket;
 use pinetrail_clock::Timestamp;
-use pinetrail_membership::{Membership, Output, State};
+use pinetrail_membership::{MemberState, Membership, Output};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
@@ -70,7 +70,7 @@
         let own_name = &self.membership.local_id().name;
         let mut peers = Vec::new();
         for record in self.membership.members() {
-            if record.name != *own_name && matches!(record.state, State::Alive | State::Suspect) {
+            if record.name != *own_name && matches!(record.state, MemberState::Alive | MemberState::Suspect) {
                 peers.push(LivePeer { name: record.name, start: record.start, address: record.address });
             }
         }
--- a/src/net/fleet/event_loop.rs
+++ b/src/net/fleet/event_loop.rs
@@ -9,7 +9,7 @@
 use crate::net::polled_socket::PolledSocket;
 use crate::net::timer;
 use pinetrail_clock::Timestamp;
-use pinetrail_membership::{Membership, Output, MAX_DATAGRAM};
+use pinetrail_membership::{Membership, Output, MAX_DATAGRAM_BYTES};
 use std::io::ErrorKind;
 use std::net::UdpSocket;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     /// Receives datagrams and passes them to the membership. Ends once this process is inactive or
     /// has begun another activation.
     pub(super) fn receive_datagrams(&self, activation: ActivationId, socket: &PolledSocket<UdpSocket>) {
-        let mut buffer = vec![0; MAX_DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         let mut received = 0;
         while self.is_active(activation) {
             match socket.inner().recv_from(&mut buffer) {
--- a/src/net/fleet/operator_view/event_log.rs
+++ b/src/net/fleet/operator_view/event_log.rs
@@ -1,6 +1,6 @@
 //! The log lines about the events of a fleet's membership and quota.
 
-use pinetrail_membership::{MemberRecord, MembershipEvent, NameConflict, NameHolder, State};
+use pinetrail_membership::{MemberRecord, MemberState, MembershipEvent, NameConflict, NameHolder};
 use pinetrail_quota::QuotaEvent;
 
 /// The log line about a member whose quota settings differ from those of this process.
@@ -10,7 +10,7 @@
 /// Returns the log line for an event of the membership.
 pub(in crate::net::fleet) fn membership_log_line(event: &MembershipEvent) -> String {
     match event {
-        MembershipEvent::Member { entry, before } => member_line(entry, *before),
+        MembershipEvent::MemberChanged { record, previous } => member_line(record, *previous),
         MembershipEvent::Forgotten(name) => format!("{name} is removed from the member list"),
         MembershipEvent::PartitionSide(side) => format!("partition side of this member: {side}"),
         MembershipEvent::NameConflict(NameConflict { other, holder: NameHolder::OtherProcess }) => format!(
@@ -42,7 +42,7 @@
     }
 }
 
-fn member_line(record: &MemberRecord, before: Option<(u64, State)>) -> String {
+fn member_line(record: &MemberRecord, before: Option<(u64, MemberState)>) -> String {
     let MemberRecord { name, address, state, .. } = record;
     match before {
         None => format!("{name} at {address} is {state}"),
@@ -54,10 +54,10 @@
 }
 
 /// Returns the reason for a state as the end of a log line; empty if the state implies the reason.
-fn reason(state: State) -> &'static str {
+fn reason(state: MemberState) -> &'static str {
     match state {
-        State::Suspect => ", no response to a probe",
-        State::Failed => ", the suspicion was not refuted in time",
-        State::Alive | State::Left => "",
+        MemberState::Suspect => ", no response to a probe",
+        MemberState::Failed => ", the suspicion was not refuted in time",
+        MemberState::Alive | MemberState::Left => "",
     }
 }
--- a/src/net/fleet/operator_view/golden_tests.rs
+++ b/src/net/fleet/operator_view/golden_tests.rs
@@ -7,8 +7,8 @@
 use crate::net::fleet::quota::QuotaDriver;
 use pinetrail_config::QuotaConfig;
 use pinetrail_membership::{
-    MemberRecord, Membership, MembershipCounters, MembershipEvent, NameConflict, NameHolder, Output,
-    PartitionSide, Settings, State, Timestamp, Timing,
+    MemberRecord, MemberState, Membership, MembershipCounters, MembershipEvent, NameConflict, NameHolder,
+    Output, PartitionSide, Settings, Timestamp, Timing,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -241,7 +241,7 @@
     assert_eq!(membership_counters_by_name(&sum_membership_counters(counters(), counters()), 40), doubled);
 }
 
-fn entry(state: State, start: u64) -> MemberRecord {
+fn entry(state: MemberState, start: u64) -> MemberRecord {
     MemberRecord {
         name: "b".into(),
         start,
@@ -254,18 +254,22 @@
 
 #[test]
 fn lines_about_a_member_are_the_recorded_texts() {
-    let line =
-        |state, before| membership_log_line(&MembershipEvent::Member { entry: entry(state, 2), before });
-    let from_alive = |state| line(state, Some((2, State::Alive)));
-    assert_eq!(line(State::Alive, None), "b at 127.0.0.1:7102 is alive");
-    assert_eq!(from_alive(State::Suspect), "b at 127.0.0.1:7102: alive -> suspect, no response to a probe");
+    let line = |state, previous| {
+        membership_log_line(&MembershipEvent::MemberChanged { record: entry(state, 2), previous })
+    };
+    let from_alive = |state| line(state, Some((2, MemberState::Alive)));
+    assert_eq!(line(MemberState::Alive, None), "b at 127.0.0.1:7102 is alive");
+    assert_eq!(
+        from_alive(MemberState::Suspect),
+        "b at 127.0.0.1:7102: alive -> suspect, no response to a probe"
+    );
     assert_eq!(
-        from_alive(State::Failed),
+        from_alive(MemberState::Failed),
         "b at 127.0.0.1:7102: alive -> failed, the suspicion was not refuted in time"
     );
-    assert_eq!(from_alive(State::Left), "b at 127.0.0.1:7102: alive -> left");
+    assert_eq!(from_alive(MemberState::Left), "b at 127.0.0.1:7102: alive -> left");
     let replaced = "b is a new process, at 127.0.0.1:7102: alive; the previous process was failed";
-    assert_eq!(line(State::Alive, Some((1, State::Failed))), replaced);
+    assert_eq!(line(MemberState::Alive, Some((1, MemberState::Failed))), replaced);
     assert_eq!(
         membership_log_line(&MembershipEvent::Forgotten("b".into())),
         "b is removed from the member list"
--- a/src/net/policy/admin/documents.rs
+++ b/src/net/policy/admin/documents.rs
@@ -4,7 +4,7 @@
 //! read, so the latter stay the same when the program's names change.
 
 use crate::net::policy::digest;
-use pinetrail_drift::{DriftDetector, TrackedNode};
+use pinetrail_drift::{DriftDetector, TrackedProcess};
 use pinetrail_policy_consensus::{ChangeStatus, ConsensusStatus, NodeStatus, Outcome};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -81,7 +81,7 @@
     reporter: &str,
     clock_start: Duration,
 ) -> Value {
-    let nodes: Vec<Value> = detector.nodes().map(|node| drift_node(&node, clock_start)).collect();
+    let nodes: Vec<Value> = detector.processes().map(|node| drift_node(&node, clock_start)).collect();
     let approved = detector.approved();
     let approved_digest = digest::combined_digest(&approved.part_digests);
     json!({
@@ -92,7 +92,7 @@
 }
 
 /// Returns the drift state of one process, with its times in Unix milliseconds.
-fn drift_node(node: &TrackedNode, clock_start: Duration) -> Value {
+fn drift_node(node: &TrackedProcess, clock_start: Duration) -> Value {
     let clock_start_ms = u64::try_from(clock_start.as_millis()).unwrap_or(u64::MAX);
     json!({
         "name": node.process.name,
--- a/src/net/policy/drift_monitor/mod.rs
+++ b/src/net/policy/drift_monitor/mod.rs
@@ -11,7 +11,7 @@
 use super::applier::{ProxyPolicyApplier, DRIFT_CHANNEL};
 use crate::net::fleet::Fleet;
 use pinetrail_drift::{
-    Alarms, DriftDetector, DriftMessage, NodeStatus, ProcessKey, Report, Timestamp, Timing,
+    Alarms, DriftDetector, DriftMessage, ProcessKey, ProcessStatus, Report, Timestamp, Timing,
 };
 use pinetrail_peer_transport::{Process, TcpNetwork};
 use pinetrail_policy_consensus::{ConsensusNode, ConsensusStatus};
@@ -177,11 +177,11 @@
     ProcessKey { name: process.name.to_string(), start: process.start }
 }
 
-fn node_status(status: ConsensusStatus) -> NodeStatus {
+fn node_status(status: ConsensusStatus) -> ProcessStatus {
     match status {
-        ConsensusStatus::Steady | ConsensusStatus::Changing => NodeStatus::Admitting,
-        ConsensusStatus::Fenced => NodeStatus::Fenced,
-        ConsensusStatus::CatchingUp => NodeStatus::CatchingUp,
+        ConsensusStatus::Steady | ConsensusStatus::Changing => ProcessStatus::Admitting,
+        ConsensusStatus::Fenced => ProcessStatus::Fenced,
+        ConsensusStatus::CatchingUp => ProcessStatus::CatchingUp,
     }
 }
 
--- a/src/net/policy/drift_monitor/restore.rs
+++ b/src/net/policy/drift_monitor/restore.rs
@@ -22,7 +22,7 @@
             let mut state = self.state();
             let differs = state
                 .detector
-                .nodes()
+                .processes()
                 .any(|node| node.process == own_key && node.state == DriftState::Differs);
             if differs {
                 state.differs_since.get_or_insert_with(Instant::now).elapsed() >= restore_after
