--- a/crates/config/src/golden_tests.rs
+++ b/crates/config/src/golden_tests.rs
@@ -170,8 +170,14 @@
     same((policy.bind, policy.advertise), (at("127.0.0.1:7201"), at("127.0.0.2:7201")));
     same(policy.state_dir.clone(), Some("state".into()));
     let times = &policy.timing;
-    same((times.lease, times.renewal, times.readiness), (ms(2100), ms(510), ms(1510)));
-    same((times.closing, times.change, times.answer), (ms(310), ms(60_010), ms(210)));
+    same(
+        (times.lease_duration, times.renewal_interval, times.readiness_timeout),
+        (ms(2100), ms(510), ms(1510)),
+    );
+    same(
+        (times.closing_timeout, times.change_timeout, times.request_timeout),
+        (ms(310), ms(60_010), ms(210)),
+    );
     same((policy.change_wait, policy.catch_up_warning), (ms(160), ms(10_010)));
     same((policy.lease_expiry_mode, policy.allows_local_reload), (LeaseExpiryMode::FailOpen, true));
     same(policy.restore_after, Some(ms(5000)));
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -163,12 +163,12 @@
     let or_default = |ms: Option<u64>, default: Duration| ms.map_or(default, Duration::from_millis);
     let defaults = Timing::default();
     Timing {
-        lease: or_default(file.lease_ms, defaults.lease),
-        renewal: or_default(file.renewal_ms, defaults.renewal),
-        readiness: or_default(file.readiness_ms, defaults.readiness),
-        closing: or_default(file.closing_ms, defaults.closing),
-        change: or_default(file.change_ms, defaults.change),
-        answer: or_default(file.answer_ms, defaults.answer),
+        lease_duration: or_default(file.lease_ms, defaults.lease_duration),
+        renewal_interval: or_default(file.renewal_ms, defaults.renewal_interval),
+        readiness_timeout: or_default(file.readiness_ms, defaults.readiness_timeout),
+        closing_timeout: or_default(file.closing_ms, defaults.closing_timeout),
+        change_timeout: or_default(file.change_ms, defaults.change_timeout),
+        request_timeout: or_default(file.answer_ms, defaults.request_timeout),
     }
 }
 
--- a/crates/policy-consensus/src/acceptor/tests.rs
+++ b/crates/policy-consensus/src/acceptor/tests.rs
@@ -67,8 +67,8 @@
 #[test]
 fn an_acceptor_that_lost_its_disk_votes_after_enough_voters_replied() {
     let durable = DurableState { storage_id: StorageId(1), ..DurableState::default() };
-    let without_vote = Acceptor::new(OWN, durable);
-    assert_eq!(without_vote.prepare(ballot(1)).reply, AcceptorReply::Unavailable);
+    let recovering = Acceptor::new(OWN, durable);
+    assert_eq!(recovering.prepare(ballot(1)).reply, AcceptorReply::Unavailable);
 
     let voters = VoterSet(3);
     let voting = |accepted| AcceptorSnapshot { voting: VotingStatus::Voting, accepted, promised: ballot(4) };
@@ -76,19 +76,19 @@
     let last = Some(accepted(3));
 
     let one = BTreeMap::from([(OTHER, voting(last.clone()))]);
-    assert_eq!(without_vote.recover(&one, voters), None, "the other voter may have a later state");
+    assert_eq!(recovering.recover(&one, voters), None, "the other voter may have a later state");
 
     let one_lost = BTreeMap::from([(OTHER, voting(last.clone())), (THIRD, empty())]);
     let reason = "two lost their disks and the states that they accepted";
-    assert_eq!(without_vote.recover(&one_lost, voters), None, "{reason}");
+    assert_eq!(recovering.recover(&one_lost, voters), None, "{reason}");
 
     let both = BTreeMap::from([(OTHER, voting(last.clone())), (THIRD, voting(None))]);
-    let recovered = without_vote.recover(&both, voters).unwrap();
+    let recovered = recovering.recover(&both, voters).unwrap();
     assert_eq!((recovered.accepted, recovered.promised), (last, ballot(4)));
     assert_eq!(recovered.voting, VotingStatus::Voting);
 
     let new_fleet = BTreeMap::from([(OTHER, empty()), (THIRD, empty())]);
-    let is_recovered = without_vote.recover(&new_fleet, voters).is_some();
+    let is_recovered = recovering.recover(&new_fleet, voters).is_some();
     assert!(is_recovered, "no voter has accepted a state: the fleet is new");
 }
 
--- a/crates/policy-consensus/src/change.rs
+++ b/crates/policy-consensus/src/change.rs
@@ -26,7 +26,7 @@
     Committed,
     /// A process rejected it.
     Rejected,
-    /// It was open for longer than [`Timing::change`](crate::Timing::change).
+    /// It was open for longer than [`Timing::change_timeout`](crate::Timing::change_timeout).
     Abandoned,
 }
 
--- a/crates/policy-consensus/src/lease_table.rs
+++ b/crates/policy-consensus/src/lease_table.rs
@@ -231,7 +231,7 @@
     #[must_use]
     pub fn rejection(&self, change_id: &str) -> Option<String> {
         self.holders.iter().find_map(|(process, holder)| {
-            let readiness = holder.readiness.as_ref().filter(|of| of.change_id == change_id)?;
+            let readiness = holder.readiness.as_ref().filter(|reported| reported.change_id == change_id)?;
             match &readiness.readiness {
                 Readiness::Rejected(reason) => Some(format!("{process}: {reason}")),
                 Readiness::Ready => None,
--- a/crates/policy-consensus/src/lease_table/tests.rs
+++ b/crates/policy-consensus/src/lease_table/tests.rs
@@ -43,7 +43,7 @@
     assert_eq!(leases.decide(now, &process(), request(1, 1), view(&agreed)), LeaseDecision::Granted);
     assert_eq!(leases.blocking_leases(now, &first, 1), []);
     assert_eq!(leases.blocking_leases(now, &second, 1).len(), 1);
-    let at_holders_expiry = leases.blocking_leases(now + timing.lease, &second, 1);
+    let at_holders_expiry = leases.blocking_leases(now + timing.lease_duration, &second, 1);
     assert_eq!(at_holders_expiry.len(), 1, "its holder's clock may be slower");
     assert_eq!(leases.blocking_leases(now + timing.lease_at_voter(), &second, 1), []);
 
--- a/crates/policy-consensus/src/node/catch_up.rs
+++ b/crates/policy-consensus/src/node/catch_up.rs
@@ -10,9 +10,9 @@
 
 /// The pause after a fetch that no process answered.
 const FETCH_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// The timeout of a fetch, in multiples of `timing.answer`: a text may be long and a connection
+/// The timeout of a fetch, in multiples of `timing.request_timeout`: a text may be long and a connection
 /// slow.
-const FETCH_TIME_FACTOR: u32 = 10;
+const FETCH_TIMEOUT_FACTOR: u32 = 10;
 
 impl<N: Network> ConsensusNode<N> {
     /// The task of catching up. It ends with the runtime of the node.
@@ -62,7 +62,7 @@
         };
         let voters = self.settings.voters.ids().filter_map(|voter| self.voter_process(voter));
         let processes: Vec<Process> = source.into_iter().chain(voters).collect();
-        let fetch_timeout = self.settings.timing.answer * FETCH_TIME_FACTOR;
+        let fetch_timeout = self.settings.timing.request_timeout * FETCH_TIMEOUT_FACTOR;
         let message = Message::FetchState { min_revision };
         for process in processes {
             if let Some(Reply::State(fetched)) =
--- a/crates/policy-consensus/src/node/change_steps.rs
+++ b/crates/policy-consensus/src/node/change_steps.rs
@@ -36,7 +36,7 @@
         for voter in self.settings.voters.ids() {
             let node = Arc::clone(self);
             let message = Message::ListHolders { change_id: change_id.to_owned() };
-            // The task ends when the voter has replied, or after `timing.answer`; it is awaited
+            // The task ends when the voter has replied, or after `timing.request_timeout`; it is awaited
             // below.
             requests.push(tokio::spawn(async move { node.request_from_voter(voter, &message).await }));
         }
@@ -66,7 +66,7 @@
             state.and_then(|state| state.advance(&change.id, change.attempt, stage)).into()
         };
         // Without a majority the leader repeats the step at its next examination.
-        let _ = self.step(self.settings.timing.answer, transition).await;
+        let _ = self.step(self.settings.timing.request_timeout, transition).await;
     }
 
     /// Finishes a change.
@@ -124,6 +124,6 @@
         let transition = |state: Option<&ReplicatedState>| {
             state.and_then(|state| state.finish(&change.id, outcome, reason)).into()
         };
-        self.step(self.settings.timing.answer, transition).await
+        self.step(self.settings.timing.request_timeout, transition).await
     }
 }
--- a/crates/policy-consensus/src/node/join.rs
+++ b/crates/policy-consensus/src/node/join.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 /// The pause between two examinations.
-const EXAMINATION_INTERVAL: Duration = Duration::from_millis(60);
+const CHECK_INTERVAL: Duration = Duration::from_millis(60);
 
 /// The next step of a voter.
 enum JoinStep {
@@ -46,7 +46,7 @@
                 }
                 JoinStep::SettleState(founding) => self.settle_state(founding).await,
             }
-            sleep(self.jittered(EXAMINATION_INTERVAL)).await;
+            sleep(self.jittered(CHECK_INTERVAL)).await;
         }
     }
 
@@ -91,7 +91,7 @@
             }
         };
         // Without a majority it is repeated at the next examination.
-        let _ = self.step(self.settings.timing.answer, transition).await;
+        let _ = self.step(self.settings.timing.request_timeout, transition).await;
     }
 
     async fn register_with_others(&self, own: VoterId, storage_id: StorageId) {
--- a/crates/policy-consensus/src/node/leader.rs
+++ b/crates/policy-consensus/src/node/leader.rs
@@ -13,7 +13,7 @@
 use tokio::time::{timeout, Instant};
 
 /// An open change is examined at least this often.
-const EXAMINATION_INTERVAL: Duration = Duration::from_millis(15);
+const CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
 impl<N: Network> ConsensusNode<N> {
     /// The task of the leader, which every process runs. It ends with the runtime of the node.
@@ -26,7 +26,7 @@
                 None => self.changes.changed_since(seen).await,
                 Some(observed) => {
                     self.handle_change(observed).await;
-                    let _ = timeout(EXAMINATION_INTERVAL, self.changes.changed_since(seen)).await;
+                    let _ = timeout(CHECK_INTERVAL, self.changes.changed_since(seen)).await;
                 }
             }
         }
@@ -41,7 +41,7 @@
     }
 
     /// Returns the number of connected voters that are leader before this one.
-    fn leaders_before_own(&self) -> u32 {
+    fn own_leader_rank(&self) -> u32 {
         let Some(own) = self.state().voter.as_ref().map(|voter| voter.id) else {
             return 0;
         };
@@ -51,11 +51,11 @@
     }
 
     fn leader_view(&self, change_id: &str) -> LeaderView {
-        let leaders_before = self.leaders_before_own();
+        let leader_rank = self.own_leader_rank();
         let state = self.state();
         LeaderView {
             rejection: state.voter.as_ref().and_then(|voter| voter.leases.rejection(change_id)),
-            leaders_before,
+            leader_rank,
             waiting_for: state.waiting.names.clone(),
         }
     }
--- a/crates/policy-consensus/src/node/leader_decisions.rs
+++ b/crates/policy-consensus/src/node/leader_decisions.rs
@@ -40,7 +40,7 @@
     /// The name of a process that rejected the change, and its reason.
     pub(super) rejection: Option<String>,
     /// The number of connected voters that are leader before this one.
-    pub(super) leaders_before: u32,
+    pub(super) leader_rank: u32,
     /// The names of the processes for which the change waits.
     pub(super) waiting_for: Vec<String>,
 }
@@ -63,7 +63,7 @@
 /// Decides: the next step of an open change.
 /// Inputs: the change with the times since when it is open and in its stage; the rejection of a
 /// process, the number of voters that are leader before this one, and the processes for which it
-/// waits; [`Timing::closing`] and [`Timing::change`]; the time.
+/// waits; [`Timing::closing_timeout`] and [`Timing::change_timeout`]; the time.
 /// Reason: a voter that is not the leader only ends a stage that takes too long, later the more
 /// voters come before it, so that a change ends although its leader has crashed.
 /// Source: Rystsov, "CASPaxos" (2018): no stable leader is required, since each step is agreed.
@@ -79,14 +79,14 @@
     if let Some(reason) = view.rejection {
         return LeaderStep::Finish { outcome: Outcome::Rejected, reason };
     }
-    let is_leader = view.leaders_before == 0;
-    let patience = 1 + view.leaders_before;
+    let is_leader = view.leader_rank == 0;
+    let timeout_factor = 1 + view.leader_rank;
     match observed.change.stage {
-        Stage::Closing if now - observed.stage_since > timing.closing * patience => {
+        Stage::Closing if now - observed.stage_since > timing.closing_timeout * timeout_factor => {
             LeaderStep::Advance(STRICT)
         }
         Stage::Closing if is_leader => LeaderStep::Commit,
-        Stage::Preparing { .. } if now - observed.first_seen > timing.change * patience => {
+        Stage::Preparing { .. } if now - observed.first_seen > timing.change_timeout * timeout_factor => {
             let reason = format!("it waited for {}", view.waiting_for.join(", "));
             LeaderStep::Finish { outcome: Outcome::Abandoned, reason }
         }
@@ -97,7 +97,7 @@
 
 /// Decides: the stage to which a change that is preparing moves; `None` if it stays in its stage.
 /// Inputs: the change with the time since when it is in its stage; the lease holders that are not
-/// ready for it; [`Timing::readiness`]; the time.
+/// ready for it; [`Timing::readiness_timeout`]; the time.
 /// Reason: a change closes when every lease holder can make it active at once, so that closing is
 /// short. A holder that does not become ready in time loses its lease, so that it cannot block the
 /// change for ever.
@@ -109,7 +109,7 @@
 ) -> Option<Stage> {
     if unready.is_empty() && now >= observed.close_not_before {
         Some(Stage::Closing)
-    } else if observed.change.stage != STRICT && now - observed.stage_since > timing.readiness {
+    } else if observed.change.stage != STRICT && now - observed.stage_since > timing.readiness_timeout {
         Some(STRICT)
     } else {
         None
--- a/crates/policy-consensus/src/node/leader_decisions/tests.rs
+++ b/crates/policy-consensus/src/node/leader_decisions/tests.rs
@@ -13,8 +13,8 @@
     ObservedChange::update(None, change(stage), now)
 }
 
-fn view(leaders_before: u32) -> LeaderView {
-    LeaderView { rejection: None, leaders_before, waiting_for: vec!["n1".to_owned(), "n2".to_owned()] }
+fn view(leader_rank: u32) -> LeaderView {
+    LeaderView { rejection: None, leader_rank, waiting_for: vec!["n1".to_owned(), "n2".to_owned()] }
 }
 
 #[test]
@@ -39,13 +39,13 @@
     assert_eq!(next_step(&closing, view(0), &timing, now), LeaderStep::Commit);
     assert_eq!(next_step(&closing, view(1), &timing, now), LeaderStep::Wait);
 
-    let late = now + timing.closing + MS;
+    let late = now + timing.closing_timeout + MS;
     assert_eq!(next_step(&closing, view(0), &timing, late), LeaderStep::Advance(STRICT));
     assert_eq!(next_step(&closing, view(1), &timing, late), LeaderStep::Wait, "it waits longer");
-    let later = now + timing.closing * 2 + MS;
+    let later = now + timing.closing_timeout * 2 + MS;
     assert_eq!(next_step(&closing, view(1), &timing, later), LeaderStep::Advance(STRICT));
 
-    let late = now + timing.change + MS;
+    let late = now + timing.change_timeout + MS;
     let reason = "it waited for n1, n2".to_owned();
     let abandon = LeaderStep::Finish { outcome: Outcome::Abandoned, reason };
     assert_eq!(next_step(&preparing, view(0), &timing, late), abandon);
@@ -61,7 +61,7 @@
 
     let unready = ["n1".to_owned()];
     assert_eq!(next_stage(&preparing, &unready, &timing, now), None);
-    let late = now + timing.readiness + MS;
+    let late = now + timing.readiness_timeout + MS;
     assert_eq!(next_stage(&preparing, &unready, &timing, late), Some(STRICT));
     assert_eq!(next_stage(&observed(STRICT, now), &unready, &timing, late), None);
 
--- a/crates/policy-consensus/src/node/lease_renewal.rs
+++ b/crates/policy-consensus/src/node/lease_renewal.rs
@@ -83,7 +83,7 @@
             return RequestOutcome::TimedOut;
         };
         if is_granted {
-            self.record_grant(voter, reported.epoch, requested_at + self.settings.timing.lease);
+            self.record_grant(voter, reported.epoch, requested_at + self.settings.timing.lease_duration);
         }
         let source = self.voter_process(voter).unwrap_or_else(|| self.settings.process.clone());
         self.learn_summary(&source, summary);
@@ -98,7 +98,7 @@
         last_reported: Option<&ReportedState>,
         outcome: RequestOutcome,
     ) {
-        let interval = self.settings.timing.renewal;
+        let interval = self.settings.timing.renewal_interval;
         let next_request = requested_at + interval;
         loop {
             let seen = self.changes.count();
@@ -121,7 +121,7 @@
         self.lease.grant(voter, epoch, expiry);
         let is_held = self.lease.valid_until(Instant::now()).is_some();
         if is_held && !was_held {
-            self.state().was_admitted = true;
+            self.state().has_held_lease = true;
             self.notify_changed();
         }
     }
--- a/crates/policy-consensus/src/node/state.rs
+++ b/crates/policy-consensus/src/node/state.rs
@@ -71,7 +71,7 @@
     /// The voter of this process, if it has one.
     pub(super) voter: Option<VoterState>,
     /// Whether it has held an admission lease.
-    pub(super) was_admitted: bool,
+    pub(super) has_held_lease: bool,
 }
 
 impl NodeState {
--- a/crates/policy-consensus/src/node/status.rs
+++ b/crates/policy-consensus/src/node/status.rs
@@ -51,7 +51,7 @@
     /// active elsewhere.
     fn consensus_status(&self, state: &NodeState) -> ConsensusStatus {
         let is_current = state.active_version == state.agreed.version && state.unusable.is_none();
-        if !state.was_admitted || !is_current {
+        if !state.has_held_lease || !is_current {
             return ConsensusStatus::CatchingUp;
         }
         let is_lease_held = self.lease.valid_until(Instant::now()).is_some();
@@ -67,7 +67,7 @@
     }
 
     /// Returns the agreed version and its text, if this process has the text.
-    pub fn approved_policy(&self) -> Option<(u64, Arc<str>)> {
+    pub fn agreed_policy(&self) -> Option<(u64, Arc<str>)> {
         let state = self.state();
         let text = state.text_with_digest(state.agreed.digest)?;
         Some((state.agreed.version, text))
@@ -84,7 +84,7 @@
         if state.agreed.revision == 0 {
             return "no founder has told the version in force".to_owned();
         }
-        if !state.was_admitted {
+        if !state.has_held_lease {
             return "no majority of founders permits it to admit".to_owned();
         }
         "its permit has ended: it is cut off from the founders, or they have no majority".to_owned()
--- a/crates/policy-consensus/src/node/voter.rs
+++ b/crates/policy-consensus/src/node/voter.rs
@@ -109,7 +109,7 @@
     /// Invariant: a recovering voter grants no lease, since it may have lost a state that it
     /// accepted and would grant leases for a version that is no longer active.
     pub(super) fn decide_lease(&self, process: &Process, request: LeaseRequest) -> Option<Reply> {
-        let readiness = request.readiness.as_ref().map(|of| &of.readiness);
+        let readiness = request.readiness.as_ref().map(|reported| &reported.readiness);
         let is_change_rejected = matches!(readiness, Some(Readiness::Rejected(_)));
         let reply = {
             let mut state = self.state();
--- a/crates/policy-consensus/src/node/voter_requests.rs
+++ b/crates/policy-consensus/src/node/voter_requests.rs
@@ -22,7 +22,7 @@
             return self.handle_message(&self.settings.process, message.clone());
         }
         let process = self.voter_process(voter)?;
-        self.request_from_process(&process, message, self.settings.timing.answer).await
+        self.request_from_process(&process, message, self.settings.timing.request_timeout).await
     }
 
     /// Sends a request to another process; `None` if it does not reply in time.
@@ -47,7 +47,7 @@
             let node = Arc::clone(self);
             let message = message.clone();
             let sender = sender.clone();
-            // The task ends when the voter has replied, or after `timing.answer`.
+            // The task ends when the voter has replied, or after `timing.request_timeout`.
             tokio::spawn(async move {
                 if let Some(Reply::Acceptor(reply)) = node.request_from_voter(voter, &message).await {
                     // The receiver is dropped when a majority has replied.
--- a/crates/policy-consensus/src/settings.rs
+++ b/crates/policy-consensus/src/settings.rs
@@ -21,30 +21,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// The duration of an admission lease, counted from its request. Default: 2 s.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// The interval between two requests for a lease. Default: 500 ms.
-    pub renewal: Duration,
+    pub renewal_interval: Duration,
     /// The time from the proposal of a change after which processes that are not ready for it get
     /// no more leases for the active version. Default: 4 s.
-    pub readiness: Duration,
+    pub readiness_timeout: Duration,
     /// The time in the closing stage after which a change that is not committed returns to
     /// preparing, so that processes admit requests again. Default: 300 ms.
-    pub closing: Duration,
+    pub closing_timeout: Duration,
     /// A change that is open for longer is abandoned. Default: 20 s.
-    pub change: Duration,
+    pub change_timeout: Duration,
     /// The timeout of a request to a voter. Default: 400 ms.
-    pub answer: Duration,
+    pub request_timeout: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Timing {
         Timing {
-            lease: Duration::from_millis(2000),
-            renewal: Duration::from_millis(500),
-            readiness: Duration::from_millis(4000),
-            closing: Duration::from_millis(300),
-            change: Duration::from_millis(20_000),
-            answer: Duration::from_millis(400),
+            lease_duration: Duration::from_millis(2000),
+            renewal_interval: Duration::from_millis(500),
+            readiness_timeout: Duration::from_millis(4000),
+            closing_timeout: Duration::from_millis(300),
+            change_timeout: Duration::from_millis(20_000),
+            request_timeout: Duration::from_millis(400),
         }
     }
 }
@@ -67,23 +67,23 @@
     /// The first duration that is too short.
     pub fn check(&self) -> Result<(), TimingError> {
         require(
-            self.lease >= MIN_RENEWALS_PER_LEASE * self.renewal,
+            self.lease_duration >= MIN_RENEWALS_PER_LEASE * self.renewal_interval,
             "permit_ms",
             "at least three of renew_ms",
         )?;
-        require(self.renewal >= MIN_DURATION, "renew_ms", "at least 10 ms")?;
-        require(self.closing >= MIN_DURATION, "close_ms", "at least 10 ms")?;
-        require(self.answer >= MIN_DURATION, "answer_ms", "at least 10 ms")?;
-        require(self.readiness >= self.renewal, "ready_ms", "at least renew_ms")?;
-        let shortest_change = self.lease + self.readiness;
-        require(self.change >= shortest_change, "change_ms", "at least permit_ms and ready_ms")
+        require(self.renewal_interval >= MIN_DURATION, "renew_ms", "at least 10 ms")?;
+        require(self.closing_timeout >= MIN_DURATION, "close_ms", "at least 10 ms")?;
+        require(self.request_timeout >= MIN_DURATION, "answer_ms", "at least 10 ms")?;
+        require(self.readiness_timeout >= self.renewal_interval, "ready_ms", "at least renew_ms")?;
+        let shortest_change = self.lease_duration + self.readiness_timeout;
+        require(self.change_timeout >= shortest_change, "change_ms", "at least permit_ms and ready_ms")
     }
 
     /// Returns the duration of a lease at the voter that granted it: longer than at its holder, by
     /// the greatest difference of the rates of their clocks.
     #[must_use]
     pub fn lease_at_voter(&self) -> Duration {
-        self.lease * (PERMILLE + MAX_CLOCK_SKEW_PERMILLE) / PERMILLE + LEASE_ROUNDING
+        self.lease_duration * (PERMILLE + MAX_CLOCK_SKEW_PERMILLE) / PERMILLE + LEASE_ROUNDING
     }
 }
 
--- a/crates/simulation/src/policy_consensus/host.rs
+++ b/crates/simulation/src/policy_consensus/host.rs
@@ -35,12 +35,12 @@
 /// The durations of simulated fleets: shorter than usual, so that more happens.
 fn timing() -> Timing {
     Timing {
-        lease: Duration::from_millis(800),
-        renewal: Duration::from_millis(200),
-        readiness: Duration::from_millis(1200),
-        closing: Duration::from_millis(200),
-        change: Duration::from_millis(5000),
-        answer: Duration::from_millis(250),
+        lease_duration: Duration::from_millis(800),
+        renewal_interval: Duration::from_millis(200),
+        readiness_timeout: Duration::from_millis(1200),
+        closing_timeout: Duration::from_millis(200),
+        change_timeout: Duration::from_millis(5000),
+        request_timeout: Duration::from_millis(250),
     }
 }
 
--- a/src/net/policy/drift_monitor/mod.rs
+++ b/src/net/policy/drift_monitor/mod.rs
@@ -120,7 +120,7 @@
         let now = self.now();
         let approved = self
             .node
-            .approved_policy()
+            .agreed_policy()
             .and_then(|(version, text)| self.applier.approved_digests(version, &text));
         let own_key = self.own_key();
         let connected = self.node.transport().connected_peers();
--- a/src/net/policy/drift_monitor/restore.rs
+++ b/src/net/policy/drift_monitor/restore.rs
@@ -45,7 +45,7 @@
     /// [`RestoreError`] if this process does not have the text of the approved version, or if
     /// another version is active here.
     pub(in crate::net::policy) fn restore(&self) -> Result<u64, RestoreError> {
-        let (version, text) = self.node.approved_policy().ok_or(RestoreError::ApprovedUnknown)?;
+        let (version, text) = self.node.agreed_policy().ok_or(RestoreError::ApprovedUnknown)?;
         if self.node.status().active_version != version {
             return Err(RestoreError::OtherVersion);
         }
