--- a/crates/peer-transport/src/accept.rs
+++ b/crates/peer-transport/src/accept.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 /// The pause after an accept that failed, for example for want of descriptors.
-const RETRY_DELAY: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections until the task is aborted.
 pub(crate) async fn accept_connections<N: Network>(shared: Arc<Shared<N>>, listener: N::Listener) {
@@ -22,7 +22,7 @@
                     let _ = session::run(&shared, stream).await;
                 });
             }
-            Err(_) => sleep(RETRY_DELAY).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
--- a/crates/peer-transport/src/config.rs
+++ b/crates/peer-transport/src/config.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// The longest frame in bytes, without its length prefix.
-pub const MAX_FRAME_LENGTH: usize = 1 << 20;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// Timeouts and intervals of all connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/peer-transport/src/error.rs
+++ b/crates/peer-transport/src/error.rs
@@ -1,6 +1,6 @@
 //! The reasons why connections end ([`ConnectionError`]), and their causes.
 
-use crate::config::MAX_FRAME_LENGTH;
+use crate::config::MAX_FRAME_BYTES;
 use crate::process::Process;
 use std::io;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     /// This process closed it: a newer connection with the same peer replaced it, this process
     /// announces another voter id, or writing failed or stalled.
     #[error("this process closed the connection")]
-    ClosedHere,
+    ClosedLocally,
 }
 
 /// Why a handshake is rejected.
@@ -61,7 +61,7 @@
     },
     /// The first frame of the peer is no handshake.
     #[error("the peer's first frame is not a handshake")]
-    Missing,
+    NotAHandshake,
     /// The peer's frames have another version.
     #[error("the peer's frames have version {found}, this process has {expected}")]
     VersionMismatch {
@@ -93,8 +93,8 @@
     /// The value has no encoding.
     #[error("the frame cannot be serialized")]
     Serialize(#[source] postcard::Error),
-    /// The frame would be longer than [`MAX_FRAME_LENGTH`].
-    #[error("the frame has {length} bytes, more than {MAX_FRAME_LENGTH}")]
+    /// The frame would be longer than [`MAX_FRAME_BYTES`].
+    #[error("the frame has {length} bytes, more than {MAX_FRAME_BYTES}")]
     TooLong {
         /// Its length in bytes.
         length: usize,
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -4,7 +4,7 @@
 //! big-endian), and a postcard value. Decoding is strict and bounded, and no received bytes cause a
 //! panic.
 
-use crate::config::MAX_FRAME_LENGTH;
+use crate::config::MAX_FRAME_BYTES;
 use crate::error::{DecodeError, EncodeError};
 use crate::process::Process;
 use bytes::{BufMut, Bytes, BytesMut};
@@ -12,9 +12,9 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 /// The version of the format. A peer with another version is rejected in the handshake.
-pub(crate) const VERSION: u16 = 1;
+pub(crate) const PROTOCOL_VERSION: u16 = 1;
 /// The length of the checksum in bytes.
-const CHECKSUM_LENGTH: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
 
 /// The first frame of each end of a connection.
 ///
@@ -65,14 +65,14 @@
 
 /// Returns the codec of the length prefix.
 pub(crate) fn length_codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_LENGTH).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
 /// Encodes a frame, with its checksum and without its length prefix.
 pub(crate) fn encode(frame: &Frame) -> Result<Bytes, EncodeError> {
     let body = postcard::to_allocvec(frame).map_err(EncodeError::Serialize)?;
-    let length = CHECKSUM_LENGTH + body.len();
-    if length > MAX_FRAME_LENGTH {
+    let length = CHECKSUM_BYTES + body.len();
+    if length > MAX_FRAME_BYTES {
         return Err(EncodeError::TooLong { length });
     }
     let mut encoded = BytesMut::with_capacity(length);
@@ -83,7 +83,7 @@
 
 /// Decodes a frame that [`encode`] encoded.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Frame, DecodeError> {
-    let Some((checksum, body)) = bytes.split_first_chunk::<CHECKSUM_LENGTH>() else {
+    let Some((checksum, body)) = bytes.split_first_chunk::<CHECKSUM_BYTES>() else {
         return Err(DecodeError::TooShort { length: bytes.len() });
     };
     let found = u32::from_be_bytes(*checksum);
--- a/crates/peer-transport/src/frame/tests.rs
+++ b/crates/peer-transport/src/frame/tests.rs
@@ -11,7 +11,7 @@
         assert!(matches!(decode(&damaged), Err(DecodeError::ChecksumMismatch { .. })), "byte {at}");
         assert!(decode(&encoded[..at]).is_err(), "cut at {at}");
     }
-    let too_long = encode(&Frame::OneWay(vec![0; MAX_FRAME_LENGTH]));
+    let too_long = encode(&Frame::OneWay(vec![0; MAX_FRAME_BYTES]));
     assert!(matches!(too_long, Err(EncodeError::TooLong { .. })));
 }
 
--- a/crates/peer-transport/src/golden_tests.rs
+++ b/crates/peer-transport/src/golden_tests.rs
@@ -4,7 +4,7 @@
 //! other. A failure here means that the program has changed its format; the recorded bytes must not
 //! be adapted.
 
-use crate::frame::{self, Frame, RequestId, VERSION};
+use crate::frame::{self, Frame, RequestId, PROTOCOL_VERSION};
 use crate::session;
 use crate::{
     ConnectionError, Handshake, MessageHandler, Network, PeerTransport, Process, Timing, TransportConfig,
@@ -43,7 +43,7 @@
 }
 
 fn handshake(sender: Process, voter_id: Option<u8>) -> Frame {
-    Frame::Handshake(Handshake { version: VERSION, fleet: "gdynia".into(), sender, voter_id })
+    Frame::Handshake(Handshake { version: PROTOCOL_VERSION, fleet: "gdynia".into(), sender, voter_id })
 }
 
 /// Does not compile when a kind of frame is added, until its bytes are recorded as well.
@@ -135,10 +135,10 @@
 /// The bytes at the end of a connection are those of the frames alone.
 #[tokio::test]
 async fn a_connection_begins_with_the_recorded_handshake_and_accepts_the_recorded_bytes() {
-    let me = process("n0", 1_700_000_000_000_000);
+    let local = process("n0", 1_700_000_000_000_000);
     let config = TransportConfig {
         fleet: "gdynia".into(),
-        process: me,
+        process: local,
         local_address: IpAddr::V4(Ipv4Addr::LOCALHOST),
         timing: Timing::default(),
         seed: 1,
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -29,7 +29,7 @@
 mod shared;
 mod transport;
 
-pub use config::{Peer, Timing, TransportConfig, MAX_FRAME_LENGTH};
+pub use config::{Peer, Timing, TransportConfig, MAX_FRAME_BYTES};
 pub use error::{ConnectionError, DecodeError, EncodeError, HandshakeError};
 pub use frame::Handshake;
 pub use handler::MessageHandler;
--- a/crates/peer-transport/src/send_queue.rs
+++ b/crates/peer-transport/src/send_queue.rs
@@ -8,9 +8,9 @@
 use tokio::sync::Notify;
 
 /// The capacity of the queue in frames.
-const MAX_FRAMES: usize = 512;
+const MAX_QUEUED_FRAMES: usize = 512;
 /// The capacity of the queue in bytes.
-const MAX_BYTES: usize = 4 << 20;
+const MAX_QUEUED_BYTES: usize = 4 << 20;
 
 #[derive(Default)]
 struct State {
@@ -89,7 +89,7 @@
 
 impl State {
     fn has_capacity_for(&self, length: usize) -> bool {
-        self.frames.len() < MAX_FRAMES && self.bytes + length <= MAX_BYTES
+        self.frames.len() < MAX_QUEUED_FRAMES && self.bytes + length <= MAX_QUEUED_BYTES
     }
 }
 
--- a/crates/peer-transport/src/send_queue/tests.rs
+++ b/crates/peer-transport/src/send_queue/tests.rs
@@ -8,7 +8,7 @@
 
     let queued = (0..10).filter(|_| queue.push(&long)).count();
 
-    assert_eq!(queued, MAX_BYTES / 900_000);
+    assert_eq!(queued, MAX_QUEUED_BYTES / 900_000);
     for _ in 0..queued {
         assert_eq!(queue.pop().await.as_ref(), Some(&encoded));
     }
--- a/crates/peer-transport/src/session.rs
+++ b/crates/peer-transport/src/session.rs
@@ -3,7 +3,7 @@
 use crate::config::Timing;
 use crate::connection::PeerConnection;
 use crate::error::{ConnectionError, HandshakeError};
-use crate::frame::{self, Frame, Handshake, VERSION};
+use crate::frame::{self, Frame, Handshake, PROTOCOL_VERSION};
 use crate::network::Network;
 use crate::shared::Shared;
 use bytes::{Bytes, BytesMut};
@@ -19,19 +19,19 @@
     stream: ReadHalf<S>,
     /// The bytes that were read and not decoded yet.
     buffer: BytesMut,
-    lengths: LengthDelimitedCodec,
+    length_codec: LengthDelimitedCodec,
 }
 
 impl<S: AsyncRead> FrameReader<S> {
     fn new(stream: ReadHalf<S>) -> FrameReader<S> {
-        FrameReader { stream, buffer: BytesMut::new(), lengths: frame::length_codec() }
+        FrameReader { stream, buffer: BytesMut::new(), length_codec: frame::length_codec() }
     }
 
     /// Reads the next frame. The limit applies to each read, not to the frame: a frame of a slow
     /// peer may take longer, as long as some of its bytes arrive.
     async fn next_frame(&mut self, limit: Duration) -> Result<Frame, ConnectionError> {
         loop {
-            if let Some(bytes) = self.lengths.decode(&mut self.buffer)? {
+            if let Some(bytes) = self.length_codec.decode(&mut self.buffer)? {
                 return Ok(frame::decode(&bytes)?);
             }
             match timeout(limit, self.stream.read_buf(&mut self.buffer)).await {
@@ -62,7 +62,7 @@
         // A fixed order, so that a simulation with the same seed repeats its run.
         biased;
         error = read_frames(shared, &connection, &mut reader) => error,
-        () = connection.closed() => ConnectionError::ClosedHere,
+        () = connection.closed() => ConnectionError::ClosedLocally,
     };
     connection.close();
     writer.abort();
@@ -86,7 +86,7 @@
         Ok(first) => first?,
     };
     let Frame::Handshake(handshake) = first else {
-        return Err(HandshakeError::Missing.into());
+        return Err(HandshakeError::NotAHandshake.into());
     };
     check_handshake(shared, &handshake)?;
     Ok(handshake)
@@ -97,8 +97,8 @@
 /// Reason: frames of another version cannot be decoded, messages of another fleet are about another
 /// policy, and a connection of a process with itself would count it as a peer.
 fn check_handshake<N: Network>(shared: &Shared<N>, handshake: &Handshake) -> Result<(), HandshakeError> {
-    if handshake.version != VERSION {
-        return Err(HandshakeError::VersionMismatch { expected: VERSION, found: handshake.version });
+    if handshake.version != PROTOCOL_VERSION {
+        return Err(HandshakeError::VersionMismatch { expected: PROTOCOL_VERSION, found: handshake.version });
     }
     if handshake.fleet != shared.config.fleet {
         let expected = shared.config.fleet.clone();
--- a/crates/peer-transport/src/session/tests.rs
+++ b/crates/peer-transport/src/session/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn handshake_of(name: &str) -> Handshake {
-    Handshake { version: VERSION, fleet: FLEET.into(), sender: process(name), voter_id: None }
+    Handshake { version: PROTOCOL_VERSION, fleet: FLEET.into(), sender: process(name), voter_id: None }
 }
 
 /// Runs a connection of the process "own" on which a peer writes only these frames, and returns why
@@ -60,7 +60,7 @@
 async fn a_peer_whose_first_frame_is_no_handshake_is_rejected() {
     let error = end_after(&[Frame::Heartbeat]).await;
 
-    assert!(matches!(error, ConnectionError::Handshake(HandshakeError::Missing)), "{error:?}");
+    assert!(matches!(error, ConnectionError::Handshake(HandshakeError::NotAHandshake)), "{error:?}");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/peer-transport/src/shared.rs
+++ b/crates/peer-transport/src/shared.rs
@@ -4,7 +4,7 @@
 
 use crate::config::{Peer, Timing, TransportConfig};
 use crate::connection::PeerConnection;
-use crate::frame::{Handshake, VERSION};
+use crate::frame::{Handshake, PROTOCOL_VERSION};
 use crate::handler::MessageHandler;
 use crate::network::Network;
 use crate::process::Process;
@@ -70,7 +70,7 @@
     /// Returns the handshake of this process.
     pub(crate) fn handshake(&self) -> Handshake {
         Handshake {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             fleet: self.config.fleet.clone(),
             sender: self.config.process.clone(),
             voter_id: self.state().voter_id,
--- a/crates/peer-transport/tests/transport.rs
+++ b/crates/peer-transport/tests/transport.rs
@@ -15,7 +15,7 @@
 
 const FLEET: &str = "gdynia";
 /// The timeout of requests and conditions.
-const LIMIT: Duration = Duration::from_secs(5);
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Carries connections between listeners of the same value.
 #[derive(Clone, Default)]
@@ -99,7 +99,7 @@
 
 /// Waits for a condition, on the clock of the test.
 async fn wait_until(condition: impl Fn() -> bool) {
-    timeout(LIMIT, async {
+    timeout(TEST_TIMEOUT, async {
         while !condition() {
             sleep(Duration::from_millis(1)).await;
         }
@@ -120,7 +120,7 @@
 }
 
 async fn request(from: &Node, to: &Node, body: &[u8]) -> Option<Vec<u8>> {
-    from.transport.request(&to.peer.process, body.to_vec(), LIMIT).await
+    from.transport.request(&to.peer.process, body.to_vec(), TEST_TIMEOUT).await
 }
 
 /// One connection serves both directions, whichever process dialled it.
@@ -179,7 +179,7 @@
 
     node.transport.set_peers(vec![]);
     let before = failures();
-    sleep(LIMIT).await;
+    sleep(TEST_TIMEOUT).await;
     assert_eq!(failures(), before);
 }
 
@@ -189,7 +189,7 @@
     let node = start(&network, 1).await;
 
     node.transport.set_peers(vec![node.peer.clone()]);
-    sleep(LIMIT).await;
+    sleep(TEST_TIMEOUT).await;
 
     assert_eq!(node.transport.connected_peers(), []);
     assert!(node.handler.errors.lock().unwrap().is_empty());
