--- a/crates/codec/src/http/chunked.rs
+++ b/crates/codec/src/http/chunked.rs
@@ -1,6 +1,6 @@
 //! Chunked bodies: [`parse_chunk`], and [`parse_chunked_body`] for a complete one.
 
-use super::{HttpError, ParseResult, Parsed, Unparsed, MAX_HEADERS, MAX_HEAD_BYTES};
+use super::{HttpError, ParseError, ParseResult, Parsed, MAX_HEADERS, MAX_HEAD_BYTES};
 
 /// The longest line with the size of a chunk, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 128;
@@ -15,18 +15,18 @@
 /// If the chunk is incomplete or malformed.
 pub fn parse_chunk(bytes: &[u8], max_length: usize) -> ParseResult<&[u8], HttpError> {
     match httparse::parse_chunk_size(bytes) {
-        Ok(httparse::Status::Partial) if bytes.len() < MAX_CHUNK_LINE_BYTES => Err(Unparsed::Incomplete),
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_CHUNK_LINE_BYTES => Err(ParseError::Incomplete),
         Ok(httparse::Status::Complete((start, 0))) => parse_trailers(bytes, start),
         Ok(httparse::Status::Complete((start, size))) if size <= max_length as u64 => {
             let chunk_end = start + size as usize;
             let end = chunk_end + LINE_END.len();
             match bytes.get(chunk_end..end) {
-                None => Err(Unparsed::Incomplete),
+                None => Err(ParseError::Incomplete),
                 Some(LINE_END) => Ok(Parsed { message: &bytes[start..chunk_end], length: end }),
-                Some(_) => Err(Unparsed::fatal(HttpError::ChunkWithoutEnd)),
+                Some(_) => Err(ParseError::fatal(HttpError::UnterminatedChunk)),
             }
         }
-        _ => Err(Unparsed::fatal(HttpError::BadChunk)),
+        _ => Err(ParseError::fatal(HttpError::BadChunk)),
     }
 }
 
@@ -38,8 +38,8 @@
         Ok(httparse::Status::Complete((used, _))) if used <= MAX_HEAD_BYTES => {
             Ok(Parsed { message: &[], length: start + used })
         }
-        Ok(httparse::Status::Partial) if rest.len() < MAX_HEAD_BYTES => Err(Unparsed::Incomplete),
-        _ => Err(Unparsed::fatal(HttpError::BadTrailers)),
+        Ok(httparse::Status::Partial) if rest.len() < MAX_HEAD_BYTES => Err(ParseError::Incomplete),
+        _ => Err(ParseError::fatal(HttpError::BadTrailers)),
     }
 }
 
--- a/crates/codec/src/http/head.rs
+++ b/crates/codec/src/http/head.rs
@@ -1,16 +1,16 @@
 //! The head of a response: [`parse_head`], and [`parse_final_head`] which skips interim responses.
 
-use super::{HttpError, ParseResult, Parsed, Unparsed, MAX_HEADERS, MAX_HEAD_BYTES};
+use super::{HttpError, ParseError, ParseResult, Parsed, MAX_HEADERS, MAX_HEAD_BYTES};
 use std::ops::Range;
 
 /// The most interim responses (1xx) before the final one.
-pub(super) const MAX_INTERIM: usize = 8;
+pub(super) const MAX_INTERIM_RESPONSES: usize = 8;
 /// The line end and the empty line after the last header.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 /// The name of the header with a load report.
-const LOAD_REPORT: &[u8] = b"x-pressure:";
+const LOAD_REPORT_HEADER: &[u8] = b"x-pressure:";
 /// Stands for a header value that is not UTF-8.
-const NOT_UTF8: &str = "?";
+const NON_UTF8_PLACEHOLDER: &str = "?";
 
 const INTERIM_STATUSES: Range<u16> = 100..FIRST_FINAL_STATUS;
 const SWITCHING_PROTOCOLS: u16 = 101;
@@ -52,7 +52,7 @@
 /// If the head is incomplete or malformed.
 pub fn parse_head(bytes: &[u8]) -> ParseResult<Head, HttpError> {
     let strict = parse_strict_head(bytes);
-    if !matches!(strict, Err(Unparsed::Malformed { .. })) {
+    if !matches!(strict, Err(ParseError::Malformed { .. })) {
         return strict;
     }
     let Some(stripped) = strip_load_reports(bytes) else { return strict };
@@ -74,7 +74,7 @@
     let mut windows = bytes.windows(HEAD_END.len()).take(MAX_HEAD_BYTES);
     let end = windows.position(|window| window == HEAD_END)? + HEAD_END.len();
     let is_report = |line: &[u8]| {
-        line.get(..LOAD_REPORT.len()).is_some_and(|name| name.eq_ignore_ascii_case(LOAD_REPORT))
+        line.get(..LOAD_REPORT_HEADER.len()).is_some_and(|name| name.eq_ignore_ascii_case(LOAD_REPORT_HEADER))
     };
     let lines = bytes[..end].split_inclusive(|byte| *byte == b'\n');
     let head: Vec<u8> = lines.filter(|line| !is_report(line)).flatten().copied().collect();
@@ -137,10 +137,10 @@
     let mut response = httparse::Response::new(&mut headers);
     let length = match response.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Err(Unparsed::Incomplete),
-        _ => return Err(Unparsed::fatal(HttpError::NoHead)),
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Err(ParseError::Incomplete),
+        _ => return Err(ParseError::fatal(HttpError::InvalidHead)),
     };
-    let message = interpret_head(&response).map_err(Unparsed::fatal)?;
+    let message = interpret_head(&response).map_err(ParseError::fatal)?;
     Ok(Parsed { message, length })
 }
 
@@ -152,7 +152,7 @@
     let mut head = Head { status, body: Body::UntilClose, is_rejected: false, id: None, closes: is_http_1_0 };
     for header in response.headers.iter() {
         // None of these headers has a valid value that is not UTF-8.
-        let value = std::str::from_utf8(header.value).map_or(NOT_UTF8, str::trim);
+        let value = std::str::from_utf8(header.value).map_or(NON_UTF8_PLACEHOLDER, str::trim);
         let is_named = |name: &str| header.name.eq_ignore_ascii_case(name);
         if is_named("content-length") {
             framing.set_length(value)?;
@@ -177,7 +177,7 @@
 /// If the final head is incomplete or malformed, or too many interim responses precede it.
 pub fn parse_final_head(bytes: &[u8]) -> ParseResult<Head, HttpError> {
     let mut start = 0;
-    for _ in 0..MAX_INTERIM {
+    for _ in 0..MAX_INTERIM_RESPONSES {
         let Parsed { message: head, length } = parse_head(&bytes[start..])?;
         start += length;
         let is_interim = INTERIM_STATUSES.contains(&head.status) && head.status != SWITCHING_PROTOCOLS;
@@ -185,5 +185,5 @@
             return Ok(Parsed { message: head, length: start });
         }
     }
-    Err(Unparsed::fatal(HttpError::TooManyInterim))
+    Err(ParseError::fatal(HttpError::TooManyInterimResponses))
 }
--- a/crates/codec/src/http/mod.rs
+++ b/crates/codec/src/http/mod.rs
@@ -11,7 +11,7 @@
 pub use head::{parse_final_head, parse_head, Body, Head};
 pub use request::{encode_path, encode_request};
 
-use super::{ParseResult, Parsed, Unparsed};
+use super::{ParseError, ParseResult, Parsed};
 use thiserror::Error;
 
 /// The longest head of a response, and the longest trailers, in bytes.
@@ -24,7 +24,7 @@
 pub enum HttpError {
     /// The bytes are not a head, or the head is too long.
     #[error("no head of a response")]
-    NoHead,
+    InvalidHead,
     /// A length is not a number, or two lengths differ.
     #[error("a bad length")]
     BadLength,
@@ -36,10 +36,10 @@
     LengthAndChunks,
     /// No final response follows the interim ones.
     #[error("too many interim responses")]
-    TooManyInterim,
+    TooManyInterimResponses,
     /// A chunk is longer than its size.
     #[error("a chunk without its end")]
-    ChunkWithoutEnd,
+    UnterminatedChunk,
     /// A chunk has no size, or is too large.
     #[error("a bad chunk")]
     BadChunk,
--- a/crates/codec/src/http/tests.rs
+++ b/crates/codec/src/http/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the HTTP codec: which heads are accepted, and how bodies end.
 
-use super::head::MAX_INTERIM;
+use super::head::MAX_INTERIM_RESPONSES;
 use super::*;
 
 fn head(bytes: &str) -> Head {
@@ -16,7 +16,7 @@
     assert_eq!(head(reported).body, Body::Length(3));
 
     let other = "HTTP/1.1 200 OK\r\nX-Other: \u{1}\r\nContent-Length: 3\r\n\r\n";
-    assert_eq!(parse_head(other.as_bytes()), Err(Unparsed::fatal(HttpError::NoHead)));
+    assert_eq!(parse_head(other.as_bytes()), Err(ParseError::fatal(HttpError::InvalidHead)));
 }
 
 #[test]
@@ -26,8 +26,8 @@
     let parsed = head(&format!("{interim}{last}"));
     assert_eq!((parsed.status, parsed.body, parsed.id.as_deref()), (204, Body::Length(0), Some("7")));
 
-    let endless = interim.repeat(MAX_INTERIM);
-    let expected = Unparsed::fatal(HttpError::TooManyInterim);
+    let endless = interim.repeat(MAX_INTERIM_RESPONSES);
+    let expected = ParseError::fatal(HttpError::TooManyInterimResponses);
     assert_eq!(parse_final_head(endless.as_bytes()), Err(expected));
 }
 
@@ -41,7 +41,7 @@
     ];
     for (headers, error) in expected {
         let bytes = format!("HTTP/1.1 200 OK\r\n{headers}\r\n");
-        assert_eq!(parse_head(bytes.as_bytes()), Err(Unparsed::fatal(error)), "{headers:?}");
+        assert_eq!(parse_head(bytes.as_bytes()), Err(ParseError::fatal(error)), "{headers:?}");
     }
 }
 
@@ -49,9 +49,9 @@
 fn a_chunked_body_ends_with_its_trailers() {
     let bytes = b"2\r\nab\r\n1\r\nc\r\n0\r\nX-Digest: 1\r\n\r\n";
     for end in 0..bytes.len() {
-        assert_eq!(parse_chunked_body(&bytes[..end], 3), Err(Unparsed::Incomplete), "{end}");
+        assert_eq!(parse_chunked_body(&bytes[..end], 3), Err(ParseError::Incomplete), "{end}");
     }
     let complete = Parsed { message: b"abc".to_vec(), length: bytes.len() };
     assert_eq!(parse_chunked_body(bytes, 3), Ok(complete));
-    assert_eq!(parse_chunked_body(bytes, 2), Err(Unparsed::fatal(HttpError::BadChunk)));
+    assert_eq!(parse_chunked_body(bytes, 2), Err(ParseError::fatal(HttpError::BadChunk)));
 }
--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -16,7 +16,7 @@
 pub const MAX_STREAMED_VALUE_BYTES: usize = 4 * 1024 * 1024;
 
 /// A message at the beginning of the buffer, or why there is none.
-pub type ParseResult<T, E> = Result<Parsed<T>, Unparsed<E>>;
+pub type ParseResult<T, E> = Result<Parsed<T>, ParseError<E>>;
 
 /// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 /// Why the buffer does not begin with a complete message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unparsed<E> {
+pub enum ParseError<E> {
     /// More bytes are needed.
     #[error("the message is not complete")]
     Incomplete,
@@ -44,16 +44,16 @@
     },
 }
 
-impl<E> Unparsed<E> {
+impl<E> ParseError<E> {
     /// A malformed message, after which the position of the next one is unknown.
     #[inline]
-    pub(crate) fn fatal(error: E) -> Unparsed<E> {
-        Unparsed::Malformed { error, skip: None }
+    pub(crate) fn fatal(error: E) -> ParseError<E> {
+        ParseError::Malformed { error, skip: None }
     }
 
     /// A malformed message of this length, after which the next one begins.
     #[inline]
-    pub(crate) fn skippable(error: E, length: usize) -> Unparsed<E> {
-        Unparsed::Malformed { error, skip: Some(length) }
+    pub(crate) fn skippable(error: E, length: usize) -> ParseError<E> {
+        ParseError::Malformed { error, skip: Some(length) }
     }
 }
--- a/crates/codec/src/memcache/backend.rs
+++ b/crates/codec/src/memcache/backend.rs
@@ -1,14 +1,14 @@
 //! The cache nodes' side: [`encode_request`] and [`parse_response`].
 
-use super::super::{ParseResult, Parsed, Unparsed, MAX_STREAMED_VALUE_BYTES, MAX_VALUE_BYTES};
+use super::super::{ParseError, ParseResult, Parsed, MAX_STREAMED_VALUE_BYTES, MAX_VALUE_BYTES};
 use super::{parse_block, parse_length, parse_line, MemcacheError, LINE_END};
 use std::str::Split;
 
 /// The texts with which a cache node's response may begin.
-const BEGINNINGS: [&str; 6] = ["VA ", "HD ", "EN ", "SERVER_ERROR ", "CLIENT_ERROR ", "ERROR\r\n"];
+const RESPONSE_PREFIXES: [&str; 6] = ["VA ", "HD ", "EN ", "SERVER_ERROR ", "CLIENT_ERROR ", "ERROR\r\n"];
 /// The response belongs to another request, or is not one: the connection must be closed.
-const OTHER_RESPONSE: Unparsed<MemcacheError> =
-    Unparsed::Malformed { error: MemcacheError::OtherResponse, skip: None };
+const UNEXPECTED_RESPONSE: ParseError<MemcacheError> =
+    ParseError::Malformed { error: MemcacheError::UnexpectedResponse, skip: None };
 
 /// The response of a cache node.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -53,39 +53,39 @@
 pub fn parse_response(bytes: &[u8], opaque: &str) -> ParseResult<BackendResponse, MemcacheError> {
     // Bytes that are not a response are rejected at once: their line may never end.
     if !may_be_response(bytes) {
-        return Err(OTHER_RESPONSE);
+        return Err(UNEXPECTED_RESPONSE);
     }
     let Parsed { message: line, length } = match parse_line(bytes) {
         Ok(parsed) => parsed,
-        Err(Unparsed::Incomplete) => return Err(Unparsed::Incomplete),
-        Err(Unparsed::Malformed { error, .. }) => return Err(Unparsed::fatal(error)),
+        Err(ParseError::Incomplete) => return Err(ParseError::Incomplete),
+        Err(ParseError::Malformed { error, .. }) => return Err(ParseError::fatal(error)),
     };
     if !line.is_ascii() {
-        return Err(OTHER_RESPONSE);
+        return Err(UNEXPECTED_RESPONSE);
     }
     let mut tokens = line.split(' ');
     let response = match tokens.next() {
         Some("VA") => return parse_value(bytes, tokens, length, opaque),
-        Some("HD") if names_request(&tokens, opaque) => BackendResponse::Receipt(parse_receipt(tokens)?),
-        Some("EN") if names_request(&tokens, opaque) => BackendResponse::Miss,
+        Some("HD") if has_opaque(&tokens, opaque) => BackendResponse::Receipt(parse_receipt(tokens)?),
+        Some("EN") if has_opaque(&tokens, opaque) => BackendResponse::Miss,
         // Only this exact text means that the request never ran.
         _ if line == "SERVER_ERROR busy" => BackendResponse::Busy,
         _ if line == "SERVER_ERROR failed" => BackendResponse::Failed,
-        _ => return Err(OTHER_RESPONSE),
+        _ => return Err(UNEXPECTED_RESPONSE),
     };
     Ok(Parsed { message: response, length })
 }
 
 /// Whether these bytes may be the beginning of a response.
 fn may_be_response(bytes: &[u8]) -> bool {
-    BEGINNINGS.iter().any(|beginning| {
+    RESPONSE_PREFIXES.iter().any(|beginning| {
         let beginning = beginning.as_bytes();
         bytes.starts_with(beginning) || beginning.starts_with(bytes)
     })
 }
 
 /// Whether the flags have the opaque id of this request, and no other id.
-fn names_request(flags: &Split<char>, opaque: &str) -> bool {
+fn has_opaque(flags: &Split<char>, opaque: &str) -> bool {
     flags.clone().filter_map(|flag| flag.strip_prefix('O')).eq(std::iter::once(opaque))
 }
 
@@ -96,9 +96,9 @@
     line_length: usize,
     opaque: &str,
 ) -> ParseResult<BackendResponse, MemcacheError> {
-    let value_length = tokens.next().and_then(parse_length).ok_or(OTHER_RESPONSE)?;
-    if value_length > MAX_STREAMED_VALUE_BYTES || !names_request(&tokens, opaque) {
-        return Err(OTHER_RESPONSE);
+    let value_length = tokens.next().and_then(parse_length).ok_or(UNEXPECTED_RESPONSE)?;
+    if value_length > MAX_STREAMED_VALUE_BYTES || !has_opaque(&tokens, opaque) {
+        return Err(UNEXPECTED_RESPONSE);
     }
     if value_length > MAX_VALUE_BYTES {
         let message = BackendResponse::LongValue { length: value_length };
@@ -109,10 +109,10 @@
 }
 
 /// Parses the flags of `HD`, of which exactly one must be a receipt.
-fn parse_receipt(flags: Split<char>) -> Result<String, Unparsed<MemcacheError>> {
+fn parse_receipt(flags: Split<char>) -> Result<String, ParseError<MemcacheError>> {
     let mut receipts = flags.filter_map(|flag| flag.strip_prefix('c'));
     match (receipts.next(), receipts.next()) {
         (Some(receipt), None) => Ok(receipt.to_owned()),
-        _ => Err(OTHER_RESPONSE),
+        _ => Err(UNEXPECTED_RESPONSE),
     }
 }
--- a/crates/codec/src/memcache/command.rs
+++ b/crates/codec/src/memcache/command.rs
@@ -1,6 +1,6 @@
 //! Commands of clients: [`parse_command`].
 
-use super::super::{ParseResult, Parsed, Unparsed, MAX_VALUE_BYTES};
+use super::super::{ParseError, ParseResult, Parsed, MAX_VALUE_BYTES};
 use super::{parse_block, parse_length, parse_line, MemcacheError};
 
 /// The longest key in bytes.
@@ -58,21 +58,21 @@
     match tokens.next() {
         Some("mg") => match parse_request(tokens, RequestKind::Read) {
             Some(request) => Ok(Parsed { message: Command::Request(request), length }),
-            None => Err(Unparsed::skippable(MemcacheError::BadFormat, length)),
+            None => Err(ParseError::skippable(MemcacheError::BadFormat, length)),
         },
         Some("ms") => parse_write(bytes, tokens, length),
-        Some("mn") => parse_plain(Command::Noop, line, length),
-        Some("stats") => parse_plain(Command::Stats, line, length),
-        Some("version") => parse_plain(Command::Version, line, length),
-        Some("quit") => parse_plain(Command::Quit, line, length),
-        _ => Err(Unparsed::skippable(MemcacheError::UnknownCommand, length)),
+        Some("mn") => parse_bare_command(Command::Noop, line, length),
+        Some("stats") => parse_bare_command(Command::Stats, line, length),
+        Some("version") => parse_bare_command(Command::Version, line, length),
+        Some("quit") => parse_bare_command(Command::Quit, line, length),
+        _ => Err(ParseError::skippable(MemcacheError::UnknownCommand, length)),
     }
 }
 
 /// Checks a command without arguments.
-fn parse_plain(command: Command, line: &str, length: usize) -> ParseResult<Command, MemcacheError> {
+fn parse_bare_command(command: Command, line: &str, length: usize) -> ParseResult<Command, MemcacheError> {
     if line.contains(' ') {
-        Err(Unparsed::skippable(MemcacheError::BadFormat, length))
+        Err(ParseError::skippable(MemcacheError::BadFormat, length))
     } else {
         Ok(Parsed { message: command, length })
     }
@@ -87,10 +87,10 @@
     let key = tokens.next().unwrap_or_default();
     // Without a length the position of the next command is unknown.
     let Some(value_length) = tokens.next().and_then(parse_length) else {
-        return Err(Unparsed::fatal(MemcacheError::BadDataLength));
+        return Err(ParseError::fatal(MemcacheError::BadDataLength));
     };
     if value_length > MAX_VALUE_BYTES {
-        return Err(Unparsed::fatal(MemcacheError::ValueTooLarge));
+        return Err(ParseError::fatal(MemcacheError::ValueTooLarge));
     }
     let Parsed { message: value, length } = parse_block(bytes, line_length, value_length)?;
     match parse_request(std::iter::once(key).chain(tokens), RequestKind::Write) {
@@ -98,7 +98,7 @@
             let request = RequestCommand { value: Some(value), ..request };
             Ok(Parsed { message: Command::Request(request), length })
         }
-        None => Err(Unparsed::skippable(MemcacheError::BadFormat, length)),
+        None => Err(ParseError::skippable(MemcacheError::BadFormat, length)),
     }
 }
 
--- a/crates/codec/src/memcache/mod.rs
+++ b/crates/codec/src/memcache/mod.rs
@@ -13,7 +13,7 @@
 pub use command::{parse_command, Command, RequestCommand};
 pub use response::{encode_response, ClientResponse};
 
-use super::{ParseResult, Parsed, Unparsed};
+use super::{ParseError, ParseResult, Parsed};
 use thiserror::Error;
 
 /// The longest line in bytes, with its end.
@@ -49,7 +49,7 @@
     UnknownCommand,
     /// A cache node's response does not belong to this request.
     #[error("no response to this request")]
-    OtherResponse,
+    UnexpectedResponse,
 }
 
 /// Parses a line, without its end. It may have any UTF-8 text: names of classes and tenants do.
@@ -57,15 +57,15 @@
     let window = &bytes[..bytes.len().min(MAX_LINE_BYTES)];
     let Some(end) = window.iter().position(|byte| *byte == b'\n') else {
         if window.len() < MAX_LINE_BYTES {
-            return Err(Unparsed::Incomplete);
+            return Err(ParseError::Incomplete);
         }
-        return Err(Unparsed::fatal(MemcacheError::LineTooLong));
+        return Err(ParseError::fatal(MemcacheError::LineTooLong));
     };
     let length = end + 1;
     let line = window[..end].strip_suffix(b"\r").and_then(|line| std::str::from_utf8(line).ok());
     match line {
         Some(line) if line.bytes().all(is_printable) => Ok(Parsed { message: line, length }),
-        _ => Err(Unparsed::skippable(MemcacheError::BadLine, length)),
+        _ => Err(ParseError::skippable(MemcacheError::BadLine, length)),
     }
 }
 
@@ -80,9 +80,9 @@
     let block_end = start + block_length;
     let end = block_end + LINE_END.len();
     match bytes.get(block_end..end) {
-        None => Err(Unparsed::Incomplete),
+        None => Err(ParseError::Incomplete),
         Some(LINE_END) => Ok(Parsed { message: bytes[start..block_end].to_vec(), length: end }),
-        Some(_) => Err(Unparsed::fatal(MemcacheError::BadDataBlock)),
+        Some(_) => Err(ParseError::fatal(MemcacheError::BadDataBlock)),
     }
 }
 
--- a/crates/codec/src/memcache/tests.rs
+++ b/crates/codec/src/memcache/tests.rs
@@ -8,7 +8,7 @@
 /// skipped.
 fn malformed(bytes: &[u8]) -> (String, Option<usize>) {
     match parse_command(bytes) {
-        Err(Unparsed::Malformed { error, skip }) => (error.to_string(), skip),
+        Err(ParseError::Malformed { error, skip }) => (error.to_string(), skip),
         other => panic!("{other:?}"),
     }
 }
@@ -47,7 +47,7 @@
     let bytes = b"ms k 2 O1 Pc=a,k=\r\nxy\r\nmn\r\n";
     let length = bytes.len() - 4;
     for end in 0..length {
-        assert_eq!(parse_command(&bytes[..end]), Err(Unparsed::Incomplete), "{end}");
+        assert_eq!(parse_command(&bytes[..end]), Err(ParseError::Incomplete), "{end}");
     }
 
     let message = Command::Request(RequestCommand {
@@ -69,7 +69,7 @@
     let others: [&[u8]; 6] =
         [b"VA 2 O2\r\nxy\r\n", b"VA 2\r\nxy\r\n", b"HD O1 O1 cr\r\n", b"HD O1\r\n", b"EN O2\r\n", b"noise"];
     for bytes in others {
-        let expected = Unparsed::fatal(MemcacheError::OtherResponse);
+        let expected = ParseError::fatal(MemcacheError::UnexpectedResponse);
         assert_eq!(parse_response(bytes, "1"), Err(expected), "{bytes:?}");
     }
 }
@@ -81,5 +81,5 @@
     let failed = parse_response(b"SERVER_ERROR failed\r\n", "1");
     assert_eq!(failed, Ok(Parsed { message: BackendResponse::Failed, length: 21 }));
     let longer = parse_response(b"SERVER_ERROR busy 5\r\n", "1");
-    assert_eq!(longer, Err(Unparsed::fatal(MemcacheError::OtherResponse)));
+    assert_eq!(longer, Err(ParseError::fatal(MemcacheError::UnexpectedResponse)));
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -15,7 +15,7 @@
 /// The most attempts of a request: an attempt is numbered by one byte.
 const MAX_ATTEMPTS: u32 = 255;
 /// How discovery may deliver the endpoint list. Left out, it is asked for.
-const DISCOVERY_FORMS: [&str; 3] = ["", "ask", "push"];
+const DISCOVERY_MODES: [&str; 3] = ["", "ask", "push"];
 /// The least sockets of a proxy without admin server and fleet.
 const MIN_SOCKETS: usize = 32;
 /// The least memory, in MB.
@@ -32,7 +32,11 @@
     tenants: &[String],
 ) -> Result<(), ConfigError> {
     if settings.classes.is_empty() || settings.classes.len() > MAX_CLASSES {
-        return Err(ConfigError::field("Grades", settings.classes.len(), "a list of 1 to 255 classes"));
+        return Err(ConfigError::invalid_value(
+            "Grades",
+            settings.classes.len(),
+            "a list of 1 to 255 classes",
+        ));
     }
     check_unique("Grades[].Name", classes)?;
     check_unique("Orgs[].Name", tenants)?;
@@ -42,13 +46,13 @@
     let limits = &settings.limits;
     let safety = &settings.safety_limits;
     if !(1..=MAX_ATTEMPTS).contains(&limits.max_attempts) {
-        return Err(ConfigError::field("Permissions.MaxAttempts", limits.max_attempts, "1 to 255"));
+        return Err(ConfigError::invalid_value("Permissions.MaxAttempts", limits.max_attempts, "1 to 255"));
     }
     if settings.group_size == 0 {
-        return Err(ConfigError::field("GroupSize", 0, "above 0"));
+        return Err(ConfigError::invalid_value("GroupSize", 0, "above 0"));
     }
-    if !DISCOVERY_FORMS.contains(&settings.discovery.as_str()) {
-        return Err(ConfigError::field("Discovery", &settings.discovery, "ask or push"));
+    if !DISCOVERY_MODES.contains(&settings.discovery.as_str()) {
+        return Err(ConfigError::invalid_value("Discovery", &settings.discovery, "ask or push"));
     }
     check_positive("Tick", settings.tick.as_ms())?;
     check_positive("Safety.StartCapacity", safety.start_capacity)?;
@@ -77,7 +81,7 @@
 /// Names the field.
 pub(super) fn check_memory(limits: &Limits) -> Result<(), ConfigError> {
     if limits.memory_mb < MIN_MEMORY_MB {
-        return Err(ConfigError::field("limits.memory_mb", limits.memory_mb, "at least 16"));
+        return Err(ConfigError::invalid_value("limits.memory_mb", limits.memory_mb, "at least 16"));
     }
     Ok(())
 }
@@ -107,7 +111,7 @@
         expected = "enough beside two for each of fleet.size, for links";
     }
     if limits.sockets < least {
-        return Err(ConfigError::field("limits.sockets", limits.sockets, expected));
+        return Err(ConfigError::invalid_value("limits.sockets", limits.sockets, expected));
     }
     Ok(())
 }
@@ -127,7 +131,7 @@
     }
     let is_origin = |endpoint: &Instance| i64::from(names.kind(&endpoint.machine_type)) == origin_kind;
     if origin_kind >= 0 && !list.instances.is_empty() && !list.instances.iter().any(is_origin) {
-        return Err(ConfigError::field(
+        return Err(ConfigError::invalid_value(
             "known.instances",
             list.instances.len(),
             "a list with the origin in it",
@@ -141,14 +145,22 @@
     let field = |key: &str| format!("known.instances[{index}].{key}");
     let id = &endpoint.instance_id;
     if id.is_empty() || before.iter().any(|other| other.instance_id == *id) {
-        return Err(ConfigError::field(field("instanceId"), id, "a name given once"));
+        return Err(ConfigError::invalid_value(field("instanceId"), id, "a name given once"));
     }
     if endpoint.host_port.parse::<SocketAddr>().is_err() {
-        return Err(ConfigError::field(field("hostPort"), &endpoint.host_port, "an IP address and port"));
+        return Err(ConfigError::invalid_value(
+            field("hostPort"),
+            &endpoint.host_port,
+            "an IP address and port",
+        ));
     }
     let lifecycles = [Instance::READY, Instance::DRAINING, Instance::GONE];
     if !lifecycles.contains(&endpoint.lifecycle.as_str()) {
-        return Err(ConfigError::field(field("lifecycle"), &endpoint.lifecycle, "ready, draining or gone"));
+        return Err(ConfigError::invalid_value(
+            field("lifecycle"),
+            &endpoint.lifecycle,
+            "ready, draining or gone",
+        ));
     }
     check_not_negative(&field("weight"), f64::from(endpoint.weight))?;
     check_not_negative(&field("startedAtMs"), endpoint.started_at_ms)
@@ -158,7 +170,7 @@
     if value.is_finite() && value >= 0.0 {
         Ok(())
     } else {
-        Err(ConfigError::field(field, value, "0 or above"))
+        Err(ConfigError::invalid_value(field, value, "0 or above"))
     }
 }
 
@@ -166,7 +178,7 @@
     if value.is_finite() && value > 0.0 {
         Ok(())
     } else {
-        Err(ConfigError::field(field, value, "given and above 0"))
+        Err(ConfigError::invalid_value(field, value, "given and above 0"))
     }
 }
 
@@ -174,7 +186,7 @@
 fn check_unique(field: &str, names: &[String]) -> Result<(), ConfigError> {
     for (index, name) in names.iter().enumerate() {
         if name.is_empty() || names[..index].contains(name) {
-            return Err(ConfigError::field(field, name, "a name given once"));
+            return Err(ConfigError::invalid_value(field, name, "a name given once"));
         }
     }
     Ok(())
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration is rejected: [`ConfigError`], and [`FleetError`] and [`PolicyConfigError`]
+//! Why a configuration is rejected: [`ConfigError`], and [`FleetConfigError`] and [`PolicyConfigError`]
 //! for the objects `fleet` and `fleet.policy`. Operators read their texts at a start or a reload.
 
 use thiserror::Error;
@@ -8,7 +8,7 @@
 pub enum ConfigError {
     /// The variable that names the file is not set.
     #[error("LB_CONFIG is not set: it names the configuration file")]
-    Unset,
+    PathNotSet,
     /// The file cannot be read.
     #[error("configuration {path}: {source}")]
     Read {
@@ -22,7 +22,7 @@
     Json(#[from] serde_json::Error),
     /// A value has another type than expected.
     #[error("configuration: {path}: {source}")]
-    At {
+    Deserialize {
         /// The path of its keys.
         path: String,
         /// The type that was found, and the expected one.
@@ -30,13 +30,13 @@
     },
     /// A key that was there before is missing.
     #[error("configuration: the key {0} is missing")]
-    Missing(String),
+    MissingKey(String),
     /// The object `fleet` is not valid.
     #[error("configuration: fleet: {0}")]
-    Fleet(#[from] FleetError),
+    Fleet(#[from] FleetConfigError),
     /// A field has a value that is not valid.
     #[error("configuration: {field} {value:?} is not {expected}")]
-    Field {
+    InvalidValue {
         /// The field.
         field: String,
         /// Its value.
@@ -48,23 +48,25 @@
 
 impl ConfigError {
     /// The error of a field whose value is not valid.
-    pub(super) fn field(
+    pub(super) fn invalid_value(
         field: impl Into<String>,
         value: impl ToString,
         expected: &'static str,
     ) -> ConfigError {
-        ConfigError::Field { field: field.into(), value: value.to_string(), expected }
+        ConfigError::InvalidValue { field: field.into(), value: value.to_string(), expected }
     }
 
     /// Prefixes the path of the error with a key.
-    pub(super) fn below(self, key: &str) -> ConfigError {
+    pub(super) fn with_path_prefix(self, key: &str) -> ConfigError {
         match self {
-            ConfigError::At { path, source } if path == "." => {
-                ConfigError::At { path: key.to_owned(), source }
+            ConfigError::Deserialize { path, source } if path == "." => {
+                ConfigError::Deserialize { path: key.to_owned(), source }
             }
-            ConfigError::At { path, source } => ConfigError::At { path: format!("{key}.{path}"), source },
-            ConfigError::Field { field, value, expected } => {
-                ConfigError::Field { field: format!("{key}.{field}"), value, expected }
+            ConfigError::Deserialize { path, source } => {
+                ConfigError::Deserialize { path: format!("{key}.{path}"), source }
+            }
+            ConfigError::InvalidValue { field, value, expected } => {
+                ConfigError::InvalidValue { field: format!("{key}.{field}"), value, expected }
             }
             other => other,
         }
@@ -73,13 +75,13 @@
 
 impl From<serde_path_to_error::Error<serde_json::Error>> for ConfigError {
     fn from(error: serde_path_to_error::Error<serde_json::Error>) -> ConfigError {
-        ConfigError::At { path: error.path().to_string(), source: error.into_inner() }
+        ConfigError::Deserialize { path: error.path().to_string(), source: error.into_inner() }
     }
 }
 
 /// Why the object `fleet` is rejected.
 #[derive(Debug, Error)]
-pub enum FleetError {
+pub enum FleetConfigError {
     /// The settings of membership are not valid.
     #[error(transparent)]
     Membership(#[from] pinetrail_membership::SettingsError),
@@ -87,18 +89,18 @@
     #[error(transparent)]
     Quota(#[from] pinetrail_quota::SettingsError),
     /// The guaranteed minimum of a proxy would be below one attempt.
-    #[error("{field} {calls} is below 2 for each of size, {least}")]
-    TooFewCalls {
+    #[error("{field} {limit} is below 2 for each of size, {least}")]
+    LimitTooLow {
         /// The key.
         field: &'static str,
         /// Its value.
-        calls: u64,
+        limit: u64,
         /// The least that it may be.
         least: u64,
     },
     /// Attempts may run longer than quota is reserved for them.
     #[error("call_ms {call_ms} is below the longest GiveUp, {longest_ms}")]
-    CallsOutliveLease {
+    AttemptsOutliveLease {
         /// How long an attempt may run after the end of its lease, in ms.
         call_ms: u64,
         /// The longest `GiveUp` of a class, in ms.
@@ -125,7 +127,7 @@
     },
     /// A value has another type than expected.
     #[error(transparent)]
-    Form(#[from] serde_path_to_error::Error<serde_json::Error>),
+    Deserialize(#[from] serde_path_to_error::Error<serde_json::Error>),
     /// Peers cannot connect to an unspecified address.
     #[error("others cannot reach an unspecified bind: advertise is needed")]
     UnspecifiedAddress,
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The object `fleet` of the configuration, in the types of the crates that it configures. Read
 //! [`FleetConfig`] first.
 
-use super::error::{ConfigError, FleetError};
+use super::error::{ConfigError, FleetConfigError};
 use super::policy::PolicyConfig;
 use super::values::{parse_address, parse_addresses};
 use pinetrail_clock::whole_millis;
@@ -14,7 +14,7 @@
 
 /// The least calls in flight for each proxy of a fleet: the guaranteed minimum is half of its
 /// equal part, and must be at least one call.
-const MIN_CALLS_PER_PROXY: u64 = 2;
+const MIN_ATTEMPTS_PER_PROXY: u64 = 2;
 
 /// The configuration of quota leases.
 #[derive(Clone, Debug, PartialEq)]
@@ -102,7 +102,7 @@
             size: file.size,
             timing,
         };
-        settings.check().map_err(FleetError::from)?;
+        settings.check().map_err(FleetConfigError::from)?;
         Ok(FleetConfig { bind, advertise, settings, quota, policy })
     }
 
@@ -133,13 +133,13 @@
             max_attempt_duration: duration_or(file.max_attempt_ms, defaults.max_attempt_duration),
             ..defaults
         };
-        settings.check().map_err(FleetError::from)?;
-        let least = MIN_CALLS_PER_PROXY * file.size as u64;
+        settings.check().map_err(FleetConfigError::from)?;
+        let least = MIN_ATTEMPTS_PER_PROXY * file.size as u64;
         check_fleet_limit("node_calls", file.node_calls, least)?;
         check_fleet_limit("origin_calls", file.origin_calls, least)?;
         let limits = FleetLimits {
-            per_node: calls_or_infinite(file.node_calls),
-            origin: calls_or_infinite(file.origin_calls),
+            per_node: limit_or_infinite(file.node_calls),
+            origin: limit_or_infinite(file.origin_calls),
         };
         Ok(QuotaConfig { settings, limits })
     }
@@ -150,8 +150,8 @@
     millis.map_or(default, Duration::from_millis)
 }
 
-fn calls_or_infinite(calls: Option<u64>) -> f64 {
-    calls.map_or(f64::INFINITY, |calls| calls as f64)
+fn limit_or_infinite(limit: Option<u64>) -> f64 {
+    limit.map_or(f64::INFINITY, |limit| limit as f64)
 }
 
 /// Checks a limit on the calls in flight of the whole fleet.
@@ -160,9 +160,9 @@
 /// Inputs: the limit, and the least that is allowed, both in calls in flight.
 /// Reason: a guaranteed minimum of less than one call either allows none, or, rounded up, the
 /// minimums exceed the limit together.
-fn check_fleet_limit(field: &'static str, calls: Option<u64>, least: u64) -> Result<(), FleetError> {
-    match calls {
-        Some(calls) if calls < least => Err(FleetError::TooFewCalls { field, calls, least }),
+fn check_fleet_limit(field: &'static str, limit: Option<u64>, least: u64) -> Result<(), FleetConfigError> {
+    match limit {
+        Some(limit) if limit < least => Err(FleetConfigError::LimitTooLow { field, limit, least }),
         _ => Ok(()),
     }
 }
@@ -190,7 +190,7 @@
 /// # Errors
 ///
 /// If a class waits longer than `call_ms`.
-pub(super) fn check_longest_call(
+pub(super) fn check_longest_attempt(
     fleet: Option<&FleetConfig>,
     settings: &Settings,
 ) -> Result<(), ConfigError> {
@@ -198,7 +198,7 @@
     let call_ms = whole_millis(quota.settings.max_attempt_duration);
     let longest_ms = settings.longest_client_timeout().as_ms();
     if (call_ms as f64) < longest_ms {
-        return Err(FleetError::CallsOutliveLease { call_ms, longest_ms }.into());
+        return Err(FleetConfigError::AttemptsOutliveLease { call_ms, longest_ms }.into());
     }
     Ok(())
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use catalog::{Catalog, Instance};
 pub use descriptors::{ADMIN_DESCRIPTORS, FLEET_DESCRIPTORS, MAX_ADMIN_CONNECTIONS};
-pub use error::{ConfigError, FleetError, PolicyConfigError};
+pub use error::{ConfigError, FleetConfigError, PolicyConfigError};
 use file::ConfigFile;
 pub use file::Limits;
 pub use fleet::{FleetConfig, QuotaConfig};
@@ -72,7 +72,7 @@
     ///
     /// Names what cannot be read or is not valid.
     pub fn from_env() -> Result<Config, ConfigError> {
-        let path = std::env::var("LB_CONFIG").map_err(|_| ConfigError::Unset)?;
+        let path = std::env::var("LB_CONFIG").map_err(|_| ConfigError::PathNotSet)?;
         let text = std::fs::read(&path).map_err(|source| ConfigError::Read { path, source })?;
         // The variable is this process's own; the file may already have the next process's address.
         let admin = std::env::var("LB_ADMIN").ok().filter(|admin| !admin.is_empty());
@@ -87,13 +87,14 @@
     pub fn from_json(text: &[u8], admin: Option<String>) -> Result<Config, ConfigError> {
         let json: serde_json::Value = serde_json::from_slice(text)?;
         let file: ConfigFile = serde_path_to_error::deserialize(&json)?;
-        let parsed = ParsedSettings::parse(&file.settings).map_err(|error| error.below("settings"))?;
+        let parsed =
+            ParsedSettings::parse(&file.settings).map_err(|error| error.with_path_prefix("settings"))?;
         check::check_memory(&file.limits)?;
         let configured = file.admin.filter(|admin| !admin.is_empty());
         let admin =
             admin.or(configured).map(|admin| parse_address("admin (or LB_ADMIN)", admin)).transpose()?;
         let fleet = file.fleet.map(|fleet| FleetConfig::from_file(fleet, &file.name)).transpose()?;
-        fleet::check_longest_call(fleet.as_ref(), &parsed.settings)?;
+        fleet::check_longest_attempt(fleet.as_ref(), &parsed.settings)?;
         check::check_sockets(&file.limits, admin.as_ref(), fleet.as_ref())?;
         check::check_cached_endpoints(
             &file.cached_endpoints,
--- a/crates/config/src/parsed_settings.rs
+++ b/crates/config/src/parsed_settings.rs
@@ -61,7 +61,7 @@
     /// missing.
     pub fn parse_after(json: &Value, active: &Value) -> Result<ParsedSettings, ConfigError> {
         if let Some(key) = first_missing_key(active, json) {
-            return Err(ConfigError::Missing(key));
+            return Err(ConfigError::MissingKey(key));
         }
         ParsedSettings::parse(json)
     }
@@ -73,7 +73,7 @@
 
 fn parse_connect_timeout(ms: f64) -> Result<Duration, ConfigError> {
     if !(MIN_CONNECT_TIMEOUT_MS..=MAX_CONNECT_TIMEOUT_MS).contains(&ms) {
-        return Err(ConfigError::field("Permissions.ConnectTimeout", ms, "1 to 60000, in ms"));
+        return Err(ConfigError::invalid_value("Permissions.ConnectTimeout", ms, "1 to 60000, in ms"));
     }
     Ok(Duration::from_secs_f64(ms / MS_PER_SECOND))
 }
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -1,7 +1,7 @@
 //! The object `fleet.policy` of the configuration: the common policy of a fleet. Read
 //! [`PolicyConfig`] first.
 
-use super::error::{ConfigError, FleetError, PolicyConfigError};
+use super::error::{ConfigError, FleetConfigError, PolicyConfigError};
 use super::nearest_key::nearest_key;
 use super::values::parse_address;
 use pinetrail_policy_consensus::{LeaseExpiryMode, Timing, VoterSet};
@@ -113,21 +113,21 @@
         advertised: SocketAddr,
         size: usize,
     ) -> Result<PolicyConfig, ConfigError> {
-        let founders = founders.ok_or(PolicyConfigError::NoFounders).map_err(FleetError::from)?;
-        let file = parse_file(json).map_err(FleetError::from)?;
+        let founders = founders.ok_or(PolicyConfigError::NoFounders).map_err(FleetConfigError::from)?;
+        let file = parse_file(json).map_err(FleetConfigError::from)?;
         let timing = timing(&file);
         let bind = parse_address("fleet.policy.bind", file.bind)?;
         let advertise =
             file.advertise.map(|address| parse_address("fleet.policy.advertise", address)).transpose()?;
         let advertise = advertise.unwrap_or(bind);
         if advertise.ip().is_unspecified() {
-            return Err(FleetError::from(PolicyConfigError::UnspecifiedAddress).into());
+            return Err(FleetConfigError::from(PolicyConfigError::UnspecifiedAddress).into());
         }
-        timing.check().map_err(PolicyConfigError::from).map_err(FleetError::from)?;
-        let change_wait = change_wait(file.change_wait_ms).map_err(FleetError::from)?;
+        timing.check().map_err(PolicyConfigError::from).map_err(FleetConfigError::from)?;
+        let change_wait = change_wait(file.change_wait_ms).map_err(FleetConfigError::from)?;
         let voter_id = voter_id(founders, advertised);
         if voter_id.is_some() && file.state_dir.is_none() {
-            return Err(FleetError::from(PolicyConfigError::NoStateDir).into());
+            return Err(FleetConfigError::from(PolicyConfigError::NoStateDir).into());
         }
         Ok(PolicyConfig {
             bind,
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -2,7 +2,7 @@
 //! keys out, [`Config::adopt`] keeps what only the next start can change.
 
 use super::error::ConfigError;
-use super::fleet::{check_longest_call, FleetConfig};
+use super::fleet::{check_longest_attempt, FleetConfig};
 use super::missing_keys::first_missing_key;
 use super::Config;
 
@@ -15,10 +15,10 @@
     pub fn reload(&self) -> Result<Config, ConfigError> {
         let newer = Config::from_env()?;
         if let Some(key) = first_missing_key(&self.json, &newer.json) {
-            return Err(ConfigError::Missing(key));
+            return Err(ConfigError::MissingKey(key));
         }
         // `call_ms` is the running one: the newer value applies at the next start.
-        check_longest_call(self.fleet.as_ref(), &newer.settings)?;
+        check_longest_attempt(self.fleet.as_ref(), &newer.settings)?;
         Ok(newer)
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// Returns the keys that differ in a newer configuration and that only the next start applies.
-    pub fn changes_at_restart(&self, newer: &Config) -> Vec<&'static str> {
+    pub fn keys_that_need_restart(&self, newer: &Config) -> Vec<&'static str> {
         let mut changed = Vec::new();
         if self.name != newer.name {
             changed.push("name");
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -13,7 +13,7 @@
 ///
 /// Names the field if its value is none.
 pub(super) fn parse_address(field: &'static str, value: String) -> Result<SocketAddr, ConfigError> {
-    value.parse().map_err(|_| ConfigError::field(field, value, "an IP address and port"))
+    value.parse().map_err(|_| ConfigError::invalid_value(field, value, "an IP address and port"))
 }
 
 /// Parses a list of IP addresses and ports.
@@ -38,5 +38,5 @@
         return Ok(DEFAULT_SEED);
     }
     u64::from_str_radix(&value, HEXADECIMAL)
-        .map_err(|_| ConfigError::field("seed", value, "a number of at most 16 hexadecimal digits"))
+        .map_err(|_| ConfigError::invalid_value("seed", value, "a number of at most 16 hexadecimal digits"))
 }
--- a/crates/connection-limits/src/connection_table.rs
+++ b/crates/connection-limits/src/connection_table.rs
@@ -20,7 +20,7 @@
 pub type ConnectionId = u64;
 /// Counts the phases of a connection. A [`CloseOrder`] carries it: an order is outdated once its
 /// connection has entered another phase.
-pub type Seq = u32;
+pub type PhaseNumber = u32;
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 /// Why a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
+pub enum CloseOrderReason {
     /// It was in its phase for longer than any connection may be.
     Overdue,
     /// It is idle or silent, few connections of its kind are used again, and the pressure is high.
@@ -59,12 +59,12 @@
 pub struct CloseOrder {
     /// Which connection.
     pub id: ConnectionId,
-    /// In which of its phases; see [`Seq`].
-    pub seq: Seq,
+    /// In which of its phases; see [`PhaseNumber`].
+    pub phase_number: PhaseNumber,
     /// What it was doing.
     pub phase: Phase,
     /// Why.
-    pub reason: Reason,
+    pub reason: CloseOrderReason,
 }
 
 /// How long connections of a kind may now be idle.
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Connections.
-    pub open: usize,
+    pub open_connections: usize,
     /// The most connections that there may be.
     pub capacity: usize,
     /// Connections that have sent nothing.
@@ -149,13 +149,13 @@
     }
 
     /// How many connections there are.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.entries.len()
     }
 
     /// Whether the capacity is used up.
     pub fn is_full(&self) -> bool {
-        self.open() >= self.capacity
+        self.open_connections() >= self.capacity
     }
 
     /// A connection has arrived; it has sent nothing yet.
@@ -174,10 +174,10 @@
 
     /// A connection enters a phase; returns the count of its phases. Entering the current phase
     /// again changes nothing, except for [`Phase::ResponseUnread`].
-    pub fn set_phase(&mut self, now: Timestamp, id: ConnectionId, phase: Phase) -> Seq {
+    pub fn set_phase(&mut self, now: Timestamp, id: ConnectionId, phase: Phase) -> PhaseNumber {
         let Some(entry) = self.entries.get(&id) else { return 0 };
         if entry.phase == phase && phase != Phase::ResponseUnread {
-            return entry.seq;
+            return entry.phase_number;
         }
         // Input on a closing connection is no reuse. A connection that was ordered to close, but is
         // used before it closes, counts as reused.
@@ -187,15 +187,15 @@
         self.dequeue(id);
         let Some(entry) = self.entries.get_mut(&id) else { return 0 };
         entry.enter(now, phase);
-        let seq = entry.seq;
+        let phase_number = entry.phase_number;
         self.enqueue(id);
-        seq
+        phase_number
     }
 
     /// A connection was closed, by the client or by the server.
     pub fn remove(&mut self, now: Timestamp, id: ConnectionId) {
         // After a close by the server it is unknown what the client would have done.
-        if self.entries.get(&id).is_some_and(|entry| !entry.is_ordered) {
+        if self.entries.get(&id).is_some_and(|entry| !entry.is_ordered_to_close) {
             self.record_client_close(now, id);
         }
         self.dequeue(id);
@@ -211,7 +211,7 @@
             return 0.0;
         }
         let growth = self.growth.growth(now, self.limits.growth_horizon);
-        (self.open() as f64 + growth) / self.capacity as f64
+        (self.open_connections() as f64 + growth) / self.capacity as f64
     }
 
     /// The state at this moment.
@@ -220,7 +220,7 @@
             |phases: &[Phase]| self.entries.values().filter(|entry| phases.contains(&entry.phase)).count();
         let pressure = self.pressure(now);
         Counts {
-            open: self.open(),
+            open_connections: self.open_connections(),
             capacity: self.capacity,
             silent: in_phases(&[Phase::Silent]),
             partial_command: in_phases(&[Phase::PartialFirstCommand, Phase::PartialCommand]),
@@ -240,7 +240,7 @@
         let Some(entry) = self.entries.get(&id) else { return };
         let sample = &self.queues[Queue::Sample as usize];
         let is_sampled =
-            id.is_multiple_of(self.limits.sample_one_in.max(1)) && sample.len() < self.phase_capacity();
+            id.is_multiple_of(self.limits.sample_one_in.max(1)) && sample.len() < self.phase_budget();
         let has_life_table = entry.reuse_kind().is_some();
         let queue = if is_sampled && has_life_table { Some(Queue::Sample) } else { entry.queue_of_phase() };
         if let Some(end) = interval_end(entry.interval).filter(|_| has_life_table) {
@@ -264,7 +264,7 @@
     }
 
     /// How many connections may be in each of the phases with a budget above low pressure.
-    fn phase_capacity(&self) -> usize {
+    fn phase_budget(&self) -> usize {
         ((self.capacity as f64 * self.limits.phase_budget_share) as usize).max(1)
     }
 }
--- a/crates/connection-limits/src/connection_table/entry.rs
+++ b/crates/connection-limits/src/connection_table/entry.rs
@@ -1,6 +1,6 @@
 //! The record of one connection: [`Entry`].
 
-use super::{Phase, Seq, Timestamp};
+use super::{Phase, PhaseNumber, Timestamp};
 
 /// Queues of connections that may be closed. Idle connections are distinguished by the number of
 /// their requests.
@@ -48,12 +48,12 @@
     /// The time from which the limits of its phase count.
     pub since: Timestamp,
     arrived_at: Timestamp,
-    pub seq: Seq,
+    pub phase_number: PhaseNumber,
     pub requests: u32,
     /// The interval of its life table that it is in.
     pub interval: usize,
     /// Whether it was ordered to close in this phase.
-    pub is_ordered: bool,
+    pub is_ordered_to_close: bool,
 }
 
 impl Entry {
@@ -64,10 +64,10 @@
             queue: None,
             since: now,
             arrived_at: now,
-            seq: 0,
+            phase_number: 0,
             requests: 0,
             interval: 0,
-            is_ordered: false,
+            is_ordered_to_close: false,
         }
     }
 
@@ -76,10 +76,10 @@
     /// Invariant: the time for the first command counts from the arrival of the connection. If each
     /// byte restarted it, a client could hold a connection for ever with a byte now and then.
     pub(super) fn enter(&mut self, now: Timestamp, phase: Phase) {
-        self.seq = self.seq.wrapping_add(1);
+        self.phase_number = self.phase_number.wrapping_add(1);
         self.phase = phase;
         self.interval = 0;
-        self.is_ordered = false;
+        self.is_ordered_to_close = false;
         self.since = if phase == Phase::PartialFirstCommand { self.arrived_at } else { now };
     }
 
--- a/crates/connection-limits/src/connection_table/eviction.rs
+++ b/crates/connection-limits/src/connection_table/eviction.rs
@@ -1,8 +1,8 @@
-//! Which connections are closed, and why: one function for each [`Reason`]. Read
+//! Which connections are closed, and why: one function for each [`CloseOrderReason`]. Read
 //! [`ConnectionTable::expired`] first, which applies them in their order.
 
 use super::entry::{Queue, ReuseKind};
-use super::{CloseOrder, ConnectionId, ConnectionTable, Phase, Reason, Timestamp};
+use super::{CloseOrder, CloseOrderReason, ConnectionId, ConnectionTable, Phase, Timestamp};
 use std::time::Duration;
 
 /// An idle connection that may be closed for a new one.
@@ -32,7 +32,7 @@
     ///
     /// Invariant: a connection whose command is being executed is never closed.
     ///
-    /// Decides: which connections are evicted ([`Reason::Evicted`]). First those for whose client
+    /// Decides: which connections are evicted ([`CloseOrderReason::Evicted`]). First those for whose client
     /// the server waits and that are older than their floor, by phase, oldest first; then idle
     /// ones, the least likely to be used again first.
     /// Inputs: ages and floors (ms), probabilities of reuse, `count` in connections.
@@ -49,14 +49,14 @@
             (Queue::PartialCommand, self.limits.partial_command_floor),
         ] {
             while orders.len() < count {
-                let order = self.order_oldest(now, queue, floor, Reason::Evicted);
+                let order = self.order_oldest(now, queue, floor, CloseOrderReason::Evicted);
                 let Some(order) = order else { break };
                 orders.push(order);
             }
         }
         while orders.len() < count {
             let candidate = self.least_likely_to_return();
-            let order = candidate.and_then(|id| self.order(id, Reason::Evicted));
+            let order = candidate.and_then(|id| self.order_close(id, CloseOrderReason::Evicted));
             let Some(order) = order else { break };
             orders.push(order);
         }
@@ -65,7 +65,7 @@
 
     /// Closes connections that have been in their phase for longer than any connection may be.
     ///
-    /// Decides: which connections are [`Reason::Overdue`].
+    /// Decides: which connections are [`CloseOrderReason::Overdue`].
     /// Inputs: ages in the phase and the timeouts of the phases (ms), the pressure (share of the
     /// capacity), which selects the idle timeout.
     /// Reason: a client that neither sends nor reads would hold its descriptor for ever.
@@ -86,7 +86,7 @@
             (Queue::UsedAgain, idle),
             (Queue::Sample, sample),
         ] {
-            self.order_older(now, queue, limit, Reason::Overdue, orders);
+            self.order_older(now, queue, limit, CloseOrderReason::Overdue, orders);
         }
     }
 
@@ -101,14 +101,14 @@
             .map(|(_, id)| *id)
             .collect();
         for id in overdue {
-            orders.extend(self.order(id, Reason::Overdue));
+            orders.extend(self.order_close(id, CloseOrderReason::Overdue));
         }
     }
 
     /// Closes silent and idle connections at the age from which on few of their kind are used
     /// again.
     ///
-    /// Decides: which connections are [`Reason::UnlikelyToReturn`].
+    /// Decides: which connections are [`CloseOrderReason::UnlikelyToReturn`].
     /// Inputs: ages in the phase (ms), the pressure (share of the capacity), and the limit of each
     /// kind, which [`ConnectionTable::idle_limit`] decides.
     /// Reason: under pressure the capacity is kept for connections that will carry requests.
@@ -121,19 +121,19 @@
             (Queue::UsedAgain, ReuseKind::UsedAgain),
         ] {
             let limit = self.idle_limit(kind, pressure);
-            self.order_older(now, queue, limit, Reason::UnlikelyToReturn, orders);
+            self.order_older(now, queue, limit, CloseOrderReason::UnlikelyToReturn, orders);
         }
     }
 
     /// Closes the oldest connections in phases that hold more than their budget.
     ///
-    /// Decides: which connections are [`Reason::OverBudget`].
+    /// Decides: which connections are [`CloseOrderReason::OverBudget`].
     /// Inputs: the number of connections in each phase, the budget of a phase (connections), ages
     /// and floors (ms).
     /// Reason: clients that the server waits for must not take the capacity from the others.
     /// Source: docs/connection-limits.md, "Budgets" (Little's law).
     fn order_over_budget(&mut self, now: Timestamp, orders: &mut Vec<CloseOrder>) {
-        let budget = self.phase_capacity();
+        let budget = self.phase_budget();
         for (queue, floor) in [
             (Queue::Silent, self.limits.silent_floor),
             (Queue::PartialFirstCommand, self.limits.partial_command_floor),
@@ -141,7 +141,7 @@
             (Queue::Closing, self.limits.linger_floor),
         ] {
             while self.queues[queue as usize].len() > budget {
-                let order = self.order_oldest(now, queue, floor, Reason::OverBudget);
+                let order = self.order_oldest(now, queue, floor, CloseOrderReason::OverBudget);
                 let Some(order) = order else { break };
                 orders.push(order);
             }
@@ -170,7 +170,7 @@
         now: Timestamp,
         queue: Queue,
         age: Duration,
-        reason: Reason,
+        reason: CloseOrderReason,
         orders: &mut Vec<CloseOrder>,
     ) {
         while let Some(order) = self.order_oldest(now, queue, age, reason) {
@@ -184,20 +184,20 @@
         now: Timestamp,
         queue: Queue,
         age: Duration,
-        reason: Reason,
+        reason: CloseOrderReason,
     ) -> Option<CloseOrder> {
         let (since, id) = self.queues[queue as usize].first().copied()?;
         if now.saturating_duration_since(since) < age {
             return None;
         }
-        self.order(id, reason)
+        self.order_close(id, reason)
     }
 
     /// Orders a connection to be closed. It leaves its queue, so that it is ordered once only.
-    fn order(&mut self, id: ConnectionId, reason: Reason) -> Option<CloseOrder> {
+    fn order_close(&mut self, id: ConnectionId, reason: CloseOrderReason) -> Option<CloseOrder> {
         self.dequeue(id);
         let entry = self.entries.get_mut(&id)?;
-        entry.is_ordered = true;
-        Some(CloseOrder { id, seq: entry.seq, phase: entry.phase, reason })
+        entry.is_ordered_to_close = true;
+        Some(CloseOrder { id, phase_number: entry.phase_number, phase: entry.phase, reason })
     }
 }
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -19,7 +19,7 @@
 mod reuse_estimator;
 
 pub use connection_table::{
-    CloseOrder, ConnectionId, ConnectionTable, Counts, IdleLimits, Phase, Reason, Seq,
+    CloseOrder, CloseOrderReason, ConnectionId, ConnectionTable, Counts, IdleLimits, Phase, PhaseNumber,
 };
 pub use descriptor_budget::DescriptorBudget;
 pub use growth_estimator::GrowthEstimator;
--- a/crates/connection-limits/tests/crowds/crowd.rs
+++ b/crates/connection-limits/tests/crowds/crowd.rs
@@ -1,6 +1,8 @@
 //! A crowd of scripted clients of one server, in virtual time. Read [`Crowd`] first.
 
-use pinetrail_connection_limits::{ConnectionId, ConnectionTable, Limits, Phase, Reason, Timestamp};
+use pinetrail_connection_limits::{
+    CloseOrderReason, ConnectionId, ConnectionTable, Limits, Phase, Timestamp,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -9,10 +11,10 @@
 pub(crate) enum Behavior {
     /// Connects and sends nothing.
     Silent,
-    /// Sends one byte each [`DRIP_INTERVAL`].
-    Drips,
+    /// Sends one byte each [`SLOW_BYTE_INTERVAL`].
+    SlowSender,
     /// Sends a command that is no request, and then keeps the connection for good.
-    Greets,
+    GreetingOnly,
     /// Sends one request and closes the connection when it has the response.
     OneRequestAndCloses,
     /// Sends one request and then keeps the connection for good.
@@ -26,7 +28,7 @@
 pub(crate) struct Crowd {
     pub(crate) table: ConnectionTable,
     pub(crate) now_ms: u64,
-    pub(crate) next: ConnectionId,
+    pub(crate) last_id: ConnectionId,
     pub(crate) events: BTreeSet<Event>,
     pub(crate) behaviors: BTreeMap<ConnectionId, Behavior>,
     /// The most connections that send requests at the same time; more are never opened.
@@ -38,16 +40,16 @@
     /// Those of them that were rejected.
     pub(crate) rejected: usize,
     /// Connections closed that would have been used again.
-    pub(crate) reopened: usize,
-    pub(crate) closed: BTreeMap<Reason, Vec<Behavior>>,
-    pub(crate) held_longest: BTreeMap<Behavior, Duration>,
-    pub(crate) arrived: BTreeMap<ConnectionId, Timestamp>,
+    pub(crate) closed_before_reuse: usize,
+    pub(crate) closed: BTreeMap<CloseOrderReason, Vec<Behavior>>,
+    pub(crate) longest_held: BTreeMap<Behavior, Duration>,
+    pub(crate) arrived_at: BTreeMap<ConnectionId, Timestamp>,
 }
 
 /// How long a request takes.
 pub(crate) const RESPONSE_TIME: Duration = Duration::from_millis(100);
 /// How often a client that drips sends a byte.
-pub(crate) const DRIP_INTERVAL: Duration = Duration::from_millis(500);
+pub(crate) const SLOW_BYTE_INTERVAL: Duration = Duration::from_millis(500);
 /// After its arrival an honest client sends its first request in this time.
 pub(crate) const FIRST_REQUEST_AFTER: Duration = Duration::from_millis(1);
 /// How often the server closes expired connections.
@@ -80,17 +82,17 @@
         Crowd {
             table: ConnectionTable::new(Limits::default(), capacity),
             now_ms: 0,
-            next: 0,
+            last_id: 0,
             events: BTreeSet::new(),
             behaviors: BTreeMap::new(),
             max_honest,
             honest: BTreeSet::new(),
             attempted: 0,
             rejected: 0,
-            reopened: 0,
+            closed_before_reuse: 0,
             closed: BTreeMap::new(),
-            held_longest: BTreeMap::new(),
-            arrived: BTreeMap::new(),
+            longest_held: BTreeMap::new(),
+            arrived_at: BTreeMap::new(),
         }
     }
 
@@ -111,15 +113,15 @@
             self.rejected += usize::from(honest);
             return;
         }
-        self.next += 1;
-        let id = self.next;
+        self.last_id += 1;
+        let id = self.last_id;
         self.behaviors.insert(id, behavior);
-        self.arrived.insert(id, self.now());
+        self.arrived_at.insert(id, self.now());
         self.table.insert(self.now(), id);
         match behavior {
             Behavior::Silent => {}
-            Behavior::Drips => self.schedule(Duration::ZERO, id, Action::SendByte),
-            Behavior::Greets => {
+            Behavior::SlowSender => self.schedule(Duration::ZERO, id, Action::SendByte),
+            Behavior::GreetingOnly => {
                 self.table.set_phase(self.now(), id, Phase::CommandOpen);
                 self.table.set_phase(self.now(), id, Phase::Idle);
             }
@@ -130,16 +132,16 @@
         }
     }
 
-    pub(crate) fn close(&mut self, id: ConnectionId, reason: Reason) {
+    pub(crate) fn close(&mut self, id: ConnectionId, reason: CloseOrderReason) {
         let behavior = self.behaviors.remove(&id).expect("closed once");
-        let held = self.now().saturating_duration_since(self.arrived[&id]);
-        let longest = self.held_longest.entry(behavior).or_default();
+        let held = self.now().saturating_duration_since(self.arrived_at[&id]);
+        let longest = self.longest_held.entry(behavior).or_default();
         *longest = held.max(*longest);
         self.closed.entry(reason).or_default().push(behavior);
         self.honest.remove(&id);
         self.table.remove(self.now(), id);
         if let Behavior::RequestEvery(_) = behavior {
-            self.reopened += 1;
+            self.closed_before_reuse += 1;
         }
     }
 
@@ -177,7 +179,7 @@
         match (action, behavior) {
             (Action::SendByte, _) => {
                 self.table.set_phase(self.now(), id, Phase::PartialFirstCommand);
-                self.schedule(DRIP_INTERVAL, id, Action::SendByte);
+                self.schedule(SLOW_BYTE_INTERVAL, id, Action::SendByte);
             }
             (Action::SendRequest, _) => {
                 self.table.record_request(id);
--- a/crates/connection-limits/tests/crowds/main.rs
+++ b/crates/connection-limits/tests/crowds/main.rs
@@ -25,20 +25,20 @@
 fn at_low_pressure_only_overdue_connections_are_closed() {
     let mut crowd = Crowd::new(1000, 1000);
     crowd.run(millis(20_000), &[(Behavior::Silent, 20), (Behavior::RequestEvery(millis(1900)), 5)]);
-    assert_eq!(crowd.closed.keys().copied().collect::<Vec<_>>(), [Reason::Overdue]);
-    assert_eq!(crowd.held_longest, BTreeMap::from([(Behavior::Silent, millis(2500))]));
-    assert_eq!(crowd.reopened, 0);
+    assert_eq!(crowd.closed.keys().copied().collect::<Vec<_>>(), [CloseOrderReason::Overdue]);
+    assert_eq!(crowd.longest_held, BTreeMap::from([(Behavior::Silent, millis(2500))]));
+    assert_eq!(crowd.closed_before_reuse, 0);
 }
 
 #[test]
 fn a_byte_now_and_then_does_not_keep_a_connection_open() {
     let mut crowd = Crowd::new(225, 128);
-    let rates = [(Behavior::Drips, 100), (Behavior::OneRequest, 200)];
+    let rates = [(Behavior::SlowSender, 100), (Behavior::OneRequest, 200)];
     crowd.run(millis(2000), &rates);
     crowd.rejected_per_thousand();
     crowd.run(millis(10_000), &rates);
     assert!(crowd.rejected_per_thousand() <= 10);
-    assert!(crowd.held_longest[&Behavior::Drips] <= millis(2500));
+    assert!(crowd.longest_held[&Behavior::SlowSender] <= millis(2500));
     let partial = crowd.table.counts(crowd.now()).partial_command;
     assert!(partial <= 100 * 7 / 10, "{partial} connections have a partial command");
 }
@@ -51,7 +51,7 @@
     crowd.rejected_per_thousand();
     crowd.run(millis(5000), &[(Behavior::OneRequestAndCloses, 250), (Behavior::Silent, 50)]);
     assert_eq!(crowd.rejected_per_thousand(), 0);
-    assert_eq!(crowd.closed.keys().filter(|reason| **reason == Reason::Evicted).count(), 0);
+    assert_eq!(crowd.closed.keys().filter(|reason| **reason == CloseOrderReason::Evicted).count(), 0);
 }
 
 /// As recorded: for 1.5 s after the second start 576 a second send a greeting and stay, beside the
@@ -60,7 +60,7 @@
 fn service_recovers_within_seconds_from_a_crowd_at_the_start() {
     let mut crowd = Crowd::new(225, 128);
     let always = [(Behavior::Silent, 45), (Behavior::OneRequest, 250)];
-    let crowded = [(Behavior::Silent, 45), (Behavior::OneRequest, 250), (Behavior::Greets, 576)];
+    let crowded = [(Behavior::Silent, 45), (Behavior::OneRequest, 250), (Behavior::GreetingOnly, 576)];
     crowd.run(millis(1500), &crowded);
     crowd.rejected_per_thousand();
     crowd.run(millis(1500), &crowded);
@@ -83,7 +83,7 @@
         for _ in 0..100 {
             crowd.table.set_capacity(budget.client_limit(crowd.now()));
             crowd.run(millis(10), &[(Behavior::Silent, 50), (Behavior::OneRequest, 250)]);
-            assert!(crowd.table.open() + backends <= 360, "a descriptor given twice");
+            assert!(crowd.table.open_connections() + backends <= 360, "a descriptor given twice");
         }
         served_share.push(1000 - crowd.rejected_per_thousand());
         // Their requests end, and idle connections are closed.
@@ -100,10 +100,10 @@
     crowd.run(millis(1000), &[(Behavior::RequestEvery(millis(1900)), 60)]);
     crowd.run(millis(4000), &[]);
     // A few may be closed before the life tables have learnt from any.
-    assert!(crowd.reopened <= 6, "{} of 60 were closed at first", crowd.reopened);
-    crowd.reopened = 0;
+    assert!(crowd.closed_before_reuse <= 6, "{} of 60 were closed at first", crowd.closed_before_reuse);
+    crowd.closed_before_reuse = 0;
     crowd.run(millis(20_000), &[(Behavior::OneRequest, 100), (Behavior::Silent, 50)]);
-    assert!(crowd.reopened <= 3, "{} of 60 were closed", crowd.reopened);
+    assert!(crowd.closed_before_reuse <= 3, "{} of 60 were closed", crowd.closed_before_reuse);
     assert_eq!(crowd.rejected, 0);
 }
 
@@ -112,7 +112,7 @@
     let mut crowd = Crowd::new(225, 128);
     crowd.run(millis(1000), &[(Behavior::RequestEvery(millis(50)), 40)]);
     crowd.run(millis(4000), &[]);
-    assert_eq!(crowd.reopened, 0);
+    assert_eq!(crowd.closed_before_reuse, 0);
     // All at once they send one more request and stay.
     for behavior in crowd.behaviors.values_mut() {
         *behavior = Behavior::OneRequest;
@@ -132,7 +132,7 @@
             millis(5000),
             &[(Behavior::Silent, 70), (Behavior::OneRequest, 150), (Behavior::RequestEvery(millis(300)), 20)],
         );
-        (crowd.closed.into_iter().collect::<Vec<_>>(), crowd.next, crowd.rejected)
+        (crowd.closed.into_iter().collect::<Vec<_>>(), crowd.last_id, crowd.rejected)
     };
     assert_eq!(run(), run());
 }
@@ -153,9 +153,9 @@
         if stop == Stop::Accepting {
             crowd.table.stop_accepting();
         }
-        let before = crowd.closed.get(&Reason::UnlikelyToReturn).map_or(0, Vec::len);
+        let before = crowd.closed.get(&CloseOrderReason::UnlikelyToReturn).map_or(0, Vec::len);
         crowd.run(millis(400), &[]);
-        crowd.closed.get(&Reason::UnlikelyToReturn).map_or(0, Vec::len) - before
+        crowd.closed.get(&CloseOrderReason::UnlikelyToReturn).map_or(0, Vec::len) - before
     };
     assert!(closed_after(Stop::Nothing) > 10);
     assert_eq!(closed_after(Stop::Accepting), 0);
@@ -170,7 +170,7 @@
     /// In the 20 s after.
     rejected_later: usize,
     /// Connections at the end.
-    open: usize,
+    open_connections: usize,
     /// At the end.
     limit_after_one_request: Duration,
 }
@@ -190,7 +190,7 @@
             descriptors,
             rejected_at_first,
             rejected_later: crowd.rejected_per_thousand(),
-            open: counts.open,
+            open_connections: counts.open_connections,
             limit_after_one_request: counts.idle_limits.after_one_request,
         }
     });
@@ -200,7 +200,7 @@
             of.descriptors,
             of.rejected_at_first,
             of.rejected_later,
-            of.open,
+            of.open_connections,
             of.limit_after_one_request.as_millis()
         );
     }
--- a/crates/connection-limits/tests/orders.rs
+++ b/crates/connection-limits/tests/orders.rs
@@ -1,8 +1,8 @@
 //! Which connections are closed, when and in which order, and the estimates behind these orders.
 
 use pinetrail_connection_limits::{
-    CloseOrder, ConnectionId, ConnectionTable, DescriptorBudget, GrowthEstimator, Limits, Phase, Reason,
-    ReuseEstimator, Timestamp, INTERVAL_STARTS,
+    CloseOrder, CloseOrderReason, ConnectionId, ConnectionTable, DescriptorBudget, GrowthEstimator, Limits,
+    Phase, ReuseEstimator, Timestamp, INTERVAL_STARTS,
 };
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     Timestamp::from_millis(ms)
 }
 
-fn ids_and_reasons(orders: Vec<CloseOrder>) -> Vec<(ConnectionId, Reason)> {
+fn ids_and_reasons(orders: Vec<CloseOrder>) -> Vec<(ConnectionId, CloseOrderReason)> {
     orders.into_iter().map(|order| (order.id, order.reason)).collect()
 }
 
@@ -36,11 +36,11 @@
     table.set_phase(at_ms(60), 2, Phase::CommandOpen);
     table.set_phase(at_ms(70), 2, Phase::Idle);
     table.set_phase(at_ms(80), 3, Phase::PartialFirstCommand);
-    assert_eq!(ids_and_reasons(table.make_room(at_ms(500), 1)), [(4, Reason::Evicted)]);
-    assert_eq!(ids_and_reasons(table.make_room(at_ms(500), 1)), [(5, Reason::Evicted)]);
+    assert_eq!(ids_and_reasons(table.make_room(at_ms(500), 1)), [(4, CloseOrderReason::Evicted)]);
+    assert_eq!(ids_and_reasons(table.make_room(at_ms(500), 1)), [(5, CloseOrderReason::Evicted)]);
     // A partial command is spared for 600 ms from the arrival of its connection on.
-    assert_eq!(ids_and_reasons(table.make_room(at_ms(500), 9)), [(2, Reason::Evicted)]);
-    assert_eq!(ids_and_reasons(table.make_room(at_ms(620), 9)), [(3, Reason::Evicted)]);
+    assert_eq!(ids_and_reasons(table.make_room(at_ms(500), 9)), [(2, CloseOrderReason::Evicted)]);
+    assert_eq!(ids_and_reasons(table.make_room(at_ms(620), 9)), [(3, CloseOrderReason::Evicted)]);
     assert_eq!(ids_and_reasons(table.make_room(at_ms(9000), 9)), []);
 }
 
@@ -51,15 +51,15 @@
     // Honest clients may take 2 s for a command.
     assert_eq!(table.expired(at_ms(2400)), []);
     let first = table.expired(at_ms(2500))[0];
-    assert_eq!((first.phase, first.reason), (Phase::Silent, Reason::Overdue));
+    assert_eq!((first.phase, first.reason), (Phase::Silent, CloseOrderReason::Overdue));
     assert_eq!(table.expired(at_ms(2550)), []);
     // It was used before it was closed: it may stay, and the order is outdated.
-    let seq = table.set_phase(at_ms(2600), 1, Phase::CommandOpen);
-    assert_ne!(seq, first.seq);
+    let phase_number = table.set_phase(at_ms(2600), 1, Phase::CommandOpen);
+    assert_ne!(phase_number, first.phase_number);
     assert_eq!(table.expired(at_ms(9000)), []);
     let idle = table.set_phase(at_ms(9000), 1, Phase::Idle);
     assert_eq!(table.expired(at_ms(19_000)), []);
-    assert_eq!(table.expired(at_ms(20_000))[0].seq, idle);
+    assert_eq!(table.expired(at_ms(20_000))[0].phase_number, idle);
 }
 
 #[test]
@@ -71,7 +71,7 @@
         table.set_phase(at_ms(at), 1, Phase::ResponseUnread);
         assert_eq!(table.expired(at_ms(at + 4900)), []);
     }
-    assert_eq!(ids_and_reasons(table.expired(at_ms(13_100))), [(1, Reason::Overdue)]);
+    assert_eq!(ids_and_reasons(table.expired(at_ms(13_100))), [(1, CloseOrderReason::Overdue)]);
 }
 
 #[test]
--- a/src/net/backend/response.rs
+++ b/src/net/backend/response.rs
@@ -5,7 +5,7 @@
 use crate::net::dispatcher::{AttemptRequest, Payload};
 use pinetrail_codec::http::{self, Body, Head};
 use pinetrail_codec::memcache::{self, BackendResponse};
-use pinetrail_codec::{Parsed, Unparsed, MAX_STREAMED_VALUE_BYTES, MAX_VALUE_BYTES};
+use pinetrail_codec::{ParseError, Parsed, MAX_STREAMED_VALUE_BYTES, MAX_VALUE_BYTES};
 
 /// The longest response that is buffered, in bytes: a value with its head and chunk headers.
 ///
@@ -104,11 +104,11 @@
     },
 }
 
-impl<E> From<Unparsed<E>> for ParsedResponse {
-    fn from(unparsed: Unparsed<E>) -> ParsedResponse {
-        match unparsed {
-            Unparsed::Incomplete => ParsedResponse::Incomplete,
-            Unparsed::Malformed { .. } => ParsedResponse::Malformed,
+impl<E> From<ParseError<E>> for ParsedResponse {
+    fn from(error: ParseError<E>) -> ParsedResponse {
+        match error {
+            ParseError::Incomplete => ParsedResponse::Incomplete,
+            ParseError::Malformed { .. } => ParsedResponse::Malformed,
         }
     }
 }
@@ -150,7 +150,7 @@
 fn parse_memcache(attempt: &AttemptRequest, bytes: &[u8]) -> ParsedResponse {
     let Parsed { message, length } = match memcache::parse_response(bytes, &attempt.request.opaque) {
         Ok(parsed) => parsed,
-        Err(unparsed) => return unparsed.into(),
+        Err(error) => return error.into(),
     };
     // Only values, receipts and misses contain the id of the request.
     let identification = match message {
@@ -183,7 +183,7 @@
 fn parse_http(attempt: &AttemptRequest, bytes: &[u8], input: InputState) -> ParsedResponse {
     let Parsed { message: head, length: body_at } = match http::parse_final_head(bytes) {
         Ok(parsed) => parsed,
-        Err(unparsed) => return unparsed.into(),
+        Err(error) => return error.into(),
     };
     if head.id.as_ref().is_some_and(|id| *id != attempt.request.opaque) {
         return ParsedResponse::Malformed;
@@ -204,7 +204,7 @@
         // A chunked body is buffered, since the client needs its length before the first byte.
         Body::Chunked => match http::parse_chunked_body(rest, MAX_VALUE_BYTES) {
             Ok(Parsed { message: body, length }) => (body, body_at + length),
-            Err(unparsed) => return unparsed.into(),
+            Err(error) => return error.into(),
         },
     };
     let is_complete = used == bytes.len() && head.body != Body::UntilClose;
--- a/src/net/client/connection/close.rs
+++ b/src/net/client/connection/close.rs
@@ -3,7 +3,7 @@
 
 use super::{Activity, Connection, State};
 use crate::net::request_log::CloseReason;
-use pinetrail_connection_limits::{Phase, Reason, Timestamp};
+use pinetrail_connection_limits::{CloseOrderReason, Phase, Timestamp};
 use std::net::Shutdown;
 
 /// Whether a connection continues after a step.
@@ -51,7 +51,7 @@
     /// Reason: a reset would lose a command that arrives during the close, so unread input is read
     /// first.
     /// Source: docs/connection-limits.md.
-    fn apply_close_order(&mut self, reason: Reason) -> Progress {
+    fn apply_close_order(&mut self, reason: CloseOrderReason) -> Progress {
         let is_open = self.state == State::Open;
         match self.reported.phase {
             // A partial command gets an error as its response.
@@ -66,7 +66,7 @@
             // The unread input may contain a command, so it is read before the close.
             Phase::Silent | Phase::Idle if is_open && self.has_unread_input() => {}
             // No other connection needs the descriptor, so this one is closed without a reset.
-            Phase::Silent | Phase::Idle if is_open && reason == Reason::Overdue => {
+            Phase::Silent | Phase::Idle if is_open && reason == CloseOrderReason::Overdue => {
                 self.count_close(reason);
                 self.state = State::Finishing;
             }
@@ -79,13 +79,13 @@
     }
 
     /// Counts a close order, and records its reason for the request log.
-    fn count_close(&mut self, reason: Reason) {
+    fn count_close(&mut self, reason: CloseOrderReason) {
         self.service.count_close(reason);
         self.close_reason = Some(match reason {
-            Reason::Overdue => CloseReason::Overdue,
-            Reason::UnlikelyToReturn => CloseReason::UnlikelyToReturn,
-            Reason::OverBudget => CloseReason::OverBudget,
-            Reason::Evicted => CloseReason::Evicted,
+            CloseOrderReason::Overdue => CloseReason::Overdue,
+            CloseOrderReason::UnlikelyToReturn => CloseReason::UnlikelyToReturn,
+            CloseOrderReason::OverBudget => CloseReason::OverBudget,
+            CloseOrderReason::Evicted => CloseReason::Evicted,
         });
     }
 
--- a/src/net/client/connection/input.rs
+++ b/src/net/client/connection/input.rs
@@ -6,7 +6,7 @@
 use super::{Connection, Received, State, REQUEST_OVERHEAD_BYTES};
 use crate::net::deadline_stream::{has_hung_up, try_read};
 use pinetrail_codec::memcache;
-use pinetrail_codec::{Parsed, Unparsed, MAX_VALUE_BYTES};
+use pinetrail_codec::{ParseError, Parsed, MAX_VALUE_BYTES};
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant};
 
@@ -109,7 +109,7 @@
         let mut used = 0;
         while self.state == State::Open && !self.is_full() {
             match memcache::parse_command(&self.input[used..]) {
-                Err(Unparsed::Incomplete) => break,
+                Err(ParseError::Incomplete) => break,
                 Ok(Parsed { message: command, length }) => {
                     // A pipeline waits while memory is short, since its own responses will free
                     // some.
@@ -120,7 +120,7 @@
                     used += length;
                     self.received = Received::CompleteCommand;
                 }
-                Err(Unparsed::Malformed { error, skip }) => {
+                Err(ParseError::Malformed { error, skip }) => {
                     self.respond_malformed(error);
                     match skip {
                         Some(length) => used += length,
--- a/src/net/client/connection/mod.rs
+++ b/src/net/client/connection/mod.rs
@@ -22,7 +22,7 @@
 use crate::net::request_log::{self, CloseReason};
 use close::Progress;
 use pinetrail_codec::MAX_VALUE_BYTES;
-use pinetrail_connection_limits::{ConnectionId, Phase, Seq, Timestamp};
+use pinetrail_connection_limits::{ConnectionId, Phase, PhaseNumber, Timestamp};
 use std::collections::VecDeque;
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -97,7 +97,7 @@
 struct ReportedPhase {
     phase: Phase,
     /// The count of the connection's phases, by which a close order refers to this one.
-    seq: Seq,
+    seq: PhaseNumber,
 }
 
 /// One client connection and its open commands.
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -25,7 +25,7 @@
 use super::memory::MemoryBudget;
 use super::time_limits::TIMER_LATENCY;
 use disconnecting::Disconnecting;
-use pinetrail_connection_limits::{ConnectionId, Phase, Reason, Seq};
+use pinetrail_connection_limits::{CloseOrderReason, ConnectionId, Phase, PhaseNumber};
 use registry::ConnectionRegistry;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -233,7 +233,7 @@
         self.closes_when_idle.load(Ordering::Acquire)
     }
 
-    fn set_phase(&self, id: ConnectionId, phase: Phase) -> Seq {
+    fn set_phase(&self, id: ConnectionId, phase: Phase) -> PhaseNumber {
         let now = self.descriptors.now();
         self.with_registry(|registry| registry.set_phase(now, id, phase))
     }
@@ -247,12 +247,12 @@
         self.with_registry(|registry| registry.remove(now, id));
     }
 
-    fn count_close(&self, reason: Reason) {
+    fn count_close(&self, reason: CloseOrderReason) {
         let counter = match reason {
-            Reason::Overdue => &self.counters.connections_overdue,
-            Reason::UnlikelyToReturn => &self.counters.connections_unlikely_to_return,
-            Reason::OverBudget => &self.counters.connections_over_budget,
-            Reason::Evicted => &self.counters.connections_evicted,
+            CloseOrderReason::Overdue => &self.counters.connections_overdue,
+            CloseOrderReason::UnlikelyToReturn => &self.counters.connections_unlikely_to_return,
+            CloseOrderReason::OverBudget => &self.counters.connections_over_budget,
+            CloseOrderReason::Evicted => &self.counters.connections_evicted,
         };
         counter.increment();
     }
--- a/src/net/client/registry.rs
+++ b/src/net/client/registry.rs
@@ -3,7 +3,7 @@
 
 use may::io::WaitIoWaker;
 use pinetrail_connection_limits::{
-    CloseOrder, ConnectionId, ConnectionTable, Limits, Phase, Reason, Seq, Timestamp,
+    CloseOrder, CloseOrderReason, ConnectionId, ConnectionTable, Limits, Phase, PhaseNumber, Timestamp,
 };
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -39,21 +39,26 @@
 
     /// Orders the connection to close, unless it enters another phase first.
     pub(super) fn close(&self, order: CloseOrder) {
-        self.order.store(encode_order(order.seq, order.reason), Ordering::Release);
+        self.order.store(encode_order(order.phase_number, order.reason), Ordering::Release);
         self.wake();
     }
 
     /// Returns the reason of the close order, if there is one for this phase.
-    pub(super) fn close_reason(&self, seq: Seq) -> Option<Reason> {
+    pub(super) fn close_reason(&self, seq: PhaseNumber) -> Option<CloseOrderReason> {
         let order = self.order.load(Ordering::Acquire);
-        let reasons = [Reason::Overdue, Reason::UnlikelyToReturn, Reason::OverBudget, Reason::Evicted];
+        let reasons = [
+            CloseOrderReason::Overdue,
+            CloseOrderReason::UnlikelyToReturn,
+            CloseOrderReason::OverBudget,
+            CloseOrderReason::Evicted,
+        ];
         reasons.into_iter().find(|reason| order == encode_order(seq, *reason))
     }
 }
 
 /// Encodes a close order as one number that can be stored atomically: the count of the phase, and
 /// the reason in the low byte, counted from 1.
-fn encode_order(seq: Seq, reason: Reason) -> u64 {
+fn encode_order(seq: PhaseNumber, reason: CloseOrderReason) -> u64 {
     const REASON_BITS: u32 = 8;
     u64::from(seq) << REASON_BITS | (reason as u64 + 1)
 }
@@ -77,7 +82,7 @@
 
     /// Returns the number of open connections.
     pub(super) fn open_connections(&self) -> usize {
-        self.table.open()
+        self.table.open_connections()
     }
 
     pub(super) fn insert(&mut self, now: Timestamp, id: ConnectionId, handle: Arc<ConnectionHandle>) {
@@ -91,7 +96,7 @@
     }
 
     /// Records that a connection enters a phase; returns the count of its phases.
-    pub(super) fn set_phase(&mut self, now: Timestamp, id: ConnectionId, phase: Phase) -> Seq {
+    pub(super) fn set_phase(&mut self, now: Timestamp, id: ConnectionId, phase: Phase) -> PhaseNumber {
         self.table.set_phase(now, id, phase)
     }
 
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -8,7 +8,7 @@
 use crate::interface::ListForm;
 use crate::net::deadline_stream::DeadlineStream;
 use pinetrail_codec::http::{self, Body, Head};
-use pinetrail_codec::{Parsed, Unparsed};
+use pinetrail_codec::{ParseError, Parsed};
 use pinetrail_config::Catalog;
 use std::convert::Infallible;
 use std::io::ErrorKind;
@@ -108,8 +108,8 @@
     fn take_chunks(&mut self, lists: &mut ListReader) -> Result<(), WatchError> {
         loop {
             let used = match http::parse_chunk(&self.buffer, MAX_LIST_BYTES) {
-                Err(Unparsed::Incomplete) => return Ok(()),
-                Err(Unparsed::Malformed { error, .. }) => return Err(error.into()),
+                Err(ParseError::Incomplete) => return Ok(()),
+                Err(ParseError::Malformed { error, .. }) => return Err(error.into()),
                 Ok(Parsed { message: [], .. }) => return Err(WatchError::ResponseEnded),
                 Ok(Parsed { message: chunk, length }) => {
                     lists.push(chunk)?;
@@ -133,8 +133,8 @@
     loop {
         read_some(stream, buffer, deadline)?;
         match http::parse_head(buffer) {
-            Err(Unparsed::Incomplete) => {}
-            Err(Unparsed::Malformed { error, .. }) => return Err(error.into()),
+            Err(ParseError::Incomplete) => {}
+            Err(ParseError::Malformed { error, .. }) => return Err(error.into()),
             Ok(Parsed { message: head, length }) => {
                 buffer.drain(..length);
                 return Ok(head);
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -33,7 +33,7 @@
             services.discovery.change_address(newer.discovery);
         }
         self.apply_fleet_peers(&newer);
-        let needs_restart = config.changes_at_restart(&newer);
+        let needs_restart = config.keys_that_need_restart(&newer);
         if !needs_restart.is_empty() {
             log(&format!("reload: only the next start applies the new {}", needs_restart.join(", ")));
         }
