--- a/crates/experiments/src/quota/day/world.rs
+++ b/crates/experiments/src/quota/day/world.rs
@@ -2,7 +2,7 @@
 
 use super::script::Fault;
 use super::{take_due, Day, Rule, CALLS_PER_PROXY, CALL_DURATION_MS, DEADLINE_MS, STEP_MS};
-use pinetrail_quota::WHOLE_PARTS;
+use pinetrail_quota::TOTAL_PARTS;
 use pinetrail_simulation::origin::Origin;
 use pinetrail_simulation::quota::QuotaSimulation;
 use rand::rngs::StdRng;
@@ -153,7 +153,7 @@
             }
             Rule::Leased => {
                 let parts = self.quota.as_ref().map_or(0, |quota| quota.usable_parts(proxy));
-                parts as f64 / WHOLE_PARTS as f64
+                parts as f64 / TOTAL_PARTS as f64
             }
         }
     }
@@ -166,7 +166,7 @@
     /// The largest sum of leased quotas, attempts under earlier quotas included.
     pub(super) fn largest_quota_in_use(&self) -> Option<f64> {
         let quota = self.quota.as_ref()?;
-        Some(quota.max_parts_in_use as f64 / WHOLE_PARTS as f64)
+        Some(quota.max_parts_in_use as f64 / TOTAL_PARTS as f64)
     }
 
     fn living(&self) -> Vec<usize> {
--- a/crates/quota/src/leader_term.rs
+++ b/crates/quota/src/leader_term.rs
@@ -166,7 +166,7 @@
 
     fn record_vote(&mut self, response: &VoteResponse, settings: &Settings) {
         let expires_at = self.votes.entry(response.from).or_default();
-        *expires_at = (*expires_at).max(response.request_sent_at.by_own_clock() + settings.vote_duration);
+        *expires_at = (*expires_at).max(response.request_sent_at.local_timestamp() + settings.vote_duration);
         let proposed_ballot = self.proposed_view.as_ref().map(|view| view.ballot);
         if response.accepts.is_some() && response.accepts == proposed_ballot {
             self.accepted_by.insert(response.from);
--- a/crates/quota/src/leader_term/view_change.rs
+++ b/crates/quota/src/leader_term/view_change.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// A voter that does not vote within this many heartbeat periods is left out of the next view.
-const HEARTBEATS_TO_VOTE: u32 = 2;
+const VOTE_TIMEOUT_HEARTBEATS: u32 = 2;
 
 impl LeaderTerm {
     /// The view that must be decided before this term leads, if there is one.
@@ -68,7 +68,7 @@
         settings: &Settings,
     ) {
         let Some(view) = &self.view else { return };
-        if now >= self.view_decided_at + settings.heartbeat_period * HEARTBEATS_TO_VOTE {
+        if now >= self.view_decided_at + settings.heartbeat_period * VOTE_TIMEOUT_HEARTBEATS {
             let has_voted =
                 |process: &Process| self.votes.get(process).is_some_and(|expires_at| now < *expires_at);
             voters.retain(|process| !view.is_voter(process) || has_voted(process));
--- a/crates/quota/src/leases/lease.rs
+++ b/crates/quota/src/leases/lease.rs
@@ -80,7 +80,7 @@
     /// be delayed; and a late grant for an earlier request must not undo a later, smaller one.
     /// Source: Gray and Cheriton 1989.
     pub(crate) fn renew(&mut self, now: Timestamp, grant: &LeaseGrant, max_duration: Duration) -> bool {
-        let requested_at = grant.request_sent_at.by_own_clock();
+        let requested_at = grant.request_sent_at.local_timestamp();
         if requested_at <= self.last_lease().requested_at {
             return false;
         }
--- a/crates/quota/src/leases/ledger.rs
+++ b/crates/quota/src/leases/ledger.rs
@@ -4,7 +4,7 @@
 use crate::message::{LeaseRequest, RequestTime};
 use crate::settings::Settings;
 use crate::view::Process;
-use crate::{Parts, LEASED_PARTS};
+use crate::{Parts, LEASABLE_PARTS};
 use pinetrail_clock::Timestamp;
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     /// The holder may use these parts.
     Granted(Parts),
     /// Nothing is free for this holder yet.
-    NothingFree,
+    NoFreeParts,
 }
 
 /// What one holder was granted for one request.
@@ -68,7 +68,7 @@
         let parts = self.allocate(now, holder, request, settings);
         self.record(now, holder, request, parts, settings);
         match parts {
-            0 => LeaseDecision::NothingFree,
+            0 => LeaseDecision::NoFreeParts,
             parts => LeaseDecision::Granted(parts),
         }
     }
@@ -120,14 +120,14 @@
     /// sudden increase would be a burst at the origin.
     /// Source: Gray and Cheriton 1989 (a server that recovers waits for the longest lease).
     fn allocate(&self, now: Timestamp, holder: Process, request: LeaseRequest, settings: &Settings) -> Parts {
-        let equal_part = LEASED_PARTS / self.requested_at.len().max(1) as Parts;
+        let equal_part = LEASABLE_PARTS / self.requested_at.len().max(1) as Parts;
         if now < self.complete_at {
             return equal_part.min(request.held_parts);
         }
         let step = equal_part.div_ceil(settings.growth_steps);
         let others = self.granted.iter().filter(|(process, _)| **process != holder);
         let used_by_others: Parts = others.map(|(_, leases)| max_parts_in_use(leases)).sum();
-        let free = LEASED_PARTS.saturating_sub(used_by_others);
+        let free = LEASABLE_PARTS.saturating_sub(used_by_others);
         equal_part.min(request.held_parts + step).min(free)
     }
 
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -49,6 +49,6 @@
 /// A fraction of the fleet's limits, in parts per billion.
 pub type Parts = u64;
 /// All parts: the whole of the fleet's limits.
-pub const WHOLE_PARTS: Parts = 1_000_000_000;
+pub const TOTAL_PARTS: Parts = 1_000_000_000;
 /// The parts that are leased; the other half is divided into guaranteed minimums.
-pub const LEASED_PARTS: Parts = WHOLE_PARTS / 2;
+pub const LEASABLE_PARTS: Parts = TOTAL_PARTS / 2;
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -23,7 +23,7 @@
     }
 
     /// The point in time by the clock of this process, which must have sent the request.
-    pub(crate) fn by_own_clock(self) -> Timestamp {
+    pub(crate) fn local_timestamp(self) -> Timestamp {
         self.0
     }
 }
--- a/crates/quota/src/quota_leases.rs
+++ b/crates/quota/src/quota_leases.rs
@@ -111,7 +111,7 @@
 
     /// Notes that this process shuts down soon. It keeps its lease for as long as it runs, but is a
     /// voter in no view after the present one.
-    pub fn leave(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         self.voter.leaving = true;
     }
 
--- a/crates/quota/src/quota_leases/election.rs
+++ b/crates/quota/src/quota_leases/election.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// A candidate waits for votes for this many heartbeat periods.
-const CANDIDACY_HEARTBEATS: u32 = 4;
+const CANDIDACY_TIMEOUT_HEARTBEATS: u32 = 4;
 /// Without a leader for this many durations of a lease, a view may be lost.
-const LEASES_UNTIL_VIEW_IS_LOST: u32 = 2;
+const VIEW_LOSS_TIMEOUT_LEASES: u32 = 2;
 /// An odd number whose bits are mixed well (2^64 divided by the golden ratio).
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// The upper half of a hash, whose bits are mixed best.
@@ -45,7 +45,7 @@
     fn election_kind(&self, now: Timestamp) -> Option<ElectionKind> {
         let is_founder = self.settings.is_founder(&self.local.address);
         let is_voter = self.voter.is_voter();
-        let time_until_lost = self.settings.lease_duration * LEASES_UNTIL_VIEW_IS_LOST;
+        let time_until_lost = self.settings.lease_duration * VIEW_LOSS_TIMEOUT_LEASES;
         let may_be_lost = now >= self.voter.last_leader_contact + time_until_lost;
         let tries_founding = may_be_lost && self.lost_elections % 2 == 1;
         if is_founder && (!is_voter || tries_founding) {
@@ -73,13 +73,13 @@
         };
         let before = candidates.iter().take_while(|address| **address != self.local.address);
         let rank = before.filter(|address| self.is_alive(address)).count();
-        let turn = self.settings.heartbeat_period * (1 + rank as u32);
+        let rank_delay = self.settings.heartbeat_period * (1 + rank as u32);
         let votes_expired_at = since + self.settings.with_skew(self.settings.vote_duration);
-        votes_expired_at + turn + self.election_spread(rank as u64)
+        votes_expired_at + rank_delay + self.election_jitter(rank as u64)
     }
 
     /// A part of a heartbeat period that differs between processes and elections.
-    fn election_spread(&self, rank: u64) -> Duration {
+    fn election_jitter(&self, rank: u64) -> Duration {
         let seed = (self.local.start ^ rank).wrapping_add(self.lost_elections);
         let hash = seed.wrapping_mul(HASH_MULTIPLIER) >> HASH_SHIFT_BITS;
         Duration::from_millis(hash % whole_millis(self.settings.heartbeat_period))
@@ -91,7 +91,7 @@
 
     /// Whether a candidate got too few votes in its time.
     pub(super) fn has_candidacy_timed_out(&self, term: &LeaderTerm, now: Timestamp) -> bool {
-        let time_to_wait = self.settings.heartbeat_period * CANDIDACY_HEARTBEATS;
+        let time_to_wait = self.settings.heartbeat_period * CANDIDACY_TIMEOUT_HEARTBEATS;
         term.phase == Phase::RequestingVotes && now >= term.started_at + time_to_wait
     }
 
--- a/crates/quota/src/quota_leases/messages.rs
+++ b/crates/quota/src/quota_leases/messages.rs
@@ -127,14 +127,14 @@
         let age_of_votes = term.age_of_votes(now, &self.settings);
         let duration = self.settings.lease_duration.saturating_sub(age_of_votes);
         let Phase::Leading { since, ledger } = &mut term.phase else { return };
-        if response.request_sent_at.by_own_clock() < *since {
+        if response.request_sent_at.local_timestamp() < *since {
             return;
         }
         self.voter.last_leader_contact = now;
         let request = response.lease_request;
         let parts = match ledger.grant(now, response.from, request, &self.settings) {
             LeaseDecision::Granted(parts) => parts,
-            LeaseDecision::NothingFree => {
+            LeaseDecision::NoFreeParts => {
                 self.counters.leases_rejected += 1;
                 return;
             }
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -1,6 +1,6 @@
 //! [`Settings`]: which processes may vote, how many may run, and the durations of votes and leases.
 
-use crate::{Parts, LEASED_PARTS};
+use crate::{Parts, LEASABLE_PARTS};
 use pinetrail_clock::whole_millis;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -60,13 +60,13 @@
     /// Too few or too many founders, or not sorted, or one of them twice. The text is recorded by
     /// golden tests, with its older word for the addresses of founders.
     #[error("founders: {count} seats, 1 to {MAX_FOUNDERS} expected, each once")]
-    Founders {
+    InvalidFounders {
         /// How many there are.
         count: usize,
     },
     /// There are more founders than processes.
     #[error("size {size} is below the number of founders, {founders}")]
-    Size {
+    SizeBelowFounders {
         /// The most processes that may run at once.
         size: usize,
         /// How many founders there are.
@@ -112,10 +112,10 @@
         let count = self.founders.len();
         let is_sorted_set = self.founders.windows(2).all(|pair| pair[0] < pair[1]);
         if !is_sorted_set || !(1..=MAX_FOUNDERS).contains(&count) {
-            return Err(SettingsError::Founders { count });
+            return Err(SettingsError::InvalidFounders { count });
         }
         if self.size < count {
-            return Err(SettingsError::Size { size: self.size, founders: count });
+            return Err(SettingsError::SizeBelowFounders { size: self.size, founders: count });
         }
         let heartbeat_ms = whole_millis(self.heartbeat_period);
         let vote_ms = whole_millis(self.vote_duration);
@@ -150,7 +150,7 @@
 
     /// The parts that are always each process's own.
     pub fn guaranteed_minimum(&self) -> Parts {
-        LEASED_PARTS / self.size as Parts
+        LEASABLE_PARTS / self.size as Parts
     }
 
     /// How long a duration on another process's clock may last on this one.
--- a/crates/quota/src/voter/tests.rs
+++ b/crates/quota/src/voter/tests.rs
@@ -39,7 +39,7 @@
     let voter = Voter::new(process(2), STARTED_AT);
     let check = |millis| voter.check_vote(after_start(millis), &founding_request(1, 1), &settings());
     // A vote of 1,200 ms lasts 1,225 ms on a clock that is 2 percent faster.
-    assert_eq!(check(1_224), Err(VoteRefusal::PredecessorVoteMayLast));
+    assert_eq!(check(1_224), Err(VoteRefusal::PredecessorVoteMayBeActive));
     assert_eq!(check(1_225), Ok(()));
 }
 
@@ -63,9 +63,9 @@
     let view = View { ballot, number: 1, voters: vec![process(1), process(3)] };
     let request = VoteRequest { founding: false, view: Some(view.clone()), ..founding_request(2, 1) };
     let now = after_start(2_000);
-    assert_eq!(voter.check_vote(now, &request, &settings()), Err(VoteRefusal::OtherView));
+    assert_eq!(voter.check_vote(now, &request, &settings()), Err(VoteRefusal::ViewMismatch));
     voter.adopt(&view);
     assert_eq!(voter.check_vote(now, &request, &settings()), Err(VoteRefusal::NotVoter));
     let founding = founding_request(3, 1);
-    assert_eq!(voter.check_vote(now, &founding, &settings()), Err(VoteRefusal::FleetIsAlive));
+    assert_eq!(voter.check_vote(now, &founding, &settings()), Err(VoteRefusal::RecentLeaderContact));
 }
--- a/crates/quota/src/voter/vote_rules.rs
+++ b/crates/quota/src/voter/vote_rules.rs
@@ -13,15 +13,15 @@
     /// Another candidate has its vote.
     HeldByOtherCandidate,
     /// It knows another view than the candidate, or one of them knows none.
-    OtherView,
+    ViewMismatch,
     /// It is not a voter of the view.
     NotVoter,
     /// It is not a founder, and the candidate founds a fleet.
     NotFounder,
     /// The process before it at its address may have granted a vote that has not expired.
-    PredecessorVoteMayLast,
+    PredecessorVoteMayBeActive,
     /// Its fleet had a leader within the duration of a lease.
-    FleetIsAlive,
+    RecentLeaderContact,
 }
 
 impl Voter {
@@ -56,7 +56,7 @@
                     Err(VoteRefusal::NotVoter)
                 }
             }
-            _ => Err(VoteRefusal::OtherView),
+            _ => Err(VoteRefusal::ViewMismatch),
         }
     }
 
@@ -73,10 +73,10 @@
             return Err(VoteRefusal::NotFounder);
         }
         if now < self.started_at + settings.with_skew(settings.vote_duration) {
-            return Err(VoteRefusal::PredecessorVoteMayLast);
+            return Err(VoteRefusal::PredecessorVoteMayBeActive);
         }
         if self.view.is_some() && now < self.last_leader_contact + settings.lease_duration {
-            return Err(VoteRefusal::FleetIsAlive);
+            return Err(VoteRefusal::RecentLeaderContact);
         }
         Ok(())
     }
--- a/crates/quota/src/wire.rs
+++ b/crates/quota/src/wire.rs
@@ -18,7 +18,7 @@
     TrailingBytes(usize),
     /// The sender's founders, size or times are not this process's.
     #[error("other founders, size or times")]
-    OtherSettings,
+    SettingsMismatch,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -46,7 +46,7 @@
         return Err(DecodeError::TrailingBytes(rest.len()));
     }
     if envelope.settings_digest != settings.digest() {
-        return Err(DecodeError::OtherSettings);
+        return Err(DecodeError::SettingsMismatch);
     }
     Ok(envelope.message)
 }
--- a/crates/quota/src/wire/tests.rs
+++ b/crates/quota/src/wire/tests.rs
@@ -85,7 +85,7 @@
     ];
     assert_eq!(decode(&settings, &bytes), Ok(longest_vote_request()));
     for other in others {
-        assert_eq!(decode(&other, &bytes), Err(DecodeError::OtherSettings), "{other:?}");
+        assert_eq!(decode(&other, &bytes), Err(DecodeError::SettingsMismatch), "{other:?}");
     }
 }
 
--- a/crates/quota/tests/guarantees.rs
+++ b/crates/quota/tests/guarantees.rs
@@ -2,7 +2,7 @@
 //! and in scripted cases.
 
 use pinetrail_clock::whole_millis;
-use pinetrail_quota::{Parts, Process, QuotaEvent, LEASED_PARTS, WHOLE_PARTS};
+use pinetrail_quota::{Parts, Process, QuotaEvent, LEASABLE_PARTS, TOTAL_PARTS};
 use pinetrail_simulation::model::{PropertyViolation, Scope};
 use pinetrail_simulation::quota::QuotaSimulation;
 use pinetrail_simulation::seeds::{self, Violation};
@@ -37,7 +37,7 @@
 
 /// What a process may use that holds one of so many equal leases.
 fn with_equal_lease(simulation: &QuotaSimulation, holders: usize) -> Parts {
-    simulation.settings.guaranteed_minimum() + LEASED_PARTS / holders as Parts
+    simulation.settings.guaranteed_minimum() + LEASABLE_PARTS / holders as Parts
 }
 
 /// Faults that are drawn from a seed: see `pinetrail_simulation::seeds`. The experiments play more.
@@ -69,7 +69,7 @@
 #[test]
 fn a_lease_grows_by_steps() {
     let simulation = settled_fleet(HOSTS, 8, 1);
-    let equal_part = LEASED_PARTS / HOSTS as Parts;
+    let equal_part = LEASABLE_PARTS / HOSTS as Parts;
     for host in 0..HOSTS {
         let mut leased = vec![0];
         for observed in &simulation.observed {
@@ -111,15 +111,15 @@
         })
     };
     assert!(has_expired(0) && has_expired(1) && !has_expired(2));
-    assert!(simulation.max_parts_in_use <= WHOLE_PARTS);
+    assert!(simulation.max_parts_in_use <= TOTAL_PARTS);
 }
 
 /// What each may use when a fleet of this size is cut in halves: none of four has more than its
 /// minimum, and a single process of two or more is not a quorum.
 fn quotas_in_halves(hosts: usize, minimum: Parts) -> Vec<Parts> {
     match hosts {
-        1 => vec![minimum + LEASED_PARTS],
-        3 => vec![minimum, minimum + LEASED_PARTS / 2, minimum + LEASED_PARTS / 2],
+        1 => vec![minimum + LEASABLE_PARTS],
+        3 => vec![minimum, minimum + LEASABLE_PARTS / 2, minimum + LEASABLE_PARTS / 2],
         _ => vec![minimum; hosts],
     }
 }
@@ -166,7 +166,7 @@
     simulation.run(20_000);
     let equal = with_equal_lease(&simulation, 9);
     assert!((0..9).all(|host| simulation.usable_parts(host) == equal));
-    assert!(simulation.max_parts_in_use <= WHOLE_PARTS);
+    assert!(simulation.max_parts_in_use <= TOTAL_PARTS);
 }
 
 /// A fleet in which only the first two hosts run, as the voters of its view; and which of them
@@ -197,7 +197,7 @@
         simulation.run(10_000);
 
         assert!(
-            simulation.max_leaders == 1 && simulation.max_parts_in_use <= WHOLE_PARTS,
+            simulation.max_leaders == 1 && simulation.max_parts_in_use <= TOTAL_PARTS,
             "seed {seed}: {} leaders",
             simulation.max_leaders
         );
@@ -236,7 +236,7 @@
         simulation.run(15_000);
 
         assert!(
-            simulation.max_leaders == 1 && simulation.max_parts_in_use <= WHOLE_PARTS,
+            simulation.max_leaders == 1 && simulation.max_parts_in_use <= TOTAL_PARTS,
             "seed {seed}: {} leaders",
             simulation.max_leaders
         );
@@ -262,5 +262,5 @@
     simulation.run(4 * lease_millis(&simulation));
 
     assert_eq!([7, 8, 9].map(|host| simulation.usable_parts(host)), [with_equal_lease(&simulation, 3); 3]);
-    assert!(simulation.max_parts_in_use <= WHOLE_PARTS);
+    assert!(simulation.max_parts_in_use <= TOTAL_PARTS);
 }
--- a/crates/simulation/src/model.rs
+++ b/crates/simulation/src/model.rs
@@ -10,7 +10,7 @@
 pub use state::{Action, Delivery, Link, MessageFault, State};
 
 use pinetrail_clock::Timestamp;
-use pinetrail_quota::{Parts, Settings, LEASED_PARTS, WHOLE_PARTS};
+use pinetrail_quota::{Parts, Settings, LEASABLE_PARTS, TOTAL_PARTS};
 use state::{host_address, HOSTS};
 use stateright::{Checker, Expectation, Model, Property};
 use std::fmt;
@@ -109,7 +109,7 @@
 
     /// Whether all have equal parts of the leased total.
     fn all_have_equal_leases(&self, state: &State) -> bool {
-        let equal = self.settings.guaranteed_minimum() + LEASED_PARTS / HOSTS as Parts;
+        let equal = self.settings.guaranteed_minimum() + LEASABLE_PARTS / HOSTS as Parts;
         (0..HOSTS).all(|host| self.usable_parts(state, host) == equal)
     }
 }
@@ -118,7 +118,7 @@
 fn safety_properties() -> Vec<Property<Scope>> {
     vec![
         Property::always("quotas add up to one at the most", |scope: &Scope, state: &State| {
-            (0..HOSTS).map(|host| scope.usable_parts(state, host)).sum::<Parts>() <= WHOLE_PARTS
+            (0..HOSTS).map(|host| scope.usable_parts(state, host)).sum::<Parts>() <= TOTAL_PARTS
         }),
         Property::always("one leader at the most", |scope: &Scope, state: &State| {
             (0..HOSTS).filter(|host| scope.is_leader(state, *host)).count() <= 1
@@ -136,7 +136,7 @@
             state.hosts.iter().flatten().any(|leases| leases.view_number() > 2)
         }),
         Property::sometimes("one has more than a third", |scope: &Scope, state: &State| {
-            let third = scope.settings.guaranteed_minimum() + LEASED_PARTS / 3;
+            let third = scope.settings.guaranteed_minimum() + LEASABLE_PARTS / 3;
             (0..HOSTS).any(|host| scope.usable_parts(state, host) > third)
         }),
         Property::sometimes("one has only its guaranteed minimum", |scope: &Scope, state: &State| {
--- a/crates/simulation/src/quota.rs
+++ b/crates/simulation/src/quota.rs
@@ -209,7 +209,7 @@
     /// Announces to the process on a host that it ends soon. The caller kills it.
     pub fn leave(&mut self, host: usize) {
         if let Some(leases) = &mut self.hosts[host].leases {
-            leases.leave();
+            leases.begin_shutdown();
         }
     }
 
--- a/crates/simulation/src/seeds.rs
+++ b/crates/simulation/src/seeds.rs
@@ -2,7 +2,7 @@
 
 use crate::quota::{Clock, QuotaSimulation};
 use crate::Time;
-use pinetrail_quota::{Parts, Process, LEASED_PARTS, WHOLE_PARTS};
+use pinetrail_quota::{Parts, Process, LEASABLE_PARTS, TOTAL_PARTS};
 use rand::RngExt;
 use thiserror::Error;
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Violation {
     /// More than the total was in use, or there were two leaders at once.
-    #[error("{parts_in_use} of {WHOLE_PARTS} in use, {leaders} leaders at {at} ms")]
+    #[error("{parts_in_use} of {TOTAL_PARTS} in use, {leaders} leaders at {at} ms")]
     Unsafe {
         /// The most parts in use at once.
         parts_in_use: Parts,
@@ -51,7 +51,7 @@
         let pause = simulation.rng.random_range(1..4000);
         simulation.run(pause);
         resume_some(&mut simulation);
-        if simulation.max_parts_in_use > WHOLE_PARTS || simulation.max_leaders > 1 {
+        if simulation.max_parts_in_use > TOTAL_PARTS || simulation.max_leaders > 1 {
             return Err(Violation::Unsafe {
                 parts_in_use: simulation.max_parts_in_use,
                 leaders: simulation.max_leaders,
@@ -162,10 +162,10 @@
 }
 
 fn check_recovery(simulation: &QuotaSimulation) -> Result<(), Violation> {
-    let expected = LEASED_PARTS / HOSTS as Parts;
+    let expected = LEASABLE_PARTS / HOSTS as Parts;
     let parts_in_use = simulation.max_parts_in_use;
     let leases: Vec<Parts> = (0..HOSTS).map(|host| simulation.leased_parts(host)).collect();
-    if leases.iter().all(|lease| *lease == expected) && parts_in_use <= WHOLE_PARTS {
+    if leases.iter().all(|lease| *lease == expected) && parts_in_use <= TOTAL_PARTS {
         Ok(())
     } else {
         Err(Violation::NotRecovered { leases, expected, parts_in_use })
--- a/src/net/fleet/quota.rs
+++ b/src/net/fleet/quota.rs
@@ -10,7 +10,7 @@
 use pinetrail_config::QuotaConfig;
 use pinetrail_membership::{Membership, Output as MembershipOutput};
 use pinetrail_quota::{
-    decode, encode, DecodeError, Output, Parts, Process, QuotaCounters, QuotaEvent, QuotaLeases, WHOLE_PARTS,
+    decode, encode, DecodeError, Output, Parts, Process, QuotaCounters, QuotaEvent, QuotaLeases, TOTAL_PARTS,
 };
 
 /// The quota of this process, before its division with another process of the proxy.
@@ -101,7 +101,7 @@
 
     /// Marks this process as shutting down soon, so that later views replace it as a voter.
     pub(super) fn leave(&mut self) {
-        self.leases.leave();
+        self.leases.begin_shutdown();
     }
 
     /// Handles a quota message from another member; returns the new quota if it has changed. Counts
@@ -117,7 +117,7 @@
             Ok(message) => message,
             Err(error) => {
                 self.rejected_messages += 1;
-                if error == DecodeError::OtherSettings {
+                if error == DecodeError::SettingsMismatch {
                     self.log_settings_mismatch();
                 }
                 return None;
@@ -204,7 +204,7 @@
 }
 
 fn fraction(parts: Parts) -> f64 {
-    parts as f64 / WHOLE_PARTS as f64
+    parts as f64 / TOTAL_PARTS as f64
 }
 
 fn changes_quota(event: &QuotaEvent) -> bool {
