--- a/src/net/lifecycle/admin_control.rs
+++ b/src/net/lifecycle/admin_control.rs
@@ -1,5 +1,6 @@
-//! The operators' commands on this process, as [`AdminBackend`]. It needs only the dispatcher:
-//! operators get answers while a process still catches up with the common policy.
+//! Executes the operators' commands on this process: the implementation of [`AdminBackend`]. It
+//! needs no other service than the dispatcher, so that operators get answers while the process is
+//! still catching up with the common policy.
 
 use super::Lifecycle;
 use crate::net::admin::{AdminBackend, FleetReportError, NotReady, NotServing};
@@ -8,7 +9,7 @@
 use crate::net::policy::Policy;
 use std::sync::Arc;
 
-/// The process, as the operators' HTTP endpoint controls it.
+/// The process that the operators' HTTP endpoint controls.
 pub(super) struct AdminControl {
     pub(super) dispatcher: Arc<Dispatcher>,
     pub(super) lifecycle: Arc<Lifecycle>,
--- a/src/net/lifecycle/budget.rs
+++ b/src/net/lifecycle/budget.rs
@@ -1,29 +1,30 @@
-//! What this process may use for clients and backends: the whole budget of the proxy, or a part of
-//! it while two processes of the proxy run. Read [`ProcessBudget`] first.
+//! The descriptors and the memory that this process may use for clients and backends: the whole
+//! budget of the proxy, or a part of it while two processes of the proxy run. Read
+//! [`ProcessBudget`] first.
 
 use crate::net::descriptors::Descriptors;
 use crate::net::hot_restart::{Activity, BudgetGrant, ResourceBudget};
 use crate::net::memory::MemoryBudget;
 use std::sync::Arc;
 
-/// The least that the peer process gets: without descriptors or memory it could serve no client.
+/// The minimum budget of the peer process, which can serve no client without descriptors or memory.
 const MIN_PEER_BUDGET: ResourceBudget = ResourceBudget { descriptors: 8, memory_bytes: 512 * 1024 };
 /// Descriptors that a draining process needs beyond those in use, for attempts at backends.
 const SPARE_DESCRIPTORS: usize = 8;
-/// A serving process keeps this fraction of the whole budget, as a divisor.
+/// The divisor of the whole budget that gives the part of a serving process.
 const SERVING_DIVISOR: usize = 2;
-/// A draining process keeps this fraction of the whole memory, as a divisor.
+/// The divisor of the whole memory that gives the part of a draining process.
 const DRAINING_MEMORY_DIVISOR: usize = 4;
 
 /// The proxy's whole budget, and the counters that enforce this process's part.
 pub(super) struct ProcessBudget {
-    /// What two processes share, without what each needs for itself.
+    /// The budget that two processes share, without the descriptors that each needs for itself.
     pub for_two_processes: ResourceBudget,
-    /// What a single process has.
+    /// The budget of a process that runs alone.
     pub for_one_process: ResourceBudget,
-    /// Descriptors of clients and backends.
+    /// The accounting of the descriptors of clients and backends.
     pub descriptors: Arc<Descriptors>,
-    /// Memory for values.
+    /// The accounting of the memory for values.
     pub memory: Arc<MemoryBudget>,
 }
 
@@ -35,7 +36,7 @@
     /// Reason: a serving process needs half of the budget; a draining one needs what is in use, a
     /// few descriptors for attempts, and a quarter of the memory.
     ///
-    /// Invariant: what is in use is never taken away, even if it is more than this process's part.
+    /// Invariant: resources in use are never taken away, even if they exceed this process's part.
     pub(super) fn shrink(&self, activity: Activity) -> ResourceBudget {
         let total = self.for_two_processes;
         let (descriptors, memory_bytes) = match activity {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Sets what this process may use from now on.
+    /// Sets the descriptors and the memory that this process may use from now on.
     pub(super) fn set(&self, grant: BudgetGrant) {
         let budget = match grant {
             BudgetGrant::Part(budget) => budget,
--- a/src/net/lifecycle/error.rs
+++ b/src/net/lifecycle/error.rs
@@ -1,4 +1,4 @@
-//! [`StartError`]: why a start fails.
+//! The reasons why a start fails: [`StartError`].
 
 use crate::net::fleet::FleetError;
 use crate::net::hot_restart::HandoverError;
@@ -9,30 +9,30 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The error of a service; its module defines the variants.
+/// The error of a service, whose module defines the variants.
 type ServiceError = Box<dyn Error + Send + Sync>;
 
-/// Why a start fails. Its text is the program's last line in the log.
+/// Why a start fails. The text is the last line that the program logs.
 #[derive(Debug, Error)]
 pub(super) enum StartError {
     /// The signal handlers cannot be registered.
-    #[error("{0}")]
+    #[error("cannot register the signal handlers: {0}")]
     Signals(#[source] io::Error),
     /// The configuration cannot be read, or a value in it is not valid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The request log is requested in an unknown format.
+    /// The environment variable that enables the request log has an invalid value.
     #[error(transparent)]
     RequestLog(#[from] RequestLogError),
-    /// The running process of this proxy refuses the handover.
+    /// The running process of this proxy did not hand over.
     #[error(transparent)]
     Handover(#[from] HandoverError),
-    /// The address of the operators' endpoint cannot be listened on.
-    #[error("door at {address}: {source}")]
+    /// The operators' endpoint cannot listen on its address.
+    #[error("admin endpoint: cannot listen on {address}: {source}")]
     AdminListen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// What went wrong.
+        /// The error of the system call.
         source: io::Error,
     },
     /// The fleet's socket cannot be opened.
@@ -41,15 +41,15 @@
     /// The common policy cannot be started.
     #[error("policy: {0}")]
     Policy(#[source] ServiceError),
-    /// The clients' address cannot be listened on.
-    #[error("listen on {address}: {source}")]
+    /// The proxy cannot listen on the clients' address.
+    #[error("cannot listen for clients on {address}: {source}")]
     ClientListen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// What went wrong.
+        /// The error of the system call.
         source: io::Error,
     },
     /// A socket that is already open cannot be used.
-    #[error("{0}")]
+    #[error("cannot use an open socket: {0}")]
     Socket(#[source] io::Error),
 }
--- a/src/net/lifecycle/mod.rs
+++ b/src/net/lifecycle/mod.rs
@@ -1,10 +1,10 @@
-//! The process from start to exit. Read [`Lifecycle`] first: it owns the phase and the running
-//! services, and every signal, operator and peer process acts through it.
+//! Starts, reloads, hands over and stops the process. Read [`Lifecycle`] first: it owns the phase
+//! and the running services, and signals, operators and the peer process all act through it.
 //!
-//! One module for each event: `start` starts the services, `signals` waits on the main thread,
-//! `reload` handles SIGHUP, `shutdown` handles SIGTERM, `peer` handles the other process of a hot
-//! restart, `admin_control` handles operators. `state` decides the phase; its module documentation
-//! has the table of phases and events.
+//! Each kind of event has one module: `start` starts the services, `signals` waits on the main
+//! thread, `reload` handles SIGHUP, `shutdown` handles SIGTERM, `peer` handles the other process of
+//! a hot restart, `admin_control` handles operators. `state` decides the phase; its module
+//! documentation has the table of phases and events.
 
 mod admin_control;
 mod budget;
@@ -47,16 +47,16 @@
     /// The phase, and the state from which it is derived.
     state: Mutex<LifecycleState>,
     counters: Arc<Counters>,
-    /// Set once, when all services run.
+    /// The running services. Set once, when all of them run.
     services: OnceLock<RunningServices>,
     hot_restart: Arc<HotRestart>,
-    /// Set only if a fleet is configured.
+    /// This process's part in its fleet. Set only if a fleet is configured.
     fleet: OnceLock<Arc<Fleet>>,
-    /// Set only if a common policy is configured.
+    /// This process's part in the common policy. Set only if a common policy is configured.
     policy: OnceLock<Arc<Policy>>,
 }
 
-/// The services of a running proxy, as signals, operators and the peer process reach them.
+/// The services of a running proxy, on which signals, operators and the peer process act.
 struct RunningServices {
     dispatcher: Arc<Dispatcher>,
     clients: Arc<ClientService>,
@@ -65,7 +65,7 @@
     budget: ProcessBudget,
 }
 
-/// Runs the program from start to exit.
+/// Runs the program from start to exit, and returns its exit code.
 pub fn run() -> ExitCode {
     match Lifecycle::new().run_until_exit() {
         Ok(()) => ExitCode::SUCCESS,
@@ -88,12 +88,13 @@
         })
     }
 
-    /// Whether this process accepts clients, even if only to direct them to other proxies.
+    /// Whether this process accepts clients, even if only to direct them to other proxies, and is
+    /// not fenced.
     pub fn is_ready(&self) -> bool {
         self.accepts_clients() && !self.is_fenced()
     }
 
-    /// Whether this process accepts clients, with the reason if it does not.
+    /// Checks whether this process accepts clients and is not fenced.
     ///
     /// Decides: whether operators and load balancers read that this process is ready.
     /// Inputs: the phase, and whether the process is fenced.
@@ -101,7 +102,7 @@
     ///
     /// # Errors
     ///
-    /// [`NotReady`] while it accepts none.
+    /// [`NotReady`] with the reason while the process does not accept clients, or is fenced.
     pub fn readiness(&self) -> Result<(), NotReady> {
         let accepts_clients = self.accepts_clients();
         if accepts_clients && !self.is_fenced() {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Puts the proxy in service or out of it. Doing so twice changes nothing.
+    /// Puts the proxy in service or out of it. Setting the same state again changes nothing.
     ///
     /// # Errors
     ///
@@ -139,17 +140,17 @@
         Ok(())
     }
 
-    /// The connection to the other process of this proxy.
+    /// Returns this process's side of a hot restart.
     pub fn hot_restart(&self) -> &HotRestart {
         &self.hot_restart
     }
 
-    /// This process's part in its fleet, if it belongs to one.
+    /// Returns this process's part in its fleet, if it belongs to one.
     pub fn fleet(&self) -> Option<&Arc<Fleet>> {
         self.fleet.get()
     }
 
-    /// This process's part in the fleet's common policy, if there is one.
+    /// Returns this process's part in the fleet's common policy, if there is one.
     pub fn policy(&self) -> Option<&Arc<Policy>> {
         self.policy.get()
     }
@@ -172,16 +173,16 @@
     }
 
     fn run_until_exit(self: &Arc<Self>) -> Result<(), StartError> {
-        // Signals are registered before anything listens: until then a signal kills the process.
+        // Handlers are registered before anything listens: a signal kills the process until then.
         let mut signals = Signals::new([SIGHUP, SIGTERM, SIGINT, SIGUSR1]).map_err(StartError::Signals)?;
-        // Dropping it flushes the request log.
+        // Dropping this guard flushes the request log.
         let _request_log = request_log::init()?;
         let mut config = Config::from_env()?;
         let handover = hot_restart::request_handover(config.listen)?;
         let services = match self.start(&config, handover, &mut signals)? {
             StartOutcome::Running(services) => services,
             StartOutcome::StopRequested => {
-                log("asked to stop before it was ready");
+                log("asked to stop before the start was complete; exiting");
                 if let Some(fleet) = self.fleet() {
                     fleet.leave();
                 }
--- a/src/net/lifecycle/peer.rs
+++ b/src/net/lifecycle/peer.rs
@@ -1,5 +1,5 @@
-//! The commands and state changes of the other process of this proxy during a hot restart, as
-//! [`HotRestartHost`].
+//! Handles the commands and the state changes of the other process of this proxy during a hot
+//! restart: the implementation of [`HotRestartHost`].
 
 use super::state::LifecycleEvent;
 use super::Lifecycle;
@@ -11,7 +11,8 @@
 use crate::net::log::log;
 use signal_hook::consts::SIGTERM;
 
-/// Which process accepts clients before and after the peer process changed its state.
+/// Whether the peer process accepted clients instead of this one before its state changed, and
+/// whether it does now.
 struct AcceptorChange {
     peer_accepted_before: bool,
     peer_accepts_now: bool,
@@ -45,7 +46,7 @@
             ControlCommand::EnterMaintenance(id) => services.dispatcher.enter_maintenance(id)?,
             ControlCommand::LeaveMaintenance(id) => services.dispatcher.leave_maintenance(id)?,
             ControlCommand::SetService(service) => {
-                // A process that stops already directs its clients to other proxies.
+                // This fails while the process stops, but then it directs clients elsewhere anyway.
                 let _ = self.set_service(*service);
             }
         }
@@ -53,14 +54,14 @@
     }
 
     fn handover_rejected(&self) {
-        // Two processes that each take themselves for the only one would use twice the budget.
+        // If both processes counted as the only one, they would use twice the budget together.
         if let Err(error) = signal_hook::low_level::raise(SIGTERM) {
-            log(&format!("take over: this process cannot stop itself: {error}"));
+            log(&format!("hot restart: this process cannot stop itself: SIGTERM cannot be raised: {error}"));
         }
     }
 
     fn peer_changed(&self, peer: PeerProcessState) {
-        log(&format!("the other process: {peer:?}"));
+        log(&format!("hot restart: the state of the other process is {peer:?}"));
         let change = self.apply_peer_change(peer);
         self.update_fleet_membership(peer, &change);
         if let Some(services) = self.services.get() {
@@ -81,7 +82,7 @@
         AcceptorChange { peer_accepted_before, peer_accepts_now: state.peer_accepts_clients() }
     }
 
-    /// Makes the process that accepts clients the fleet's member, on behalf of both.
+    /// Makes the process that accepts clients the member of the fleet on behalf of both processes.
     fn update_fleet_membership(&self, peer: PeerProcessState, change: &AcceptorChange) {
         let Some(fleet) = self.fleet() else { return };
         let second_process = match peer {
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -1,5 +1,5 @@
 //! The graceful shutdown at SIGTERM and SIGINT: the process drains, and exits shortly before the
-//! platform would kill it. [`DrainSchedule`] decides the times of the steps.
+//! platform kills it. [`DrainSchedule`] decides the times of the steps.
 
 use super::state::LifecycleEvent;
 use super::{Lifecycle, RunningServices};
@@ -10,9 +10,10 @@
 use may::coroutine::sleep;
 use std::time::{Duration, Instant};
 
-/// How often a drain checks for open requests and connections.
+/// The interval at which a drain checks for open requests and connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The longest wait of a class that counts, in ms: a class may wait for ever.
+/// The upper limit of the client wait for which a drain is scheduled, in ms. A class may let its
+/// clients wait for ever.
 const MAX_CLASS_WAIT_MS: f64 = 60_000.0;
 const MS_PER_SECOND: f64 = 1_000.0;
 
@@ -43,7 +44,7 @@
 }
 
 impl RunningServices {
-    /// Drains in the steps of the schedule.
+    /// Drains the services in the steps of the schedule.
     fn drain(&self, schedule: DrainSchedule, acceptor: Acceptor) {
         let started = Instant::now();
         match acceptor {
@@ -62,7 +63,7 @@
         self.clients.close_when_idle();
         self.wait_until_idle(started, schedule.abort_at);
         self.dispatcher.abort_all();
-        // A client that does not read its response delays the exit no longer than this.
+        // A client that does not read its response delays the exit until this time at most.
         self.wait_until_idle(started, schedule.exit_at);
     }
 
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Requests in flight and open client connections.
+    /// Returns the number of pending requests and open client connections.
     fn in_use(&self) -> usize {
         self.dispatcher.pending_count() + self.clients.open_connections()
     }
--- a/src/net/lifecycle/signals.rs
+++ b/src/net/lifecycle/signals.rs
@@ -1,4 +1,4 @@
-//! The signals of a running process, on the main thread: SIGUSR1 prints the counters, SIGHUP
+//! Handles the signals of a running process on the main thread: SIGUSR1 prints the counters, SIGHUP
 //! reloads the configuration, SIGTERM and SIGINT end the wait.
 
 use super::{Lifecycle, RunningServices};
@@ -10,7 +10,7 @@
 use std::ffi::c_int;
 
 impl Lifecycle {
-    /// Handles signals in their order, until one asks the process to stop.
+    /// Handles signals in the order of their arrival, until one asks the process to stop.
     pub(super) fn handle_signals_until_stop(
         &self,
         signals: &mut Signals,
@@ -27,23 +27,23 @@
     }
 }
 
-/// The signals that came while the process was starting, and could not be handled yet.
+/// The signals that arrived while the process was starting and could not handle them yet.
 #[derive(Debug, Default)]
 pub(super) struct DeferredSignals(BTreeSet<c_int>);
 
 impl DeferredSignals {
-    /// Takes the pending signals; returns whether one of them asks the process to stop. It does not
-    /// block.
+    /// Collects the pending signals without blocking. Returns whether any signal collected so far
+    /// asks the process to stop.
     pub(super) fn collect(&mut self, signals: &mut Signals) -> bool {
         self.0.extend(signals.pending());
         self.0.contains(&SIGTERM) || self.0.contains(&SIGINT)
     }
 
-    /// Sends them to this process again, which can handle them now.
+    /// Raises the collected signals again, once this process can handle them.
     pub(super) fn reraise(self) {
         for signal in self.0 {
             if let Err(error) = signal_hook::low_level::raise(signal) {
-                log(&format!("signal {signal} came during the start, and is lost: {error}"));
+                log(&format!("signal {signal}, received during the start, is lost: raise failed: {error}"));
             }
         }
     }
--- a/src/net/lifecycle/start/fleet.rs
+++ b/src/net/lifecycle/start/fleet.rs
@@ -1,4 +1,4 @@
-//! This process's part in its fleet and in the fleet's common policy.
+//! Starts this process's part in its fleet and in the fleet's common policy.
 
 use super::super::error::StartError;
 use super::super::signals::DeferredSignals;
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// The counters of the fleet and of the common policy, by name.
+    /// Returns the counters of the fleet and of the common policy, by name.
     fn fleet_counters(&self) -> Vec<(&'static str, u64)> {
         let mut counters = self.fleet().map_or(Vec::new(), |fleet| fleet.counters());
         if let Some(policy) = self.policy() {
@@ -77,7 +77,7 @@
 }
 
 /// Blocks until the active policy version is applied, or a signal asks the process to stop. Other
-/// signals are handled after it.
+/// signals are deferred until the version is applied.
 pub(super) fn catch_up(policy: &Policy, signals: &mut Signals) -> CatchUp {
     let mut deferred = DeferredSignals::default();
     if policy.wait_until_admitting(&mut || deferred.collect(signals)) {
@@ -88,8 +88,8 @@
     }
 }
 
-/// Creates this process's part in its fleet, which sends nothing yet. The two processes of a hot
-/// restart share one guaranteed minimum.
+/// Creates this process's part in its fleet, which sends nothing yet. It must know of a second
+/// process, because the two processes of a hot restart share one guaranteed minimum.
 fn new_fleet(
     config: FleetConfig,
     seed: u64,
--- a/src/net/lifecycle/start/mod.rs
+++ b/src/net/lifecycle/start/mod.rs
@@ -1,6 +1,6 @@
-//! The start, from the configuration and an older process's handover to running services. Read
-//! [`Lifecycle::start`] first: it is the list of steps, in their order. `resources` computes what
-//! the limits give, `services` starts the data path, `fleet` joins the fleet and its policy.
+//! Starts the services from the configuration and the handover of an older process. Read
+//! [`Lifecycle::start`] first, which has the steps in their order. `resources` computes the budget
+//! that the limits allow, `services` starts the data path, `fleet` joins the fleet and its policy.
 //!
 //! Invariant: the operators' endpoint is opened first, so that a bad address ends the start before
 //! anything runs; clients are accepted last; newer processes can connect only after that.
@@ -24,7 +24,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How a start that does not fail ends.
+/// The outcome of a start that does not fail.
 pub(super) enum StartOutcome<'a> {
     /// All services run.
     Running(&'a RunningServices),
@@ -33,7 +33,8 @@
 }
 
 impl Lifecycle {
-    /// Starts all services. It blocks while a process of a fleet catches up with the common policy.
+    /// Starts all services. Blocks while this process catches up with the fleet's common policy, if
+    /// there is one.
     pub(super) fn start(
         self: &Arc<Self>,
         config: &Config,
@@ -49,7 +50,7 @@
         let discovery = shared.start_discovery(config, endpoints, channels.subscriptions);
         self.start_fleet(config, &dispatcher, handover.as_ref())?;
         if let Some(policy) = self.start_policy(config, &dispatcher, &backends, handover.as_ref())? {
-            // Operators need the endpoint while the process catches up.
+            // Operators need their endpoint while the process catches up.
             self.serve_admin(admin.as_ref(), &dispatcher)?;
             if fleet::catch_up(policy, signals) == CatchUp::StopRequested {
                 return Ok(StartOutcome::StopRequested);
@@ -85,7 +86,7 @@
         shared.apply_handover(handover, cached)
     }
 
-    /// Answers operators from now on, if their endpoint is configured.
+    /// Serves the operators' endpoint from now on, if it is configured.
     fn serve_admin(
         self: &Arc<Self>,
         admin: Option<&Arc<AdminServer>>,
@@ -98,8 +99,8 @@
         Ok(())
     }
 
-    /// Notifies the older process, if there is one, that this one serves, and accepts connections
-    /// of the next newer process.
+    /// Notifies the older process, if there is one, that this one serves. Then listens for newer
+    /// processes.
     fn begin_serving(
         self: &Arc<Self>,
         handover: Option<Handover>,
--- a/src/net/lifecycle/start/resources.rs
+++ b/src/net/lifecycle/start/resources.rs
@@ -1,5 +1,5 @@
-//! What the limits of the configuration give this process: its coroutines, and the descriptors and
-//! memory for clients and backends. Read [`new_budget`] first.
+//! Configures the coroutine runtime, and computes the descriptors and the memory that the limits of
+//! the configuration leave to clients and backends. Read [`new_budget`] first.
 
 use super::super::budget::ProcessBudget;
 use crate::net::descriptors::Descriptors;
@@ -7,14 +7,15 @@
 use crate::net::memory::MemoryBudget;
 use pinetrail_config::{Config, PolicyConfig, ADMIN_DESCRIPTORS, FLEET_DESCRIPTORS};
 
-/// Worker threads that run coroutines: the proxy has one core.
+/// The number of worker threads that run coroutines: one, because the proxy has one core.
 const WORKER_THREADS: usize = 1;
-/// A coroutine's stack in words of 8 bytes: 128 KiB, of which only touched pages use memory.
+/// The size of a coroutine's stack, in words of 8 bytes: 128 KiB, of which only touched pages use
+/// memory.
 const STACK_WORDS: usize = 16 * 1024;
-/// Coroutines kept for reuse: the timers of requests start and end in hundreds.
+/// The number of coroutines kept for reuse, because request timers start and end by the hundred.
 const POOLED_COROUTINES: usize = 512;
-/// Descriptors that belong neither to a client nor to a backend: files, pollers, discovery, the
-/// listener.
+/// The number of descriptors that belong neither to a client nor to a backend: files, pollers,
+/// discovery, the listener.
 const BASE_DESCRIPTORS: usize = 24;
 
 /// Configures the coroutine runtime, before the first coroutine starts.
@@ -46,7 +47,8 @@
     }
 }
 
-/// Descriptors that this process needs for itself, whatever clients and backends use.
+/// Returns the number of descriptors that this process needs for itself, besides those of clients
+/// and backends.
 fn own_descriptors(config: &Config) -> usize {
     let mut count = BASE_DESCRIPTORS;
     if config.admin.is_some() {
--- a/src/net/lifecycle/start/services.rs
+++ b/src/net/lifecycle/start/services.rs
@@ -1,4 +1,5 @@
-//! The services of the data path, and what all of them share. Read [`SharedComponents`] first.
+//! Starts the services of the data path from the components that they share. Read
+//! [`SharedComponents`] first.
 
 use super::super::budget::ProcessBudget;
 use super::super::error::StartError;
@@ -16,24 +17,24 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 
-/// The value of `settings.discovery` with which discovery sends endpoint lists unasked.
+/// The value of `settings.discovery` with which discovery sends endpoint lists without a request.
 const PUSH_DELIVERY: &str = "push";
 
-/// What all services share.
+/// The components that all services of the data path share.
 pub(super) struct SharedComponents {
     pub(super) counters: Arc<Counters>,
     pub(super) dispatcher: Arc<Dispatcher>,
     pub(super) budget: ProcessBudget,
 }
 
-/// The ends of the dispatcher's channels that other services have.
+/// The ends of the dispatcher's channels that other services use.
 pub(super) struct DispatcherChannels {
-    /// Commands of the dispatcher to backends.
+    /// Commands of the dispatcher to the backend service.
     pub(super) backend_commands: Receiver<BackendCommand>,
     pub(super) subscriptions: SubscriptionChannel,
 }
 
-/// Requests for an endpoint list: the dispatcher has a sender too.
+/// The channel of requests for an endpoint list, to which the dispatcher has a sender too.
 pub(super) struct SubscriptionChannel {
     sender: Sender<()>,
     receiver: Receiver<()>,
@@ -85,7 +86,7 @@
         })
     }
 
-    /// Starts discovery with the endpoints that are cached.
+    /// Starts discovery, with the cached endpoints until it receives a list.
     pub(super) fn start_discovery(
         &self,
         config: &Config,
@@ -104,7 +105,7 @@
         })
     }
 
-    /// Accepts clients from now on.
+    /// Starts the service that accepts clients on this listening socket.
     pub(super) fn start_clients(&self, socket: TcpListener) -> Result<Arc<ClientService>, StartError> {
         ClientService::start(ClientServiceParameters {
             dispatcher: Arc::clone(&self.dispatcher),
@@ -125,7 +126,8 @@
     }
 }
 
-/// Opens the operators' HTTP endpoint, if one is configured; nothing is answered yet.
+/// Opens the operators' HTTP endpoint, if one is configured. No request is answered before
+/// [`AdminServer::serve`].
 pub(super) fn open_admin_server(config: &Config) -> Result<Option<Arc<AdminServer>>, StartError> {
     let Some(address) = config.admin else { return Ok(None) };
     match AdminServer::open(address) {
--- a/src/net/lifecycle/state.rs
+++ b/src/net/lifecycle/state.rs
@@ -9,8 +9,8 @@
 //! | any | `StopRequested` | `Draining` |
 //! | any | `DrainFinished` | `Stopped` |
 //!
-//! Every other event is only recorded; the phase stays. The first serving phase that applies
-//! holds:
+//! Every other event is only recorded, and the phase stays. Of the serving phases, the first that
+//! applies is entered:
 //!
 //! | phase | applies while |
 //! | --- | --- |
@@ -23,33 +23,36 @@
 use crate::net::hot_restart::{PeerProcessState, ServiceState};
 use crate::net::log::log;
 
-/// Where the process stands between start and exit.
+/// A stage of the process between start and exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Reads its configuration and the cached endpoint list; does not listen yet.
+    /// The process reads its configuration and the cached endpoint list, and does not listen yet.
     Starting,
-    /// Accepts and serves, while the older process still serves the connections it holds.
+    /// The process accepts and serves clients, while the older process still serves the connections
+    /// that it holds.
     TakingOver,
-    /// Accepts and serves.
+    /// The process accepts and serves clients.
     Serving,
-    /// Accepts and serves, but directs clients to other proxies, as operators requested.
+    /// The process accepts and serves clients, but directs them to other proxies, as operators
+    /// requested.
     OutOfService,
-    /// The newer process accepts; this one serves the connections it holds until it is stopped.
+    /// The newer process accepts clients, and this one serves the connections that it holds until
+    /// it is stopped.
     HandingOver,
-    /// Reads its configuration again, and goes on serving meanwhile.
+    /// The process reads its configuration again, and goes on serving meanwhile.
     Reloading,
-    /// Asked to stop: completes the requests that it has accepted.
+    /// The process has been asked to stop, and completes the requests that it has accepted.
     Draining,
-    /// Every request has its response.
+    /// Every request has its response, or the time for the drain is over.
     Stopped,
 }
 
-/// Which of two processes of one proxy this one is.
+/// Whether this process is the older or the newer one of two processes of one proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProcessRole {
-    /// It started first, or it is the only one.
+    /// The process started first, or is the only one.
     Older,
-    /// It has taken over from an older process that still runs.
+    /// The process has taken over from an older one that still runs.
     Newer,
 }
 
@@ -64,9 +67,9 @@
     ServiceSet(ServiceState),
     /// The configuration is being read again.
     ReloadStarted,
-    /// The configuration has been read, or has been found bad.
+    /// The configuration has been read, or is invalid.
     ReloadFinished,
-    /// The other process of this proxy is in another state.
+    /// The other process of this proxy has changed its state.
     PeerChanged(PeerProcessState),
     /// The process is asked to stop.
     StopRequested,
@@ -106,10 +109,10 @@
     ///
     /// Decides: which of two processes of one proxy accepts clients.
     /// Inputs: this process's role, and the state of its peer process.
-    /// Reason: with no process to accept, clients would wait in the listen queue; with a newer one
-    /// serving, the older one must stop, so that its connections run out.
+    /// Reason: if no process accepted, clients would wait in the listen queue; while a newer one
+    /// serves, the older one must not accept, so that its connections run out.
     ///
-    /// Invariant: a process that is alone accepts.
+    /// Invariant: a process that is alone accepts clients.
     pub(super) fn peer_accepts_clients(&self) -> bool {
         self.role == ProcessRole::Older && self.peer == PeerProcessState::Serving
     }
