--- a/src/net/hot_restart/connection.rs
+++ b/src/net/hot_restart/connection.rs
@@ -8,7 +8,7 @@
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-/// How long a newer process may take until it accepts clients.
+/// The time within which a newer process must accept clients.
 const PEER_START_TIMEOUT: Duration = Duration::from_secs(15);
 /// The longest wait for a message, after which [`PEER_START_TIMEOUT`] is checked.
 const READ_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -37,7 +37,7 @@
                     Err(_) => break,
                 },
                 Err(error) => {
-                    log(&format!("take over: {error}"));
+                    log(&format!("hot restart: closing the connection to the other process: {error}"));
                     break;
                 }
             }
@@ -45,7 +45,7 @@
         self.end_connection(host);
     }
 
-    /// Whether the newer process takes too long to start.
+    /// Whether the newer process has been starting for too long.
     ///
     /// Decides: whether a handover is rejected after it was sent.
     /// Inputs: whether the newer process accepts clients, and the time since it connected.
@@ -67,18 +67,20 @@
             Message::Budget(budget) => host.set_budget(BudgetGrant::Part(budget)),
             Message::Command(number, command) => {
                 let reason = host.apply_command(&command).err().map(|error| error.to_string());
-                // If this fails, the other process counts the command as not confirmed.
+                // If this cannot be sent, the other process counts the command as not confirmed.
                 let _ = send(stream, &Message::CommandDone(number, reason));
             }
             Message::CommandDone(number, reason) => {
                 self.with_state(|state| state.commands.confirm(number, reason));
             }
             Message::Rejection(reason) => {
-                log(&format!("take over: refused: {reason}"));
+                log(&format!(
+                    "hot restart: the older process refuses the handover, so this one stops: {reason}"
+                ));
                 host.handover_rejected();
             }
             Message::HandoverRequest(_) | Message::Handover(..) => {
-                log("take over: unexpected message");
+                log("hot restart: ignored a handover message that was not expected here");
             }
         }
     }
@@ -92,7 +94,7 @@
         host.peer_changed(peer);
     }
 
-    /// Ends the connection. This process is alone then, and has the whole budget.
+    /// Ends the connection. This process is alone then, and gets the whole budget.
     pub(super) fn end_connection(&self, host: &dyn HotRestartHost) {
         if let Some(connection) = self.with_state(|state| state.connection.take()) {
             connection.stream.shutdown();
@@ -101,7 +103,7 @@
         host.peer_changed(PeerProcessState::None);
         // The link may still point to a newer process that has ended.
         if let Some(Err(error)) = self.socket.get().map(HandoverSocket::claim_link) {
-            log(&format!("no upgrade will be possible: {error}"));
+            log(&format!("hot restart is not possible: the link cannot be pointed to this process: {error}"));
         }
     }
 }
--- a/src/net/hot_restart/error.rs
+++ b/src/net/hot_restart/error.rs
@@ -10,31 +10,31 @@
 #[derive(Debug, Error)]
 pub enum HandoverError {
     /// The running process did not answer in time.
-    #[error("take over: the running process does not answer")]
+    #[error("hot restart: the running process does not answer in time")]
     NoAnswer(#[source] io::Error),
     /// The running process cannot be reached.
-    #[error("take over: {0}")]
+    #[error("hot restart: the connection to the running process failed: {0}")]
     Connection(#[source] io::Error),
     /// The running process belongs to another user.
-    #[error("take over: the running process is another user's")]
+    #[error("hot restart: the running process belongs to another user")]
     OtherUser,
     /// The running process ended before it answered.
-    #[error("take over: the running process ended")]
+    #[error("hot restart: the running process ended before it answered")]
     Ended,
     /// The running process rejects the handover.
-    #[error("take over: the running process refuses: {0}")]
+    #[error("hot restart: the running process refuses the handover: {0}")]
     Rejected(String),
-    /// The running process has abandoned the handover.
-    #[error("take over: the running process refuses by now")]
+    /// The running process abandoned the handover while this process was starting.
+    #[error("hot restart: the running process abandoned the handover while this one was starting")]
     RejectedLate,
-    /// The running process sent another message than the answer to the request.
-    #[error("take over: the running process says something else")]
+    /// The running process sent a message that does not answer the request.
+    #[error("hot restart: the running process sent a message that does not answer the request")]
     UnexpectedMessage,
     /// The running process sent a malformed message.
     #[error(transparent)]
     Message(#[from] MessageError),
     /// The connection cannot be used by coroutines.
-    #[error("{0}")]
+    #[error("hot restart: the connection cannot be used by coroutines: {0}")]
     Coroutine(#[source] io::Error),
 }
 
@@ -58,13 +58,13 @@
     Maintenance(#[from] MaintenanceError),
 }
 
-/// Why a command of the operators may not bind both processes.
+/// Why a command of the operators may not be applied by both processes.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RelayError {
-    /// The other process rejected it, for this reason.
+    /// The other process rejected the command, for this reason.
     #[error("{0}")]
     Rejected(String),
-    /// The other process did not confirm it in time.
+    /// The other process did not confirm the command in time.
     #[error("the other process of this proxy has not confirmed it")]
     NotConfirmed,
 }
--- a/src/net/hot_restart/golden_tests.rs
+++ b/src/net/hot_restart/golden_tests.rs
@@ -1,6 +1,6 @@
-//! The JSON lines between two processes of one proxy. The older process may run the released
-//! program, the newer one this source: if a text changes here, such upgrades fail. All texts were
-//! recorded before any renaming.
+//! Golden tests of the JSON lines between two processes of one proxy. The older process may run the
+//! released program and the newer one this source, so hot restarts fail if a line changes here. The
+//! expected lines were recorded before any identifier was renamed.
 
 use super::messages::{
     ControlCommand, Message, MessageReader, ResourceBudget, ServiceState, PROTOCOL_VERSION,
--- a/src/net/hot_restart/messages.rs
+++ b/src/net/hot_restart/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between two processes of one proxy: one JSON object a line. Read [`Message`] first.
+//! The messages between two processes of one proxy, each a line of JSON. Read [`Message`] first.
 //!
 //! Invariant: the two processes may be of different releases. The `rename` attributes fix the JSON
 //! names, and the values of a variant are a JSON array in the order of their declaration.
@@ -7,15 +7,15 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The version of these messages. Processes of other versions are rejected.
+/// The version of the messages. A newer process that uses another version is rejected.
 pub(super) const PROTOCOL_VERSION: u32 = 1;
-/// The longest message, in bytes.
+/// The maximum length of a message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 /// The resources that a process may use for clients and backends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResourceBudget {
-    /// File descriptors.
+    /// The number of file descriptors.
     #[serde(rename = "sockets")]
     pub descriptors: usize,
     /// Memory for values, in bytes.
@@ -49,7 +49,7 @@
     }
 }
 
-/// A command of the operators that binds both processes.
+/// A command of the operators, which both processes of a proxy apply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlCommand {
     /// Sends no more requests to the cache node of this id.
@@ -63,10 +63,10 @@
     SetService(ServiceState),
 }
 
-/// A message.
+/// A message from one process of a proxy to the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// The newer process, whose messages have this version, requests the handover.
+    /// The newer process, which uses this version of the messages, requests the handover.
     #[serde(rename = "Ask")]
     HandoverRequest(u32),
     /// The older process hands over: its endpoints, and the budget of the newer one. The listening
@@ -104,11 +104,11 @@
 /// Why the received bytes are not a message.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// The message is too long.
-    #[error("a message too long")]
+    /// The message exceeds the maximum length.
+    #[error("a message of the other process has over {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
-    /// The line is not one of the messages.
-    #[error("a message that is none")]
+    /// The line is not the JSON of a message.
+    #[error("a message of the other process is malformed: {0}")]
     Malformed(#[source] serde_json::Error),
 }
 
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// [`MessageError`] if the bytes are not a message. The connection cannot continue then.
+    /// [`MessageError`] if the bytes are not a message. The connection must be closed then.
     pub(super) fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
         let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') else {
             if self.buffer.len() > MAX_MESSAGE_BYTES {
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -1,7 +1,7 @@
-//! Hot restart: a newer process of one proxy takes over from the one that runs. Read [`HotRestart`]
-//! first, then [`HotRestartHost`], by which it reaches its own process.
+//! Hot restart: a newer process of a proxy takes over from the running one. Read [`HotRestart`]
+//! first, then [`HotRestartHost`], through which a hot restart acts on its own process.
 //!
-//! The newer process requests the handover by [`request_handover`] (`newer`). The older one
+//! The newer process calls [`request_handover`] (`newer`). The older one
 //! (`older`) sends its listening socket, an endpoint snapshot, and a part of its budget. Their
 //! connection lasts as long as both processes do (`connection`): a process whose connection has
 //! ended is alone. While it lasts, operators' commands are relayed to the other process (`relay`).
@@ -32,31 +32,32 @@
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The timeout of writing a message, after which the other process counts as ended.
+/// The timeout for writing a message, and for reading the first one of a newer process. After it,
+/// the other process counts as ended.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The timeout of a handover request, after which the start of the newer process fails.
+/// The timeout for a handover, after which the start of the newer process fails.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// The other process of this proxy. Operators read these names in the log.
+/// The state of the other process of this proxy. Operators read the variants' names in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerProcessState {
-    /// There is none.
+    /// There is no other process.
     None,
-    /// It is starting, and does not accept clients yet.
+    /// The other process is starting, and does not accept clients yet.
     Starting,
-    /// It accepts clients.
+    /// The other process accepts clients.
     Serving,
-    /// It has been asked to stop.
+    /// The other process has been asked to stop.
     Leaving,
 }
 
 /// Whether a process serves, or has been asked to stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Activity {
-    /// It serves.
+    /// The process serves.
     #[default]
     Serving,
-    /// It has been asked to stop.
+    /// The process has been asked to stop.
     Draining,
 }
 
@@ -65,7 +66,7 @@
 pub enum BudgetGrant {
     /// The whole budget of the proxy, for a process that is alone.
     Full,
-    /// This part of it.
+    /// A part of the proxy's budget, for each of two processes.
     Part(ResourceBudget),
 }
 
@@ -78,15 +79,15 @@
     PeerProcess,
 }
 
-/// What an older process hands over.
+/// The socket and the endpoints that an older process hands over.
 pub struct HandoverOffer {
-    /// The listening socket.
+    /// The socket that listens for clients.
     pub listener: Arc<Listener>,
     /// The endpoints and their state.
     pub endpoints: EndpointSnapshot,
 }
 
-/// The process to which a [`HotRestart`] belongs.
+/// The process to which a [`HotRestart`] belongs, and on which it acts.
 pub trait HotRestartHost: Send + Sync + 'static {
     /// Returns what this process can hand over, or `None` if it does not serve.
     fn handover_offer(&self) -> Option<HandoverOffer>;
@@ -102,7 +103,7 @@
     fn apply_command(&self, command: &ControlCommand) -> Result<(), CommandError>;
     /// Handles a change of the other process's state.
     fn peer_changed(&self, peer: PeerProcessState);
-    /// Stops this process: the older one has abandoned the handover and serves on.
+    /// Stops this process, because the older one has abandoned the handover and goes on serving.
     fn handover_rejected(&self);
 }
 
@@ -116,7 +117,7 @@
 
 #[derive(Default)]
 struct State {
-    /// None while this process is alone.
+    /// The connection to the other process, or `None` while this process is alone.
     connection: Option<PeerConnection>,
     commands: PendingCommands,
     /// Whether this process serves or drains.
@@ -124,7 +125,7 @@
 }
 
 impl State {
-    /// Returns the stream to the other process, if its state fulfils the predicate.
+    /// Returns the stream to the other process, if the predicate holds for its state.
     fn stream_to_peer(&self, predicate: impl FnOnce(PeerProcessState) -> bool) -> Option<PeerStream> {
         self.connection
             .as_ref()
@@ -135,7 +136,8 @@
 
 /// One process's side of a hot restart.
 pub struct HotRestart {
-    /// Set once, when this process starts to listen for newer ones.
+    /// The files of this process's socket. Set once, when this process starts to listen for newer
+    /// ones.
     socket: OnceLock<HandoverSocket>,
     /// Invariant: no caller blocks while it holds the lock.
     state: Mutex<State>,
@@ -147,11 +149,13 @@
         Arc::new(HotRestart { socket: OnceLock::new(), state: Mutex::default() })
     }
 
-    /// Records that this process has been asked to stop, and notifies the other process.
+    /// Records that this process has been asked to stop, and notifies the other process. Returns
+    /// which process accepts clients from now on.
     ///
     /// Decides: which process accepts clients while this one drains.
     /// Inputs: the state of the peer process, and whether it could be notified.
-    /// Reason: clients connect until shortly before the kill, and need a process that accepts them.
+    /// Reason: clients connect until shortly before the platform kills this process, and need a
+    /// process that accepts them.
     pub fn begin_drain(&self) -> Acceptor {
         let stream = self.with_state(|state| {
             state.activity = Activity::Draining;
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Removes this process's socket at its end.
+    /// Removes this process's socket, at the end of the process.
     pub fn remove_socket(&self) {
         if let Some(socket) = self.socket.get() {
             socket.remove();
@@ -181,6 +185,6 @@
 }
 
 fn send_rejection(stream: &PeerStream, reason: &str) {
-    // If this cannot be sent, the end of the connection rejects the newer process too.
+    // If the message cannot be sent, the end of the connection rejects the newer process too.
     let _ = send(stream, &Message::Rejection(reason.to_owned()));
 }
--- a/src/net/hot_restart/newer.rs
+++ b/src/net/hot_restart/newer.rs
@@ -14,12 +14,12 @@
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
 
-/// The most bytes that are read at once.
+/// The maximum number of bytes that are read at once.
 const READ_CHUNK_BYTES: usize = 4096;
 
-/// What the older process has handed over.
+/// The socket, the endpoints and the budget that the older process has handed over.
 pub struct Handover {
-    /// The listening socket.
+    /// The socket that listens for clients.
     pub socket: TcpListener,
     /// The endpoints and their state.
     pub endpoints: EndpointSnapshot,
@@ -29,12 +29,12 @@
     reader: MessageReader,
 }
 
-/// Requests the handover of the process that serves this address, if there is one. It blocks the
-/// thread, and must precede the start of any service.
+/// Requests the handover from the process that serves this address. Returns `None` if there is
+/// none. Blocks the thread, and must be called before any service is started.
 ///
 /// # Errors
 ///
-/// [`HandoverError`] if a process runs and does not hand over.
+/// [`HandoverError`] if a process runs but does not hand over.
 pub fn request_handover(client_address: SocketAddr) -> Result<Option<Handover>, HandoverError> {
     let Some(mut stream) = HandoverSocket::for_clients(client_address)?.connect()? else {
         return Ok(None);
@@ -45,7 +45,7 @@
     stream.set_read_timeout(Some(HANDOVER_TIMEOUT))?;
     stream.write_all(&Message::HandoverRequest(PROTOCOL_VERSION).to_line())?;
     let FirstByte { byte, listener } = socket::receive_first_byte(&stream)?;
-    // A rejection comes without a socket; then this byte is the first one of its message.
+    // A rejection carries no socket, so its first byte belongs to the message.
     let buffer = if listener.is_some() { Vec::new() } else { vec![byte] };
     let mut reader = MessageReader { buffer };
     let message = read_message(&mut stream, &mut reader)?;
@@ -97,16 +97,16 @@
         let hot_restart = Arc::clone(self);
         let reading = stream.clone();
         let reader = handover.reader;
-        // It ends with the connection, at the latest when the older process ends.
+        // The coroutine ends with the connection, at the latest when the older process ends.
         may::go!(move || hot_restart.handle_messages(&reading, reader, &*host));
-        // If this fails, the older process has ended, and this one serves alone.
+        // If the message cannot be sent, the older process has ended, and this one serves alone.
         let _ = send(&stream, &Message::Serving);
         Ok(())
     }
 }
 
-/// Reads what the older process has sent already. The end of the connection is left to the
-/// coroutine that reads on.
+/// Reads the messages that the older process has already sent, without blocking. The end of the
+/// connection is left to the coroutine that reads the later messages.
 fn receive_pending(stream: &mut UnixStream, reader: &mut MessageReader) -> Result<(), HandoverError> {
     stream.set_nonblocking(true)?;
     let mut chunk = [0; READ_CHUNK_BYTES];
@@ -121,7 +121,7 @@
     }
 }
 
-/// Whether the older process has sent a rejection, behind messages that are still to be handled.
+/// Whether the received messages, which are still to be handled, contain a rejection.
 fn contains_rejection(reader: &MessageReader) -> bool {
     let mut lookahead = MessageReader { buffer: reader.buffer.clone() };
     while let Ok(Some(message)) = lookahead.next_message() {
--- a/src/net/hot_restart/newer/tests.rs
+++ b/src/net/hot_restart/newer/tests.rs
@@ -4,7 +4,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long a test waits for what must happen.
+/// The longest time that a test waits for an expected event.
 const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -48,7 +48,8 @@
     Message::Rejection("it took too long".to_owned()).to_line()
 }
 
-/// Guards against a newcomer that serves beside the older process, which has abandoned it.
+/// Guards against a newer process that serves beside the older one, although the older one has
+/// abandoned the handover: the rejection arrives during the start, behind another message.
 #[test]
 fn a_process_that_was_rejected_while_it_started_does_not_join() {
     let (handover, mut older) = handover();
@@ -61,7 +62,7 @@
     assert!(matches!(joined, Err(HandoverError::RejectedLate)), "{joined:?}");
 }
 
-/// The rejection crosses the message that the newcomer serves.
+/// The older process rejects the handover while the newer one reports that it serves.
 #[test]
 fn a_process_that_is_rejected_while_it_joins_stops() {
     let (handover, mut older) = handover();
@@ -73,7 +74,7 @@
 
     let deadline = Instant::now() + TEST_TIMEOUT;
     while !host.rejected.load(Ordering::SeqCst) {
-        assert!(Instant::now() < deadline, "it serves on");
+        assert!(Instant::now() < deadline, "a rejected process must stop, but goes on serving");
         sleep(POLL_INTERVAL);
     }
 }
--- a/src/net/hot_restart/older.rs
+++ b/src/net/hot_restart/older.rs
@@ -1,5 +1,5 @@
 //! The older process's side: it listens for newer processes, hands over to the first one, and
-//! grants it the budget that it does not need itself.
+//! grants that one the budget that the older process does not need.
 
 use super::messages::{Message, MessageReader, PROTOCOL_VERSION};
 use super::socket::{self, HandoverSocket};
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often the older process updates the budget of the newer one.
+/// The interval at which the older process updates the budget of the newer one.
 const BUDGET_INTERVAL: Duration = Duration::from_millis(20);
 /// The delay before accepting again after an error.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -28,16 +28,18 @@
     pub fn listen(self: &Arc<Self>, client_address: SocketAddr, host: Arc<dyn HotRestartHost>) {
         let (socket, listener) = match open_socket(client_address) {
             Ok(opened) => opened,
-            // Without it the proxy serves, but cannot be upgraded.
+            // Without the socket the proxy serves, but cannot hand over to a newer process.
             Err(error) => {
-                log(&format!("no upgrade will be possible: {error}"));
+                log(&format!(
+                    "hot restart is not possible: the socket for newer processes cannot be opened: {error}"
+                ));
                 return;
             }
         };
-        // It is not set yet: a process listens once.
+        // The socket is not set yet, because a process listens once.
         let _ = self.socket.set(socket);
         let hot_restart = Arc::clone(self);
-        // It ends with the process.
+        // The coroutine ends with the process.
         may::go!(move || hot_restart.accept_newer_processes(&listener, &host));
     }
 
@@ -52,16 +54,18 @@
                     let Ok(socket) = PolledSocket::new(stream) else { continue };
                     let hot_restart = Arc::clone(self);
                     let host = Arc::clone(host);
-                    // It ends with the connection: after a rejection, or when the newer process
-                    // ends.
+                    // The coroutine ends with the connection: after a rejection, or when the newer
+                    // process ends.
                     may::go!(move || hot_restart.serve_newer_process(&Arc::new(socket), &host));
                 }
-                Ok(_) => log("a process of another user asked to take over"),
+                Ok(_) => log("hot restart: rejected a connection from a process of another user"),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     listener.wait_io();
                 }
                 Err(error) => {
-                    log(&format!("take over: accept: {error}"));
+                    log(&format!(
+                        "hot restart: accept failed, trying again in {ACCEPT_RETRY_DELAY:?}: {error}"
+                    ));
                     sleep(ACCEPT_RETRY_DELAY);
                 }
             }
@@ -90,7 +94,7 @@
                 if hand_over(socket, &stream, &listener, endpoints, &**host).is_ok() {
                     let hot_restart = Arc::clone(self);
                     let budget_host = Arc::clone(host);
-                    // It ends with the connection.
+                    // The coroutine ends with the connection.
                     may::go!(move || hot_restart.update_peer_budget(&*budget_host));
                     self.handle_messages(&stream, reader, &**host);
                     return;
@@ -108,7 +112,7 @@
     /// Inputs: whether there is a connection to a newer process, and whether this process serves.
     /// Reason: of two newer processes only the first may accept clients.
     ///
-    /// Invariant: it precedes the handover.
+    /// Invariant: the connection is reserved before the handover is sent.
     fn reserve_connection(&self, stream: &PeerStream) -> bool {
         self.with_state(|state| {
             let is_free = state.connection.is_none() && state.activity == Activity::Serving;
@@ -143,7 +147,7 @@
     Ok((socket, listener))
 }
 
-/// Reads the first message of a newer process. Returns `None` if it sends none in time.
+/// Reads the first message of a newer process. Returns `None` if no valid message arrives in time.
 fn read_request(stream: &PeerStream, reader: &mut MessageReader) -> Option<Message> {
     let deadline = Instant::now() + WRITE_TIMEOUT;
     loop {
--- a/src/net/hot_restart/relay.rs
+++ b/src/net/hot_restart/relay.rs
@@ -1,4 +1,4 @@
-//! Operators' commands that bind both processes. Read [`HotRestart::relay`] first.
+//! Relays operators' commands to the other process of this proxy. Read [`HotRestart::relay`] first.
 
 use super::messages::{ControlCommand, Message};
 use super::{HotRestart, PeerProcessState, PeerStream, RelayError};
@@ -6,18 +6,19 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// How long the other process may take to confirm a command. Operators get their answer within 1 s.
+/// The time within which the other process must confirm a command, so that operators get their
+/// answer within 1 s.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(700);
-/// How often a pending command checks for its confirmation.
+/// The interval at which a relayed command checks for its confirmation.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The outcome of a command at the other process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum CommandOutcome {
-    /// It has not confirmed it yet.
+    /// The other process has not confirmed the command yet.
     Pending,
     Applied,
-    /// It rejected it, for this reason.
+    /// The other process rejected the command, for this reason.
     Rejected(String),
 }
 
@@ -63,7 +64,7 @@
     pub fn relay(&self, command: ControlCommand) -> Result<(), RelayError> {
         let Some((number, stream)) = self.register_command() else { return Ok(()) };
         let deadline = Instant::now() + CONFIRM_TIMEOUT;
-        // If this fails, the command is not confirmed.
+        // If the command cannot be sent, it is not confirmed.
         let _ = stream.write(&Message::Command(number, command).to_line(), deadline);
         let result = self.await_confirmation(number, deadline);
         self.with_state(|state| state.commands.remove(number));
@@ -81,10 +82,10 @@
 
     /// Waits for the confirmation of a command.
     ///
-    /// Decides: whether a command counts as binding both processes.
-    /// Inputs: its outcome at the other process, whether that still runs, and the deadline.
-    /// Reason: operators must know whether the other process may still act against their command; a
-    /// process that has ended cannot.
+    /// Decides: whether a command counts as applied by both processes.
+    /// Inputs: its outcome at the other process, whether that process still runs, and the deadline.
+    /// Reason: operators must know whether the other process may still act against their command. A
+    /// process that has ended cannot, so the command counts as applied.
     fn await_confirmation(&self, number: u64, deadline: Instant) -> Result<(), RelayError> {
         loop {
             let (outcome, is_alone) =
--- a/src/net/hot_restart/relay/tests.rs
+++ b/src/net/hot_restart/relay/tests.rs
@@ -40,7 +40,7 @@
     let number = hot_restart.with_state(|state| state.commands.add());
     let deadline = Instant::now();
 
-    // Without a connection the other process has ended, and no command can bind it.
+    // Without a connection the other process has ended, so it cannot act against a command.
     assert_eq!(hot_restart.await_confirmation(number, deadline), Ok(()));
     hot_restart.with_state(|state| state.commands.confirm(number, Some("no".into())));
     let rejected = Err(RelayError::Rejected("no".into()));
--- a/src/net/hot_restart/socket.rs
+++ b/src/net/hot_restart/socket.rs
@@ -3,7 +3,7 @@
 //!
 //! Each process listens at a name of its own. A symbolic link, named after the clients' address,
 //! points to the process to which a newer one connects. The link is replaced by renaming, so that
-//! one always exists.
+//! it always exists.
 
 use rustix::net::{
     recvmsg, sendmsg, sockopt, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -18,21 +18,22 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::PathBuf;
 
-/// The longest path of a socket in bytes. The address of a Unix socket on Linux has 108 bytes, with
-/// the end of the text.
+/// The maximum length of a socket's path, in bytes. The address of a Unix socket on Linux has room
+/// for 108 bytes, including the terminating NUL.
 const MAX_PATH_BYTES: usize = 100;
-/// The byte that carries a listening socket.
+/// The byte of data with which a listening socket is sent.
 const SOCKET_CARRIER: &[u8] = b"+";
 
 /// The files by which the processes of one proxy connect.
 #[derive(Debug)]
 pub(super) struct HandoverSocket {
     directory: PathBuf,
-    /// Set if the directory's path is too long: its files are reached by this descriptor then.
+    /// The open directory, by whose descriptor its files are reached. Set only if the directory's
+    /// path is too long for the address of a socket.
     open_directory: Option<File>,
-    /// The symbolic link, whose name both processes know.
+    /// The name of the symbolic link, which is the same for all processes of the proxy.
     link_name: String,
-    /// The socket of this process.
+    /// The name of this process's socket.
     socket_name: String,
 }
 
@@ -60,7 +61,7 @@
     pub(super) fn connect(&self) -> io::Result<Option<UnixStream>> {
         match UnixStream::connect(self.socket_path(&self.link_name)) {
             Ok(stream) => Ok(Some(stream)),
-            // There is no link, or one that a process left at its death.
+            // There is no link, or a process that was killed has left it.
             Err(error) if matches!(error.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {
                 Ok(None)
             }
@@ -93,7 +94,7 @@
         fs::rename(&new_link, &link)
     }
 
-    /// Removes this process's files. The link stays if it points to another process by now.
+    /// Removes this process's files. The link stays if it already points to another process.
     pub(super) fn remove(&self) {
         let link = self.directory.join(&self.link_name);
         if fs::read_link(&link).is_ok_and(|target| target.as_os_str() == self.socket_name.as_str()) {
@@ -120,7 +121,7 @@
     sockopt::socket_peercred(stream).is_ok_and(|peer| peer.uid == rustix::process::geteuid())
 }
 
-/// Sends a listening socket, which needs one byte of data to go with.
+/// Sends a listening socket, with the byte of data that must accompany a descriptor.
 ///
 /// # Errors
 ///
