--- a/src/net/admin/backend.rs
+++ b/src/net/admin/backend.rs
@@ -1,4 +1,4 @@
-//! The process behind the operators' endpoint: [`AdminBackend`] is the only interface to it.
+//! The only interface between the operators' endpoint and its process: [`AdminBackend`].
 
 use crate::net::dispatcher::MaintenanceError;
 use crate::net::hot_restart::{ControlCommand, RelayError, ServiceState};
@@ -8,31 +8,31 @@
 
 /// The process that operators control.
 pub trait AdminBackend: Send + Sync + 'static {
-    /// Whether this process accepts clients.
+    /// Checks whether this process is ready to accept clients.
     ///
     /// # Errors
     ///
-    /// [`NotReady`] while it accepts none.
+    /// [`NotReady`] with the reason while the process is not ready.
     fn readiness(&self) -> Result<(), NotReady>;
 
-    /// The fleet as this process sees it, as JSON.
+    /// Returns the fleet as this process sees it, as JSON.
     ///
     /// # Errors
     ///
     /// [`FleetReportError`] if this process is not an active member of a fleet.
     fn fleet_report(&self) -> Result<String, FleetReportError>;
 
-    /// This process's part in the fleet's common policy, if there is one.
+    /// Returns this process's part in the fleet's common policy, if there is one.
     fn policy(&self) -> Option<&Arc<Policy>>;
 
-    /// Sends no more requests to a cache node.
+    /// Puts a cache node in maintenance: no more requests are sent to it.
     ///
     /// # Errors
     ///
     /// [`MaintenanceError`] if the node cannot enter maintenance.
     fn enter_maintenance(&self, id: &str) -> Result<(), MaintenanceError>;
 
-    /// Allows requests to a cache node again.
+    /// Ends the maintenance of a cache node: requests may be sent to it again.
     ///
     /// # Errors
     ///
@@ -50,25 +50,26 @@
     ///
     /// # Errors
     ///
-    /// [`RelayError`] if the other process has not confirmed it.
+    /// [`RelayError`] if the other process has rejected or not confirmed the command.
     fn relay(&self, command: ControlCommand) -> Result<(), RelayError>;
 }
 
-/// Why a process accepts no clients. Operators read the text.
+/// Why a process is not ready. Operators read the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NotReady {
-    /// It is starting or stopping.
+    /// The process is starting or stopping.
     #[error("not ready: starting or stopping")]
     StartingOrStopping,
-    /// It has no admission lease, for this reason.
+    /// The process has no admission lease, for this reason.
     #[error("not ready: fenced: {0}")]
     Fenced(String),
-    /// It does not have the fleet's common policy yet, for this reason.
+    /// The process does not have the fleet's common policy yet, for this reason.
     #[error("not ready: it catches up: {0}")]
     CatchingUp(String),
 }
 
-/// The process is starting or stopping, and cannot be put in service or out of it.
+/// The error of a process that is starting or stopping, and so cannot be put in service or out of
+/// it. Operators read the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("this process stops")]
 pub struct NotServing;
@@ -79,7 +80,7 @@
     /// The configuration has no fleet.
     #[error("no fleet is configured")]
     NotConfigured,
-    /// This process is not an active member.
+    /// This process is not an active member of its fleet.
     #[error(
         "this process does not speak in the fleet: it starts or stops, or the other process of this \
          proxy speaks"
--- a/src/net/admin/connection.rs
+++ b/src/net/admin/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of an operator: reads a request, responds, and closes. Read
+//! Serves one connection of an operator: reads a request, responds, and closes. Read
 //! [`ConnectionSlot::serve`] first.
 
 use super::backend::AdminBackend;
@@ -12,17 +12,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The timeout of reading a request. A new connection may close this one sooner.
+/// The timeout for reading a request. A new connection may cause the close of this one sooner.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// The timeout of writing a response.
+/// The timeout for writing a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long input after the response is discarded. Closing a connection with unread input resets
-/// it, which could lose the response.
+/// The time for which input after the response is discarded. Closing a connection with unread input
+/// resets it, which could lose the response.
 const DISCARD_DURATION: Duration = Duration::from_millis(200);
-/// The most bytes that are discarded after the response.
+/// The maximum number of bytes that are discarded after the response.
 const MAX_DISCARDED_BYTES: usize = 64 * 1024;
 
-/// One of the connections that may be open. Dropping it releases the slot.
+/// The slot of an open connection. Dropping the value releases the slot.
 pub(super) struct ConnectionSlot {
     server: Arc<AdminServer>,
     number: u64,
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// If the operator closes the connection, or does not read the response.
+    /// If the operator closes the connection, or does not read the response in time.
     pub(super) fn serve(
         &self,
         stream: &DeadlineStream<Stream>,
--- a/src/net/admin/golden_tests.rs
+++ b/src/net/admin/golden_tests.rs
@@ -1,5 +1,6 @@
-//! The responses of the operators' endpoint, byte by byte. Operators' scripts and probes read the
-//! status, the headers and the text. All texts were recorded before any renaming.
+//! Golden tests of the responses of the operators' endpoint, byte by byte, because operators'
+//! scripts and probes read the status, the headers and the text. The expected texts were recorded
+//! before any identifier was renamed.
 
 use super::handler::maintenance_rejected;
 use super::request::{parse, AdminRequest, MAX_BODY_BYTES, MAX_HEAD_BYTES};
@@ -15,7 +16,7 @@
     parse(request.as_bytes()).transpose().unwrap().map_err(AdminResponse::from)
 }
 
-/// The status and the text of the response to an invalid request.
+/// Returns the status and the text of the response to an invalid request.
 fn rejected(request: &str) -> (u16, String) {
     let response = read(request).unwrap_err();
     (response.status, response.text)
--- a/src/net/admin/handler.rs
+++ b/src/net/admin/handler.rs
@@ -1,5 +1,5 @@
-//! The effect and the response of each request: [`handle`]. A command for the whole proxy is
-//! applied by this process, then by the other one, if there are two.
+//! Executes operators' requests: [`handle`]. A command for the whole proxy is applied by this
+//! process, then by the other one, if there are two.
 
 use super::backend::{AdminBackend, FleetReportError};
 use super::request::AdminRequest;
@@ -10,7 +10,7 @@
 use crate::net::policy::Policy;
 use std::sync::Arc;
 
-/// Executes a request. A request that fails gets a response too.
+/// Executes a request, and returns its response. A request that fails gets a response too.
 pub(super) fn handle(request: AdminRequest, backend: &dyn AdminBackend) -> AdminResponse {
     match request {
         AdminRequest::Ready => ready(backend),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Applies a command in this process. The error is the response if it cannot.
+/// Applies a command in this process. The error is the response to a command that is rejected.
 fn apply_locally(command: &ControlCommand, backend: &dyn AdminBackend) -> Result<(), AdminResponse> {
     match command {
         ControlCommand::EnterMaintenance(id) => {
@@ -82,7 +82,7 @@
     }
 }
 
-/// The text of the response to a command that both processes have applied.
+/// Returns the text of the response to a command that both processes have applied.
 fn applied_text(command: &ControlCommand) -> String {
     match command {
         ControlCommand::EnterMaintenance(id) => {
@@ -98,7 +98,7 @@
     }
 }
 
-/// The response if a node cannot enter or leave maintenance.
+/// Returns the response to a command for a node that cannot enter or leave maintenance.
 pub(super) fn maintenance_rejected(error: &MaintenanceError) -> AdminResponse {
     match error {
         MaintenanceError::NeverListed(_) => AdminResponse::not_found(error.to_string()),
--- a/src/net/admin/handler/tests.rs
+++ b/src/net/admin/handler/tests.rs
@@ -3,7 +3,7 @@
 use crate::net::hot_restart::RelayError;
 use std::sync::Mutex;
 
-/// A process that records relayed commands, and answers with its fields.
+/// A backend that records relayed commands, and returns its fields as results.
 struct StubBackend {
     readiness: Result<(), NotReady>,
     fleet_report: Result<String, FleetReportError>,
@@ -70,7 +70,7 @@
     AdminRequest::Command(ControlCommand::SetService(service))
 }
 
-/// The status and the text of a response.
+/// Handles a request, and returns the status and the text of the response.
 fn handled(request: AdminRequest, backend: &StubBackend) -> (u16, String) {
     let response = handle(request, backend);
     (response.status, response.text)
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,6 +1,7 @@
-//! The operators' HTTP endpoint: a second address that accepts HTTP/1.1 requests, one a connection.
-//! Read [`AdminServer`] first. It makes no decisions: `request` parses, `handler` passes requests
-//! to an [`AdminBackend`], `response` encodes its answers.
+//! The operators' HTTP endpoint: a second address that accepts HTTP/1.1 requests, one per
+//! connection. Read [`AdminServer`] first. The endpoint makes no decisions about the proxy:
+//! `request` parses, `handler` passes requests to an [`AdminBackend`], `response` encodes the
+//! answers.
 
 mod backend;
 mod connection;
@@ -51,7 +52,7 @@
         Ok(Arc::new(AdminServer { listener, connections: Mutex::default() }))
     }
 
-    /// The address on which it listens.
+    /// Returns the address on which the endpoint listens.
     ///
     /// # Errors
     ///
@@ -60,9 +61,9 @@
         self.listener.address()
     }
 
-    /// Responds to operators from now on.
+    /// Starts to accept connections, and executes operators' requests on this backend.
     pub fn serve(self: Arc<Self>, backend: Arc<dyn AdminBackend>) {
-        // It ends with the process: nothing stops this listener before.
+        // The coroutine ends with the process, because nothing stops this listener earlier.
         may::go!(move || self.accept_connections(&backend));
     }
 
@@ -72,7 +73,9 @@
                 Ok(Some(stream)) => DeadlineStream::new(stream),
                 Ok(None) => return,
                 Err(error) => {
-                    log_fault(&format!("admin: accept: {error}"));
+                    log_fault(&format!(
+                        "admin endpoint: accept failed, trying again in {ACCEPT_RETRY_DELAY:?}: {error}"
+                    ));
                     sleep(ACCEPT_RETRY_DELAY);
                     continue;
                 }
@@ -82,7 +85,7 @@
             }
             let slot = ConnectionSlot::acquire(self, number, &stream);
             let backend = Arc::clone(backend);
-            // It ends by itself: each step of a connection has a deadline.
+            // The coroutine ends by itself, because each step of a connection has a deadline.
             may::go!(move || {
                 // An error means that the operator has closed the connection.
                 let _ = slot.serve(&stream, &*backend);
@@ -90,11 +93,12 @@
         }
     }
 
-    /// Closes a connection if all are in use. Returns whether one more may be open already.
+    /// Returns whether one more connection may be open. If not, closes the oldest connection whose
+    /// request is incomplete.
     ///
     /// Decides: whether a new connection must wait, and which one is closed for it.
     /// Inputs: the number of open connections, and which of them have no complete request.
-    /// Reason: idle connections must not block the endpoint; the oldest has had the most time.
+    /// Reason: idle connections must not block the endpoint, and the oldest has had the most time.
     fn make_room(&self) -> bool {
         let oldest = {
             let mut connections = self.connections();
--- a/src/net/admin/request.rs
+++ b/src/net/admin/request.rs
@@ -1,5 +1,5 @@
-//! The HTTP/1.1 requests of operators: [`parse`] makes an [`AdminRequest`] of bytes. It does no
-//! I/O.
+//! Parses the HTTP/1.1 requests of operators: [`parse`] turns bytes into an [`AdminRequest`],
+//! without I/O.
 
 use super::response::{
     AdminResponse, STATUS_BAD_REQUEST, STATUS_CONTENT_TOO_LARGE, STATUS_HEADER_FIELDS_TOO_LARGE,
@@ -10,68 +10,68 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest head of a request, in bytes.
+/// The maximum length of a request's head, in bytes.
 pub(super) const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The most headers of a request.
+/// The maximum number of a request's headers.
 const MAX_HEADERS: usize = 64;
-/// The longest body of a request, in bytes.
+/// The maximum length of a request's body, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 512 * 1024;
 const CACHE_NODES_PREFIX: &str = "/control/cache-nodes/";
 const POLICY_PATH: &str = "/control/policy";
 const CHANGES_PREFIX: &str = "/control/policy/changes/";
-/// The hexadecimal digits of a percent escape.
+/// The number of hexadecimal digits of a percent escape.
 const ESCAPE_DIGITS: usize = 2;
 
 /// A request of the operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum AdminRequest {
-    /// Whether this process accepts clients.
+    /// Asks whether this process is ready to accept clients.
     Ready,
-    /// The fleet as this process sees it.
+    /// Asks for the fleet as this process sees it.
     Fleet,
-    /// The active policy of this process, and the open change.
+    /// Asks for the active policy of this process, and the open change.
     Policy,
     /// Proposes a change of the common policy, which is the body.
     Propose(Vec<u8>),
-    /// The drift of each process from the approved policy.
+    /// Asks for the drift of each process from the approved policy.
     Drift,
     /// Applies the approved policy again.
     Restore,
-    /// The status of the change of this name.
+    /// Asks for the status of the change with this id.
     Change(String),
-    /// A command that binds all processes of this proxy.
+    /// Requests a command that all processes of this proxy apply.
     Command(ControlCommand),
 }
 
-/// Why the received bytes are not a request. Operators read the text.
+/// Why the received bytes are not a valid request. Operators read the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum RequestError {
-    /// It was not complete in time.
+    /// The request was not complete in time.
     #[error("no whole call within {} s", .0.as_secs())]
     Timeout(Duration),
-    /// It is not HTTP.
+    /// The bytes are not an HTTP request.
     #[error("no HTTP request: {0}")]
     NotHttp(#[from] httparse::Error),
-    /// Its head is too long, or has too many headers.
+    /// The head of the request is too long, or has too many headers.
     #[error("the head has over {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} lines")]
     HeadTooLarge,
-    /// It needs a body, and has no content length.
+    /// The request needs a body, and has no valid content length.
     #[error("the call needs a body and its Content-Length")]
     LengthRequired,
-    /// Its body is too long.
+    /// The body of the request is too long.
     #[error("the body has over {MAX_BODY_BYTES} bytes")]
     BodyTooLarge,
-    /// There is no such path.
+    /// The path of the request does not exist.
     #[error("no such call: {0:?}")]
     UnknownPath(String),
-    /// The path has other methods.
+    /// The path of the request allows other methods only.
     #[error("{path} is called by {allowed}, not {method}")]
     WrongMethod {
         /// The path of the request.
         path: String,
         /// The method of the request.
         method: String,
-        /// The methods of the path.
+        /// The methods that the path allows.
         allowed: &'static str,
     },
     /// An id in the path is empty or badly escaped.
@@ -135,7 +135,7 @@
     std::str::from_utf8(header.value).ok()?.trim().parse().ok()
 }
 
-/// Returns the request of a method and a target, without its body.
+/// Returns the request with this method and target, without its body.
 fn route(method: &str, target: &str) -> Result<AdminRequest, RequestError> {
     let path = target.split('?').next().unwrap_or_default();
     let (expected, request) = match path {
@@ -157,7 +157,7 @@
     Ok(request)
 }
 
-/// Returns the request of a path with an id, and the method of that path.
+/// Returns the request to a path that contains an id, and the method that the path allows.
 fn route_with_id(path: &str) -> Result<(&'static str, AdminRequest), RequestError> {
     if let Some(id) = path.strip_prefix(CHANGES_PREFIX) {
         return Ok(("GET", AdminRequest::Change(decode_id(id)?)));
@@ -178,7 +178,7 @@
     AdminRequest::Command(ControlCommand::SetService(service))
 }
 
-/// Decodes an id in a path, with its percent escapes.
+/// Decodes an id in a path by resolving its percent escapes.
 fn decode_id(id: &str) -> Result<String, RequestError> {
     let bad_id = || RequestError::BadId(id.to_owned());
     if id.is_empty() || !id.split('%').skip(1).all(begins_with_escape_digits) {
--- a/src/net/admin/response.rs
+++ b/src/net/admin/response.rs
@@ -11,7 +11,7 @@
 pub(super) const STATUS_CONTENT_TOO_LARGE: u16 = 413;
 pub(super) const STATUS_HEADER_FIELDS_TOO_LARGE: u16 = 431;
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
-/// The length of the `\n` that ends the body.
+/// The length of the `\n` that ends the body, in bytes.
 const LINE_END_BYTES: usize = 1;
 
 /// A response: a status, and one line of text or JSON.
@@ -19,7 +19,7 @@
 pub(super) struct AdminResponse {
     /// The HTTP status.
     pub(super) status: u16,
-    /// The methods of the path, if the request has another one.
+    /// The methods that the path allows, if the request has another one.
     pub(super) allow: Option<&'static str>,
     /// The body, without its line end.
     pub(super) text: String,
@@ -42,42 +42,42 @@
 }
 
 impl AdminResponse {
-    /// A line of text.
+    /// Creates a response with a line of text.
     pub(super) fn text(status: u16, text: impl Into<String>) -> AdminResponse {
         AdminResponse { status, allow: None, text: text.into(), content_type: ContentType::Text }
     }
 
-    /// A JSON document.
+    /// Creates a response with a JSON document.
     pub(super) fn json(status: u16, text: impl Into<String>) -> AdminResponse {
         AdminResponse { content_type: ContentType::Json, ..AdminResponse::text(status, text) }
     }
 
-    /// 200 with a line of text.
+    /// Creates a 200 response with a line of text.
     pub(super) fn ok(text: impl Into<String>) -> AdminResponse {
         AdminResponse::text(STATUS_OK, text)
     }
 
-    /// 404 with the reason.
+    /// Creates a 404 response with the reason.
     pub(super) fn not_found(reason: impl Into<String>) -> AdminResponse {
         AdminResponse::text(STATUS_NOT_FOUND, reason)
     }
 
-    /// 405 with the reason, and the methods of the path.
+    /// Creates a 405 response with the reason, and the methods that the path allows.
     pub(super) fn method_not_allowed(allow: &'static str, reason: impl Into<String>) -> AdminResponse {
         AdminResponse { allow: Some(allow), ..AdminResponse::text(STATUS_METHOD_NOT_ALLOWED, reason) }
     }
 
-    /// 409 with the reason.
+    /// Creates a 409 response with the reason.
     pub(super) fn conflict(reason: impl Into<String>) -> AdminResponse {
         AdminResponse::text(STATUS_CONFLICT, reason)
     }
 
-    /// 503 with the reason.
+    /// Creates a 503 response with the reason.
     pub(super) fn unavailable(reason: impl Into<String>) -> AdminResponse {
         AdminResponse::text(STATUS_SERVICE_UNAVAILABLE, reason)
     }
 
-    /// Encodes the response, after which the connection is closed.
+    /// Encodes the response, which tells the operator that the connection is then closed.
     pub(super) fn encode(&self) -> Vec<u8> {
         let reason = reason_phrase(self.status);
         let allow = self.allow.map_or(String::new(), |methods| format!("Allow: {methods}\r\n"));
