--- a/crates/connection-limits/src/connection_table.rs
+++ b/crates/connection-limits/src/connection_table.rs
@@ -1,8 +1,8 @@
-//! The connections of a server, what each is doing, and which are to be closed. Read
+//! Tracks what each connection of a server is doing, and selects the connections to close. Read
 //! [`ConnectionTable`] first, then [`Phase`].
 //!
-//! `entry` is the record of one connection, `eviction` decides which are closed, and `life_tables`
-//! keeps the life tables up to date.
+//! `entry` has the record of one connection, `eviction` decides which connections are closed, and
+//! `life_tables` keeps the life tables up to date.
 
 mod entry;
 mod eviction;
@@ -16,86 +16,89 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A connection, numbered by the driver in the order of arrival.
+/// The id of a connection. The driver numbers connections in the order of arrival.
 pub type ConnectionId = u64;
-/// Counts the phases of a connection. A [`CloseOrder`] carries it: an order is outdated once its
-/// connection has entered another phase.
+/// The number of a phase within its connection: 0 for the first phase, one more for each phase that
+/// the connection enters. A [`CloseOrder`] contains the number because an order is outdated once
+/// the connection has entered another phase.
 pub type PhaseNumber = u32;
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has arrived and sent nothing.
+    /// The client has connected and sent nothing.
     Silent,
-    /// It has sent a part of its first command.
+    /// The client has sent a part of its first command.
     PartialFirstCommand,
-    /// A command is being executed. Such a connection is never closed.
+    /// A command is being executed. The connection is never closed in this phase.
     CommandOpen,
     /// Every command has its response, and the client has sent nothing more.
     Idle,
-    /// It has sent a part of a later command.
+    /// The client has sent a part of a later command.
     PartialCommand,
-    /// The client does not read a response. Each entry into this phase counts as progress.
+    /// The client has not read all of a response. Each entry into this phase counts as progress of
+    /// the client.
     ResponseUnread,
-    /// It is closing; input is discarded.
+    /// The connection is closing, and its input is discarded.
     Closing,
 }
 
-/// Why a connection is to be closed.
+/// Why a connection is ordered to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseOrderReason {
-    /// It was in its phase for longer than any connection may be.
+    /// The connection was in its phase for longer than any connection may be.
     Overdue,
-    /// It is idle or silent, few connections of its kind are used again, and the pressure is high.
+    /// The pressure is high, and the connection is idle or silent at an age from which on few
+    /// connections of its kind are used again.
     UnlikelyToReturn,
-    /// Too many connections are in its phase.
+    /// More connections are in the phase than its budget allows.
     OverBudget,
-    /// The capacity was used up.
+    /// The capacity was used up, and another client needed it.
     Evicted,
 }
 
-/// A connection to close, unless it has entered another phase in the meantime.
+/// An order to close a connection, unless it has entered another phase in the meantime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseOrder {
-    /// Which connection.
+    /// The connection to close.
     pub id: ConnectionId,
-    /// In which of its phases; see [`PhaseNumber`].
+    /// The number of the phase to which the order applies.
     pub phase_number: PhaseNumber,
-    /// What it was doing.
+    /// The phase to which the order applies.
     pub phase: Phase,
-    /// Why.
+    /// Why the connection is to be closed.
     pub reason: CloseOrderReason,
 }
 
-/// How long connections of a kind may now be idle.
+/// How long connections of each kind may be idle at the present pressure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IdleLimits {
-    /// Connections that have sent nothing.
+    /// The limit of connections that have sent nothing.
     pub silent: Duration,
-    /// Idle connections that have sent one request.
+    /// The limit of idle connections that have sent one request.
     pub after_one_request: Duration,
-    /// Idle connections that have sent several requests.
+    /// The limit of idle connections that have sent several requests.
     pub after_several_requests: Duration,
 }
 
 /// The state of a [`ConnectionTable`] at a moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Connections.
+    /// The number of connections in all phases.
     pub open_connections: usize,
-    /// The most connections that there may be.
+    /// The maximum number of connections.
     pub capacity: usize,
-    /// Connections that have sent nothing.
+    /// The number of connections that have sent nothing.
     pub silent: usize,
-    /// Connections with a partial command.
+    /// The number of connections with a partial command.
     pub partial_command: usize,
-    /// Idle connections.
+    /// The number of idle connections.
     pub idle: usize,
-    /// Connections that are closing.
+    /// The number of connections that are closing.
     pub closing: usize,
     /// The share of the capacity that is used or soon will be.
     pub pressure: f64,
-    /// How long connections may now be idle.
+    /// How long connections may be idle at this pressure.
     pub idle_limits: IdleLimits,
 }
 
@@ -103,27 +106,28 @@
 ///
 /// The driver reports what each connection does: [`ConnectionTable::insert`],
 /// [`ConnectionTable::set_phase`], [`ConnectionTable::record_request`],
-/// [`ConnectionTable::remove`]. Every few milliseconds it closes those that
-/// [`ConnectionTable::expired`] returns, and those of [`ConnectionTable::make_room`] when the
-/// capacity is used up.
+/// [`ConnectionTable::remove`]. Every few milliseconds it closes the connections that
+/// [`ConnectionTable::expired`] returns. When the capacity is used up, it also closes those that
+/// [`ConnectionTable::make_room`] returns.
 pub struct ConnectionTable {
     limits: Limits,
     capacity: usize,
     entries: BTreeMap<ConnectionId, Entry>,
-    /// The connections that may be closed, by [`Queue`] and the beginning of their phase.
+    /// The connections that may be closed, by [`Queue`] and by the time from which the limits of
+    /// their phase count.
     ///
-    /// Invariant: an entry is in the queue that its `queue` names, and in no other.
+    /// Invariant: an entry is in the queue that its field `queue` names, and in no other queue.
     queues: [BTreeSet<(Timestamp, ConnectionId)>; QUEUE_COUNT],
-    /// When each connection with a life table reaches the next interval of it.
+    /// When each connection that has a life table reaches the next interval of the table.
     interval_ends: BTreeSet<(Timestamp, ConnectionId)>,
-    /// By [`ReuseKind`].
+    /// The life tables, indexed by [`ReuseKind`].
     life_tables: [ReuseEstimator; REUSE_KIND_COUNT],
     growth: GrowthEstimator,
     accepts: bool,
 }
 
 impl ConnectionTable {
-    /// A table without connections.
+    /// Creates a table without connections.
     pub fn new(limits: Limits, capacity: usize) -> ConnectionTable {
         ConnectionTable {
             limits,
@@ -137,50 +141,51 @@
         }
     }
 
-    /// Changes the capacity. Connections beyond it stay for the time being.
+    /// Changes the capacity. Connections above a lower capacity are not closed at once.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity.max(1);
     }
 
-    /// No connection arrives from now on, so that none needs the capacity and limits are generous
-    /// again. A client whose connection was closed could not connect to this server again.
+    /// Records that the server accepts no more connections. The pressure is 0 from now on, so that
+    /// limits are generous again: no new connection needs the capacity, and a client whose
+    /// connection was closed could not connect to this server again.
     pub fn stop_accepting(&mut self) {
         self.accepts = false;
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections in all phases.
     pub fn open_connections(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether the capacity is used up.
+    /// Returns whether the capacity is used up.
     pub fn is_full(&self) -> bool {
         self.open_connections() >= self.capacity
     }
 
-    /// A connection has arrived; it has sent nothing yet.
+    /// Adds a connection that has arrived and has sent nothing yet.
     pub fn insert(&mut self, now: Timestamp, id: ConnectionId) {
         self.growth.record_arrival(now);
         self.entries.insert(id, Entry::new(now));
         self.enqueue(id);
     }
 
-    /// A connection has sent a request.
+    /// Records that a connection has sent a request.
     pub fn record_request(&mut self, id: ConnectionId) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.requests = entry.requests.saturating_add(1);
         }
     }
 
-    /// A connection enters a phase; returns the count of its phases. Entering the current phase
-    /// again changes nothing, except for [`Phase::ResponseUnread`].
+    /// Records that a connection enters a phase, and returns the number of that phase. Entering the
+    /// current phase again changes nothing, except for [`Phase::ResponseUnread`].
     pub fn set_phase(&mut self, now: Timestamp, id: ConnectionId, phase: Phase) -> PhaseNumber {
         let Some(entry) = self.entries.get(&id) else { return 0 };
         if entry.phase == phase && phase != Phase::ResponseUnread {
             return entry.phase_number;
         }
-        // Input on a closing connection is no reuse. A connection that was ordered to close, but is
-        // used before it closes, counts as reused.
+        // Input on a closing connection does not count as reuse. A connection that was ordered to
+        // close but is used before it closes counts as reused.
         if phase != Phase::Closing {
             self.record_reuse(now, id);
         }
@@ -192,9 +197,9 @@
         phase_number
     }
 
-    /// A connection was closed, by the client or by the server.
+    /// Removes a connection that the client or the server has closed.
     pub fn remove(&mut self, now: Timestamp, id: ConnectionId) {
-        // After a close by the server it is unknown what the client would have done.
+        // If the server closed the connection, it is unknown what the client would have done.
         if self.entries.get(&id).is_some_and(|entry| !entry.is_ordered_to_close) {
             self.record_client_close(now, id);
         }
@@ -204,8 +209,9 @@
         }
     }
 
-    /// The share of the capacity that is used, or soon will be if connections go on arriving and
-    /// ending at the present rates; 0 once the server accepts no more. It can exceed 1.
+    /// Returns the share of the capacity that is used, or soon will be if connections continue to
+    /// arrive and end at the present rates. The pressure can exceed 1, and is 0 once the server
+    /// accepts no more connections.
     pub fn pressure(&self, now: Timestamp) -> f64 {
         if !self.accepts {
             return 0.0;
@@ -214,7 +220,7 @@
         (self.open_connections() as f64 + growth) / self.capacity as f64
     }
 
-    /// The state at this moment.
+    /// Returns the state of the table at this moment.
     pub fn counts(&self, now: Timestamp) -> Counts {
         let in_phases =
             |phases: &[Phase]| self.entries.values().filter(|entry| phases.contains(&entry.phase)).count();
@@ -235,7 +241,8 @@
         }
     }
 
-    /// Puts a connection into the queue of its phase, and schedules the end of its first interval.
+    /// Adds a connection to the queue of its phase or of the sample, and schedules the end of its
+    /// first interval.
     fn enqueue(&mut self, id: ConnectionId) {
         let Some(entry) = self.entries.get(&id) else { return };
         let sample = &self.queues[Queue::Sample as usize];
@@ -252,7 +259,7 @@
         }
     }
 
-    /// Takes a connection out of its queues.
+    /// Removes a connection from its queue, and cancels the end of its interval.
     fn dequeue(&mut self, id: ConnectionId) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if let Some(queue) = entry.queue.take() {
@@ -263,7 +270,8 @@
         }
     }
 
-    /// How many connections may be in each of the phases with a budget above low pressure.
+    /// Returns the maximum number of connections in each phase that has a budget above low
+    /// pressure.
     fn phase_budget(&self) -> usize {
         ((self.capacity as f64 * self.limits.phase_budget_share) as usize).max(1)
     }
--- a/crates/connection-limits/src/connection_table/entry.rs
+++ b/crates/connection-limits/src/connection_table/entry.rs
@@ -2,7 +2,7 @@
 
 use super::{Phase, PhaseNumber, Timestamp};
 
-/// Queues of connections that may be closed. Idle connections are distinguished by the number of
+/// The queues of connections that may be closed. Idle connections are divided by the number of
 /// their requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Queue {
@@ -11,53 +11,55 @@
     PartialCommand,
     ResponseUnread,
     Closing,
-    /// Idle, and never sent a request: only commands like a greeting or a ping.
+    /// Idle connections that never sent a request, only commands such as a greeting or a ping.
     NeverUsed,
-    /// Idle after one request.
+    /// Connections that are idle after one request.
     UsedOnce,
-    /// Idle after several requests.
+    /// Connections that are idle after several requests.
     UsedAgain,
-    /// Idle or silent, with the generous limit, so that the life tables can learn from it.
+    /// A sample of idle and silent connections, which have the generous limit so that the life
+    /// tables can learn from them.
     Sample,
 }
 
-/// How many variants [`Queue`] has.
+/// The number of variants of [`Queue`].
 pub(super) const QUEUE_COUNT: usize = 9;
 
-/// Kinds of connections with a life table of their own.
+/// The kinds of connections that each have a life table of their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReuseKind {
-    /// It has sent nothing.
+    /// Connections that have sent nothing.
     Silent,
-    /// Idle, and never sent a request.
+    /// Idle connections that never sent a request.
     NeverUsed,
-    /// Idle after one request.
+    /// Connections that are idle after one request.
     UsedOnce,
-    /// Idle after several requests.
+    /// Connections that are idle after several requests.
     UsedAgain,
 }
 
-/// How many variants [`ReuseKind`] has.
+/// The number of variants of [`ReuseKind`].
 pub(super) const REUSE_KIND_COUNT: usize = 4;
 
-/// One connection.
+/// The record of one connection.
 pub(super) struct Entry {
     pub phase: Phase,
-    /// The queue that it is in; none while a command is executed, and after an order to close.
+    /// The queue that contains the connection; `None` while a command is executed, and after an
+    /// order to close.
     pub queue: Option<Queue>,
-    /// The time from which the limits of its phase count.
+    /// The time from which the limits of the present phase count.
     pub since: Timestamp,
     arrived_at: Timestamp,
     pub phase_number: PhaseNumber,
     pub requests: u32,
-    /// The interval of its life table that it is in.
+    /// The interval of the life table that the connection is in.
     pub interval: usize,
-    /// Whether it was ordered to close in this phase.
+    /// Whether the connection was ordered to close in its present phase.
     pub is_ordered_to_close: bool,
 }
 
 impl Entry {
-    /// A connection that has just arrived.
+    /// Creates the entry of a connection that has just arrived.
     pub(super) fn new(now: Timestamp) -> Entry {
         Entry {
             phase: Phase::Silent,
@@ -74,7 +76,8 @@
     /// Enters a phase. The entry must not be in a queue.
     ///
     /// Invariant: the time for the first command counts from the arrival of the connection. If each
-    /// byte restarted it, a client could hold a connection for ever with a byte now and then.
+    /// byte restarted that time, a client could hold a connection indefinitely by sending a byte
+    /// now and then.
     pub(super) fn enter(&mut self, now: Timestamp, phase: Phase) {
         self.phase_number = self.phase_number.wrapping_add(1);
         self.phase = phase;
@@ -83,7 +86,7 @@
         self.since = if phase == Phase::PartialFirstCommand { self.arrived_at } else { now };
     }
 
-    /// Which life table it belongs to, if any.
+    /// Returns the kind of the connection, if it has a life table in its present phase.
     pub(super) fn reuse_kind(&self) -> Option<ReuseKind> {
         match (self.phase, self.requests) {
             (Phase::Silent, _) => Some(ReuseKind::Silent),
@@ -94,8 +97,8 @@
         }
     }
 
-    /// The queue of its phase, if it may be closed in that phase. Connections of the sample have a
-    /// queue of their own instead.
+    /// Returns the queue of the connection's phase, if the connection may be closed in that phase.
+    /// Connections of the sample are in [`Queue::Sample`] instead.
     pub(super) fn queue_of_phase(&self) -> Option<Queue> {
         let queue = match self.phase {
             Phase::CommandOpen => return None,
--- a/crates/connection-limits/src/connection_table/eviction.rs
+++ b/crates/connection-limits/src/connection_table/eviction.rs
@@ -1,5 +1,5 @@
-//! Which connections are closed, and why: one function for each [`CloseOrderReason`]. Read
-//! [`ConnectionTable::expired`] first, which applies them in their order.
+//! Decides which connections are closed, with one function for each [`CloseOrderReason`]. Read
+//! [`ConnectionTable::expired`] first, which applies the functions in order.
 
 use super::entry::{Queue, ReuseKind};
 use super::{CloseOrder, CloseOrderReason, ConnectionId, ConnectionTable, Phase, Timestamp};
@@ -13,8 +13,9 @@
 }
 
 impl ConnectionTable {
-    /// The connections that have been in their phase for longer than the present pressure allows.
-    /// Each is returned at most once for each phase that it enters.
+    /// Returns orders to close the connections that have been in their phase for longer than the
+    /// present pressure allows. A connection is returned at most once for each phase that it
+    /// enters.
     pub fn expired(&mut self, now: Timestamp) -> Vec<CloseOrder> {
         self.record_survivals(now);
         let pressure = self.pressure(now);
@@ -28,13 +29,13 @@
         orders
     }
 
-    /// Up to `count` connections that may be closed for new ones.
+    /// Returns orders to close up to `count` connections in favor of new ones.
     ///
     /// Invariant: a connection whose command is being executed is never closed.
     ///
-    /// Decides: which connections are evicted ([`CloseOrderReason::Evicted`]). First those for whose client
-    /// the server waits and that are older than their floor, by phase, oldest first; then idle
-    /// ones, the least likely to be used again first.
+    /// Decides: which connections are evicted ([`CloseOrderReason::Evicted`]). First come the
+    /// connections whose client the server waits for and that have reached their floor, by phase,
+    /// the oldest first; then idle connections, the least likely to be used again first.
     /// Inputs: ages and floors (ms), probabilities of reuse, `count` in connections.
     /// Reason: the capacity is used up, and a client that waits to connect needs it more than one
     /// that sends nothing.
@@ -63,12 +64,13 @@
         orders
     }
 
-    /// Closes connections that have been in their phase for longer than any connection may be.
+    /// Orders connections to close that have been in their phase for longer than any connection may
+    /// be.
     ///
     /// Decides: which connections are [`CloseOrderReason::Overdue`].
     /// Inputs: ages in the phase and the timeouts of the phases (ms), the pressure (share of the
     /// capacity), which selects the idle timeout.
-    /// Reason: a client that neither sends nor reads would hold its descriptor for ever.
+    /// Reason: a client that neither sends nor reads would hold its descriptor indefinitely.
     /// Source: docs/connection-limits.md, "Pressure".
     fn order_overdue(&mut self, now: Timestamp, pressure: f64, orders: &mut Vec<CloseOrder>) {
         let limits = self.limits;
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Closes silent connections of the sample, which have no more time than other silent ones.
+    /// Orders overdue silent connections of the sample to close. They have the same time limit as
+    /// other silent connections.
     fn order_overdue_in_sample(&mut self, now: Timestamp, orders: &mut Vec<CloseOrder>) {
         let limit = self.limits.command_timeout;
         let is_silent =
@@ -105,8 +108,8 @@
         }
     }
 
-    /// Closes silent and idle connections at the age from which on few of their kind are used
-    /// again.
+    /// Orders silent and idle connections to close at the age from which on few connections of
+    /// their kind are used again.
     ///
     /// Decides: which connections are [`CloseOrderReason::UnlikelyToReturn`].
     /// Inputs: ages in the phase (ms), the pressure (share of the capacity), and the limit of each
@@ -125,12 +128,12 @@
         }
     }
 
-    /// Closes the oldest connections in phases that hold more than their budget.
+    /// Orders the oldest connections to close in phases with more connections than their budget.
     ///
     /// Decides: which connections are [`CloseOrderReason::OverBudget`].
     /// Inputs: the number of connections in each phase, the budget of a phase (connections), ages
     /// and floors (ms).
-    /// Reason: clients that the server waits for must not take the capacity from the others.
+    /// Reason: clients that the server waits for must not use up the capacity for other clients.
     /// Source: docs/connection-limits.md, "Budgets" (Little's law).
     fn order_over_budget(&mut self, now: Timestamp, orders: &mut Vec<CloseOrder>) {
         let budget = self.phase_budget();
@@ -148,7 +151,8 @@
         }
     }
 
-    /// The idle connection that is least likely to be used again; of equal ones the oldest.
+    /// Returns the idle connection that is least likely to be used again, and of equally likely
+    /// ones the oldest.
     fn least_likely_to_return(&self) -> Option<ConnectionId> {
         let queues = [Queue::NeverUsed, Queue::UsedOnce, Queue::UsedAgain, Queue::Sample];
         let oldest = queues.iter().filter_map(|queue| self.queues[*queue as usize].first());
@@ -164,7 +168,7 @@
         least.map(|candidate| candidate.id)
     }
 
-    /// Orders the connections of a queue that have reached this age to be closed.
+    /// Orders the connections of a queue that have reached this age to close.
     fn order_older(
         &mut self,
         now: Timestamp,
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Orders the oldest connection of a queue to be closed, if it has reached this age.
+    /// Orders the oldest connection of a queue to close, if it has reached this age.
     fn order_oldest(
         &mut self,
         now: Timestamp,
@@ -193,7 +197,8 @@
         self.order_close(id, reason)
     }
 
-    /// Orders a connection to be closed. It leaves its queue, so that it is ordered once only.
+    /// Orders a connection to close, and removes it from its queue so that it is not ordered to
+    /// close again in the same phase.
     fn order_close(&mut self, id: ConnectionId, reason: CloseOrderReason) -> Option<CloseOrder> {
         self.dequeue(id);
         let entry = self.entries.get_mut(&id)?;
--- a/crates/connection-limits/src/connection_table/life_tables.rs
+++ b/crates/connection-limits/src/connection_table/life_tables.rs
@@ -1,5 +1,5 @@
-//! The life tables of a [`ConnectionTable`]: how they are updated, and the limits that follow from
-//! them. Read [`ConnectionTable::idle_limit`] first.
+//! Updates the life tables of a [`ConnectionTable`], and derives idle limits from them. Read
+//! [`ConnectionTable::idle_limit`] first.
 
 use super::entry::ReuseKind;
 use super::{ConnectionId, ConnectionTable, Timestamp};
@@ -7,21 +7,21 @@
 use std::time::Duration;
 
 impl ConnectionTable {
-    /// Counts a connection that is used again in its life table, if it has one.
+    /// Records in the life table of a connection, if it has one, that it was used again.
     pub(super) fn record_reuse(&mut self, now: Timestamp, id: ConnectionId) {
         if let Some((kind, interval)) = self.position_in_life_table(now, id) {
             self.life_tables[kind as usize].record_reuse(now, interval);
         }
     }
 
-    /// Counts a connection that its client has closed in its life table, if it has one.
+    /// Records in the life table of a connection, if it has one, that its client has closed it.
     pub(super) fn record_client_close(&mut self, now: Timestamp, id: ConnectionId) {
         if let Some((kind, interval)) = self.position_in_life_table(now, id) {
             self.life_tables[kind as usize].record_client_close(now, interval);
         }
     }
 
-    /// Counts the connections that have survived an interval by now.
+    /// Records the connections that have survived an interval by now.
     pub(super) fn record_survivals(&mut self, now: Timestamp) {
         while let Some((at, id)) = self.interval_ends.first().copied() {
             if at > now {
@@ -38,8 +38,8 @@
         }
     }
 
-    /// How likely a connection is to be used again before the short idle timeout; 0 if it has no
-    /// life table.
+    /// Estimates the probability that a connection is used again before the short idle timeout; 0
+    /// if the connection has no life table.
     pub(super) fn reuse_probability(&self, id: ConnectionId) -> f64 {
         let Some(entry) = self.entries.get(&id) else { return 0.0 };
         let Some(kind) = entry.reuse_kind() else { return 0.0 };
@@ -47,12 +47,13 @@
         life_table.reuse_probability(entry.interval, self.limits.idle_timeout)
     }
 
-    /// How long a connection of a kind may now be idle.
+    /// Returns how long a connection of a kind may be idle at this pressure.
     ///
     /// Decides: the age at which a silent or idle connection of this kind is closed under pressure.
     /// Inputs: the pressure (share of the capacity), the kind's life table (probabilities by age),
     /// the kind's longest and shortest time, the required probability of reuse.
-    /// Reason: connections that will probably not be used again keep clients with requests out.
+    /// Reason: connections that will probably not be used again take the capacity from clients that
+    /// send requests.
     /// Source: the actuarial life table of survival analysis; docs/connection-limits.md, "Reuse".
     pub(super) fn idle_limit(&self, kind: ReuseKind, pressure: f64) -> Duration {
         let limits = &self.limits;
@@ -61,8 +62,8 @@
             _ => (limits.idle_timeout_at(pressure), limits.idle_floor),
         };
         let required = limits.required_reuse_probability_at(pressure);
-        // While others need the capacity, reuse after the shorter timeout does not justify keeping
-        // a connection.
+        // While other clients need the capacity, reuse after the shorter timeout does not justify
+        // keeping a connection.
         let horizon = most.min(limits.idle_timeout);
         let life_table = &self.life_tables[kind as usize];
         let unlikely_from = life_table.unlikely_to_return_from(required, horizon);
@@ -73,7 +74,8 @@
         }
     }
 
-    /// The life table that counts a connection, and the interval that it is in.
+    /// Returns the kind of a connection, which selects its life table, and the interval of that
+    /// table that it is in.
     fn position_in_life_table(&self, now: Timestamp, id: ConnectionId) -> Option<(ReuseKind, usize)> {
         let entry = self.entries.get(&id)?;
         let kind = entry.reuse_kind()?;
--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -1,19 +1,21 @@
-//! The division of a process's descriptors between its clients and its backends:
-//! [`DescriptorBudget`].
+//! Divides the descriptors of a process between its clients and its backends; read
+//! [`DescriptorBudget`] first.
 
 use crate::{millis_f64, Timestamp};
 
-/// Half-life of the peak of what backends needed.
+/// The half-life, in ms, of the peak number of descriptors that backends needed.
 const PEAK_HALF_LIFE_MS: f64 = 5_000.0;
-/// Backends keep this multiple of their recent peak ...
+/// The multiple of their recent peak that backends keep.
 const BACKEND_HEADROOM_FACTOR: f64 = 1.2;
-/// ... and this many descriptors more.
+/// The number of descriptors that backends keep in addition to that multiple.
 const BACKEND_SPARE_DESCRIPTORS: usize = 8;
-/// Each side has at least this many descriptors in reserve.
+/// The minimum reserve of each side, in descriptors.
 const MIN_RESERVE_DESCRIPTORS: usize = 1;
 
-/// The division. Each side has a reserve that the other cannot take. The descriptors between the
-/// reserves go to the side that needs them, and return when the need is over.
+/// The division of a process's descriptors between clients and backends.
+///
+/// Each side has a reserve that the other side cannot use. The remaining descriptors go to
+/// backends while they need them, and to clients otherwise.
 #[derive(Clone, Debug)]
 pub struct DescriptorBudget {
     total: usize,
@@ -21,14 +23,14 @@
     backend_share: f64,
     client_reserve: usize,
     backend_reserve: usize,
-    /// The most descriptors that backends needed, decayed until `peak_at`.
+    /// The maximum number of descriptors that backends needed, decayed until `peak_at`.
     peak: f64,
     peak_at: Timestamp,
 }
 
 impl DescriptorBudget {
-    /// A division of `total` descriptors, of which these shares, from 0 to 1, are the reserves of
-    /// the two sides. Each side has at least one.
+    /// Creates a division of `total` descriptors. The two shares, from 0 to 1, are the reserves of
+    /// the two sides; each reserve has at least one descriptor.
     pub fn new(total: usize, client_share: f64, backend_share: f64) -> DescriptorBudget {
         debug_assert!(client_share + backend_share <= 1.0);
         let mut budget = DescriptorBudget {
@@ -44,8 +46,8 @@
         budget
     }
 
-    /// Changes the total; the shares stay. A side that holds more than its new limit keeps those
-    /// descriptors until its connections close.
+    /// Changes the total, and the reserves in proportion. A side that holds more than its new limit
+    /// keeps those descriptors until its connections close.
     pub fn resize(&mut self, total: usize) {
         let reserve = |share: f64| ((total as f64 * share) as usize).max(MIN_RESERVE_DESCRIPTORS);
         self.client_reserve = reserve(self.client_share);
@@ -53,13 +55,13 @@
         self.total = total.max(2 * MIN_RESERVE_DESCRIPTORS);
     }
 
-    /// Records how many descriptors backends hold, or would hold if they could.
+    /// Records the number of descriptors that backends hold, or would hold if they were available.
     pub fn record_backend_need(&mut self, now: Timestamp, need: usize) {
         self.peak = self.decayed_peak(now).max(need as f64);
         self.peak_at = self.peak_at.max(now);
     }
 
-    /// How many client connections there may be now.
+    /// Returns the maximum number of client connections at this moment.
     ///
     /// Decides: the limit of client connections, between the clients' reserve and the total less
     /// the backends' reserve.
@@ -75,10 +77,11 @@
         self.total - wanted_by_backends.clamp(self.backend_reserve.min(most), most)
     }
 
-    /// How many backend connections there may be beside `clients` client connections.
+    /// Returns the maximum number of backend connections beside `clients` client connections.
     ///
-    /// Invariant: no descriptor is given twice. What clients hold now counts, not what they may
-    /// hold: a side with a lowered limit shrinks only as its connections close.
+    /// Invariant: no descriptor is given to both sides. The descriptors that clients hold now
+    /// count, not those that they may hold, because a side whose limit was lowered shrinks only as
+    /// its connections close.
     ///
     /// Decides: the limit of backend connections.
     /// Inputs: the open client connections, the total and both reserves, in descriptors.
@@ -89,7 +92,7 @@
         free.max(self.backend_reserve).min(self.total - self.client_reserve)
     }
 
-    /// Whether one more client connection can be accepted.
+    /// Returns whether one more client connection can be accepted.
     ///
     /// Decides: whether a client connection is accepted or waits in the listen queue.
     /// Inputs: the open client and backend connections, the total and the backends' reserve, in
--- a/crates/connection-limits/src/limits.rs
+++ b/crates/connection-limits/src/limits.rs
@@ -1,9 +1,9 @@
-//! How long a connection may stay in a phase, and which share of the capacity each phase may take:
-//! [`Limits`].
+//! Defines how long a connection may stay in a phase, and which share of the capacity each phase
+//! may use; read [`Limits`] first.
 
 use std::time::Duration;
 
-/// From this pressure on, idle connections have the shorter of their two timeouts.
+/// The pressure from which on idle connections have the shorter of their two timeouts.
 const SHORT_IDLE_TIMEOUT_FROM_PRESSURE: f64 = 0.5;
 
 /// The limits of one [`crate::ConnectionTable`]. Pressure is the share of the capacity that is used
@@ -15,36 +15,39 @@
     pub command_timeout: Duration,
     /// How long any connection may be idle, from a pressure of one half on.
     pub idle_timeout: Duration,
-    /// How long any connection may be idle below that pressure.
+    /// How long any connection may be idle below a pressure of one half.
     pub idle_timeout_at_low_pressure: Duration,
-    /// Within this time the client must read something of a response.
+    /// The time within which the client must read a part of a response.
     pub unread_response_timeout: Duration,
     /// How long input is discarded after the error that ends a connection.
     pub linger_timeout: Duration,
-    /// At any pressure, a connection that has sent nothing yet stays for at least this long.
+    /// The time, from a connection's arrival, for which a connection that has sent nothing yet
+    /// stays open at any pressure.
     pub silent_floor: Duration,
-    /// The same for an idle one: long enough for a client that sends its next request at once, over
-    /// a slow line.
+    /// The time for which an idle connection stays open while the capacity is not used up: long
+    /// enough for a client on a slow link that sends its next request at once.
     pub idle_floor: Duration,
-    /// The same for one with a partial command.
+    /// The time for which a connection with a partial command stays open at any pressure.
     pub partial_command_floor: Duration,
-    /// The same for one that is closing.
+    /// The time for which input of a closing connection is discarded at any pressure.
     pub linger_floor: Duration,
-    /// Up to this pressure no limit tightens.
+    /// The pressure up to which no limit is lowered.
     pub low_pressure: f64,
-    /// At this pressure an idle connection stays only if it is at least
-    /// [`Limits::required_reuse_probability`] likely to be used again; between the two pressures
-    /// the requirement rises in proportion.
+    /// The pressure at which an idle connection stays open only if its probability of being used
+    /// again is at least [`Limits::required_reuse_probability`]. Between low and high pressure the
+    /// required probability rises in proportion.
     pub high_pressure: f64,
-    /// See [`Limits::high_pressure`].
+    /// The probability of being used again that an idle connection needs at
+    /// [`Limits::high_pressure`].
     pub required_reuse_probability: f64,
-    /// Above low pressure, the share of the capacity that connections in each of these phases may
-    /// take, if they are older than their floor: silent, partial first command, partial later
+    /// The share of the capacity that, above low pressure, connections in each of these phases may
+    /// use once they are older than their floor: silent, partial first command, partial later
     /// command, closing.
     pub phase_budget_share: f64,
-    /// The growth of the number of connections within this time counts as pressure.
+    /// The time for which the growth of the number of connections is estimated. The estimate is
+    /// part of the pressure.
     pub growth_horizon: Duration,
-    /// One idle connection in this many keeps the generous timeout, within
+    /// The sampling interval: one idle connection in this many keeps the generous timeout, within
     /// [`Limits::phase_budget_share`]. Without this sample the table could no longer learn which
     /// connections would have been used again.
     pub sample_one_in: u64,
@@ -73,14 +76,15 @@
 }
 
 impl Limits {
-    /// How likely an idle connection must be to be used again so that it may stay at this pressure.
+    /// Returns the probability of being used again that an idle connection needs to stay open at
+    /// this pressure.
     pub fn required_reuse_probability_at(&self, pressure: f64) -> f64 {
         let range = self.high_pressure - self.low_pressure;
         let position = (pressure - self.low_pressure) / range;
         self.required_reuse_probability * position.clamp(0.0, 1.0)
     }
 
-    /// How long any connection may be idle at this pressure.
+    /// Returns how long any connection may be idle at this pressure.
     pub fn idle_timeout_at(&self, pressure: f64) -> Duration {
         if pressure < SHORT_IDLE_TIMEOUT_FROM_PRESSURE {
             self.idle_timeout_at_low_pressure
--- a/crates/connection-limits/src/reuse_estimator.rs
+++ b/crates/connection-limits/src/reuse_estimator.rs
@@ -1,15 +1,16 @@
-//! How likely an idle connection is to be used again, learnt from earlier connections:
-//! [`ReuseEstimator`].
+//! Estimates the probability that an idle connection is used again, from earlier connections; read
+//! [`ReuseEstimator`] first.
 //!
-//! It is a life table (the actuarial estimate of survival analysis): ages are cut into intervals,
-//! and each interval counts the connections that entered it, that were used again in it, and that
-//! the client closed in it. A connection that the server closed is censored: it counts for the
-//! intervals that it survived, and gives no evidence about the one in which it was closed.
+//! The estimator is a life table (the actuarial estimate of survival analysis): ages are divided
+//! into intervals, and each interval counts the connections that entered it, that were used again
+//! in it, and that the client closed in it. A connection that the server closed is censored: it
+//! counts for the intervals that it survived, but gives no evidence about the interval in which it
+//! was closed.
 
 use crate::{millis_f64, Timestamp};
 use std::time::Duration;
 
-/// Where each interval of age begins; the last has no end.
+/// The age at which each interval begins; the last interval has no end.
 pub const INTERVAL_STARTS: [Duration; 14] = [
     Duration::ZERO,
     Duration::from_millis(50),
@@ -26,22 +27,23 @@
     Duration::from_millis(5_000),
     Duration::from_millis(8_000),
 ];
-/// Half-life of the counts: clients change how they use connections.
+/// The half-life of the counts, in ms. Counts decay because clients change how they use
+/// connections.
 const COUNT_HALF_LIFE_MS: f64 = 4_000.0;
-/// Shortest time between two decays of the counts. A decay at each call would give nearly the same
-/// counts for much more work.
+/// The minimum time between two decays of the counts. A decay at each call would give nearly the
+/// same counts for much more work.
 const MIN_DECAY_INTERVAL: Duration = Duration::from_millis(64);
-/// Weight of the prior of each interval, in connections that entered it. The prior's share of
-/// reused connections is that of the interval before, yet at least [`MIN_PRIOR_REUSE`]; in the
-/// first interval it is [`FIRST_PRIOR_REUSE`], so that connections are kept until there is evidence
-/// against it.
+/// The weight of the prior of each interval, in connections that entered the interval. The prior's
+/// share of reused connections is that of the previous interval, but at least [`MIN_PRIOR_REUSE`];
+/// in the first interval it is [`FIRST_PRIOR_REUSE`], so that connections are kept until there is
+/// evidence against keeping them.
 const PRIOR_CONNECTIONS: f64 = 2.0;
-/// Prior share of reused connections in the first interval.
+/// The prior share of reused connections in the first interval.
 const FIRST_PRIOR_REUSE: f64 = 0.2;
-/// Lowest prior share of reused connections in any later interval.
+/// The minimum prior share of reused connections in any later interval.
 const MIN_PRIOR_REUSE: f64 = 0.03;
 
-/// Counts of one interval of age; recent connections count more.
+/// The counts of one interval of age, in which recent connections have more weight.
 #[derive(Clone, Copy, Debug, Default)]
 struct Interval {
     entered: f64,
@@ -56,55 +58,55 @@
     intervals: [Interval; INTERVAL_STARTS.len()],
 }
 
-/// The interval that an age lies in.
+/// Returns the interval that contains an age.
 pub(crate) fn interval_of(age: Duration) -> usize {
     INTERVAL_STARTS.iter().rposition(|start| *start <= age).unwrap_or_default()
 }
 
-/// The age at which an interval ends; none for the last.
+/// Returns the age at which an interval ends; `None` for the last interval.
 pub(crate) fn interval_end(interval: usize) -> Option<Duration> {
     INTERVAL_STARTS.get(interval + 1).copied()
 }
 
-/// How many intervals end by this age.
+/// Returns the number of intervals that end by this age.
 fn intervals_before(age: Duration) -> usize {
     INTERVAL_STARTS.iter().skip(1).take_while(|end| **end <= age).count()
 }
 
 impl ReuseEstimator {
-    /// A connection has survived an interval without being used.
+    /// Records that a connection has survived an interval without being used.
     ///
     /// # Panics
     ///
-    /// There is no such interval.
+    /// If there is no such interval.
     pub fn record_survival(&mut self, now: Timestamp, interval: usize) {
         self.decay(now);
         self.intervals[interval].entered += 1.0;
     }
 
-    /// A connection was used again in this interval.
+    /// Records that a connection was used again in this interval.
     ///
     /// # Panics
     ///
-    /// There is no such interval.
+    /// If there is no such interval.
     pub fn record_reuse(&mut self, now: Timestamp, interval: usize) {
         self.record_survival(now, interval);
         self.intervals[interval].reused += 1.0;
     }
 
-    /// A client has closed its connection in this interval.
+    /// Records that a client has closed its connection in this interval.
     ///
     /// # Panics
     ///
-    /// There is no such interval.
+    /// If there is no such interval.
     pub fn record_client_close(&mut self, now: Timestamp, interval: usize) {
         self.record_survival(now, interval);
         self.intervals[interval].closed_by_client += 1.0;
     }
 
-    /// How likely a connection at the beginning of an interval is to be used again before the age
-    /// of `until`. Intervals that end later do not count: few connections are allowed to survive
-    /// them.
+    /// Estimates the probability that a connection at the beginning of the interval `from` is used
+    /// again before the age of `until`. Intervals that end later are ignored because few
+    /// connections are allowed to survive them.
     pub fn reuse_probability(&self, from: usize, until: Duration) -> f64 {
         let mut probability = 0.0;
         let mut surviving = 1.0;
@@ -122,12 +124,12 @@
         probability
     }
 
-    /// The age from which on a connection is less likely than `required` to be used again before
-    /// the age of `until`; `until` if there is no such age.
+    /// Returns the age from which on the probability that a connection is used again before the age
+    /// of `until` is below `required`; `until` if there is no such age.
     pub fn unlikely_to_return_from(&self, required: f64, until: Duration) -> Duration {
         let intervals = intervals_before(until);
-        // The probability may rise with the age: a client may send a request every 1.9 s. So a
-        // connection counts as unlikely only if no later interval is likely.
+        // The probability may rise with the age, for example if a client sends a request every
+        // 1.9 s. Therefore reuse counts as unlikely only if no later interval reaches `required`.
         let is_likely = |from: &usize| self.reuse_probability(*from, until) >= required;
         match (0..intervals).rev().find(is_likely) {
             None => Duration::ZERO,
--- a/crates/connection-limits/tests/crowds/crowd.rs
+++ b/crates/connection-limits/tests/crowds/crowd.rs
@@ -1,4 +1,4 @@
-//! A crowd of scripted clients of one server, in virtual time. Read [`Crowd`] first.
+//! Simulates many scripted clients of one server in virtual time. Read [`Crowd`] first.
 
 use pinetrail_connection_limits::{
     CloseOrderReason, ConnectionId, ConnectionTable, Limits, Phase, Timestamp,
@@ -13,48 +13,50 @@
     Silent,
     /// Sends one byte each [`SLOW_BYTE_INTERVAL`].
     SlowSender,
-    /// Sends a command that is no request, and then keeps the connection for good.
+    /// Sends a command that is not a request, and then never closes the connection.
     GreetingOnly,
-    /// Sends one request and closes the connection when it has the response.
+    /// Sends one request, and closes the connection once it has received the response.
     OneRequestAndCloses,
-    /// Sends one request and then keeps the connection for good.
+    /// Sends one request, and then never closes the connection.
     OneRequest,
-    /// Sends a request at each such interval, on the connection that it has or on a new one.
+    /// Sends its next request this long after each response, on the same connection.
     RequestEvery(Duration),
 }
 
-/// A server with its connection table, and its clients. A client for which there is no capacity is
-/// rejected.
+/// A server with its connection table, and its clients. A client is rejected if there is no
+/// capacity for its connection.
 pub(crate) struct Crowd {
     pub(crate) table: ConnectionTable,
     pub(crate) now_ms: u64,
     pub(crate) last_id: ConnectionId,
     pub(crate) events: BTreeSet<Event>,
     pub(crate) behaviors: BTreeMap<ConnectionId, Behavior>,
-    /// The most connections that send requests at the same time; more are never opened.
+    /// The maximum number of open connections of honest clients; a further honest client is
+    /// rejected.
     pub(crate) max_honest: usize,
-    /// Connections that send requests.
+    /// The open connections of honest clients, which are those that send requests.
     pub(crate) honest: BTreeSet<ConnectionId>,
-    /// Honest clients that connected since this was last taken.
+    /// The number of honest clients that tried to connect since the counts were last reset.
     pub(crate) attempted: usize,
-    /// Those of them that were rejected.
+    /// The number of those honest clients that were rejected.
     pub(crate) rejected: usize,
-    /// Connections closed that would have been used again.
+    /// The number of connections that the server closed although their client would have sent
+    /// another request.
     pub(crate) closed_before_reuse: usize,
     pub(crate) closed: BTreeMap<CloseOrderReason, Vec<Behavior>>,
     pub(crate) longest_held: BTreeMap<Behavior, Duration>,
     pub(crate) arrived_at: BTreeMap<ConnectionId, Timestamp>,
 }
 
-/// How long a request takes.
+/// The time from a request to its response.
 pub(crate) const RESPONSE_TIME: Duration = Duration::from_millis(100);
-/// How often a client that drips sends a byte.
+/// The interval between two bytes of a [`Behavior::SlowSender`].
 pub(crate) const SLOW_BYTE_INTERVAL: Duration = Duration::from_millis(500);
-/// After its arrival an honest client sends its first request in this time.
+/// The time from the arrival of an honest client to its first request.
 pub(crate) const FIRST_REQUEST_AFTER: Duration = Duration::from_millis(1);
-/// How often the server closes expired connections.
+/// The interval at which the server closes expired connections, in ms.
 pub(crate) const EXPIRY_INTERVAL_MS: u64 = 10;
-/// Connections closed at once when the capacity is used up.
+/// The number of connections that are evicted at a time when the capacity is used up.
 pub(crate) const EVICTED_AT_ONCE: usize = 8;
 
 pub(crate) const fn millis(ms: u64) -> Duration {
@@ -69,7 +71,8 @@
     ReceiveResponse,
 }
 
-/// Something that a client is to do. The order of the fields is the order in which events happen.
+/// A scheduled action of a client. The order of the fields decides the order in which events
+/// happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Event {
     pub(crate) at: Timestamp,
@@ -96,7 +99,7 @@
         }
     }
 
-    /// One client connects.
+    /// Connects one client, or rejects it if there is no capacity.
     pub(crate) fn connect(&mut self, behavior: Behavior) {
         let honest = matches!(
             behavior,
@@ -149,7 +152,8 @@
         Timestamp::from_millis(self.now_ms)
     }
 
-    /// Lets this time pass; each rate is in connections a second.
+    /// Simulates this time. Clients connect at the given rates, which are in connections per
+    /// second.
     pub(crate) fn run(&mut self, duration: Duration, rates: &[(Behavior, u64)]) {
         let until = self.now() + duration;
         while self.now() < until {
@@ -174,7 +178,7 @@
         }
     }
 
-    /// A client does what it has scheduled.
+    /// Performs a scheduled action of a client.
     pub(crate) fn act(&mut self, id: ConnectionId, action: Action, behavior: Behavior) {
         match (action, behavior) {
             (Action::SendByte, _) => {
@@ -206,7 +210,8 @@
         self.events.insert(Event { at: self.now() + after, id, action });
     }
 
-    /// How many of 1000 honest clients were rejected, since the last call.
+    /// Returns how many of 1000 honest clients were rejected since the last call, and resets the
+    /// counts.
     pub(crate) fn rejected_per_thousand(&mut self) -> usize {
         let share = self.rejected * 1000 / self.attempted.max(1);
         self.attempted = 0;
--- a/crates/connection-limits/tests/crowds/main.rs
+++ b/crates/connection-limits/tests/crowds/main.rs
@@ -1,5 +1,5 @@
-//! Crowds of scripted clients against the connection table, in virtual time: no socket, no clock,
-//! the same each time.
+//! Tests the connection table with many scripted clients in virtual time. Without sockets or clocks
+//! each run gives the same results.
 
 mod crowd;
 
@@ -15,7 +15,8 @@
     crowd.run(millis(3000), &rates);
     crowd.rejected_per_thousand();
     crowd.run(millis(20_000), &rates);
-    // If each stayed for 2 s, the idle alone would be 500 of the 128 that there may be.
+    // If each connection stayed idle for 2 s, there would be 500 idle connections, but only 128
+    // connections of honest clients may be open.
     assert!(crowd.rejected_per_thousand() <= 5);
     let silent = crowd.table.counts(crowd.now()).silent;
     assert!(silent <= 50 / 2, "{silent} connections have sent nothing");
@@ -46,7 +47,8 @@
 #[test]
 fn clients_with_a_connection_for_each_request_are_served_beside_a_silent_crowd() {
     let mut crowd = Crowd::new(80, 80);
-    // 25 have a command open at a time; the silent alone would be 100, for 2 s each.
+    // 25 connections have an open command at a time. The silent connections alone would be 100 if
+    // each stayed open for 2 s.
     crowd.run(millis(1000), &[(Behavior::OneRequestAndCloses, 250), (Behavior::Silent, 50)]);
     crowd.rejected_per_thousand();
     crowd.run(millis(5000), &[(Behavior::OneRequestAndCloses, 250), (Behavior::Silent, 50)]);
@@ -54,8 +56,8 @@
     assert_eq!(crowd.closed.keys().filter(|reason| **reason == CloseOrderReason::Evicted).count(), 0);
 }
 
-/// As recorded: for 1.5 s after the second start 576 a second send a greeting and stay, beside the
-/// silent and the honest.
+/// Replays a recorded restart: for 1.5 s after the second start, 576 clients per second send a
+/// greeting and keep their connection, beside the silent and the honest clients.
 #[test]
 fn service_recovers_within_seconds_from_a_crowd_at_the_start() {
     let mut crowd = Crowd::new(225, 128);
@@ -69,8 +71,8 @@
     assert!(crowd.rejected_per_thousand() <= 2);
 }
 
-/// A crowd that arrives while backends hold their maximum gets the clients' reserve, and no
-/// descriptor is given twice.
+/// Checks that clients that arrive while backends hold their maximum get the clients' reserve, and
+/// that no descriptor is given to both sides.
 #[test]
 fn clients_keep_their_reserve_while_backends_hold_their_maximum_and_get_more_after() {
     let mut budget = DescriptorBudget::new(360, 0.5, 0.25);
@@ -83,10 +85,10 @@
         for _ in 0..100 {
             crowd.table.set_capacity(budget.client_limit(crowd.now()));
             crowd.run(millis(10), &[(Behavior::Silent, 50), (Behavior::OneRequest, 250)]);
-            assert!(crowd.table.open_connections() + backends <= 360, "a descriptor given twice");
+            assert!(crowd.table.open_connections() + backends <= 360, "more descriptors than the total");
         }
         served_share.push(1000 - crowd.rejected_per_thousand());
-        // Their requests end, and idle connections are closed.
+        // Requests to backends end, and their idle connections are closed.
         backends = (180 - 4 * second as usize).max(60);
     }
     assert!(served_share[3..].iter().all(|share| *share >= 990), "{served_share:?}");
@@ -96,14 +98,23 @@
 #[test]
 fn late_returning_clients_keep_their_connections_and_never_returning_ones_lose_them() {
     let mut crowd = Crowd::new(225, 200);
-    // 60 keep theirs; then come 100 a second with one request, and 50 that send nothing.
+    // 60 clients keep their connections. Then, per second, 100 clients connect and send one
+    // request, and 50 clients connect and send nothing.
     crowd.run(millis(1000), &[(Behavior::RequestEvery(millis(1900)), 60)]);
     crowd.run(millis(4000), &[]);
-    // A few may be closed before the life tables have learnt from any.
-    assert!(crowd.closed_before_reuse <= 6, "{} of 60 were closed at first", crowd.closed_before_reuse);
+    // A few connections may be closed before the life tables have enough evidence.
+    assert!(
+        crowd.closed_before_reuse <= 6,
+        "{} of 60 reused connections were closed at first",
+        crowd.closed_before_reuse
+    );
     crowd.closed_before_reuse = 0;
     crowd.run(millis(20_000), &[(Behavior::OneRequest, 100), (Behavior::Silent, 50)]);
-    assert!(crowd.closed_before_reuse <= 3, "{} of 60 were closed", crowd.closed_before_reuse);
+    assert!(
+        crowd.closed_before_reuse <= 3,
+        "{} of 60 reused connections were closed later",
+        crowd.closed_before_reuse
+    );
     assert_eq!(crowd.rejected, 0);
 }
 
@@ -113,7 +124,7 @@
     crowd.run(millis(1000), &[(Behavior::RequestEvery(millis(50)), 40)]);
     crowd.run(millis(4000), &[]);
     assert_eq!(crowd.closed_before_reuse, 0);
-    // All at once they send one more request and stay.
+    // From now on each of these clients sends only one more request, and keeps its connection.
     for behavior in crowd.behaviors.values_mut() {
         *behavior = Behavior::OneRequest;
     }
@@ -137,14 +148,15 @@
     assert_eq!(run(), run());
 }
 
-/// What a server stops.
+/// What a server stops doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stop {
     Nothing,
     Accepting,
 }
 
-/// At a planned restart the clients of closed connections could not connect again.
+/// Guards against closed connections at a planned restart, when their clients could not connect to
+/// this server again.
 #[test]
 fn a_server_that_stops_accepting_closes_no_connection_that_may_be_used_again() {
     let closed_after = |stop: Stop| {
@@ -161,21 +173,22 @@
     assert_eq!(closed_after(Stop::Accepting), 0);
 }
 
-/// How the recorded crowd was served. Rejections are of 1000 honest clients.
+/// How the recorded clients were served. Rejections are per 1000 honest clients.
 #[derive(Debug)]
 struct Figures {
     descriptors: usize,
-    /// In the first 3 s.
+    /// The rejections in the first 3 s.
     rejected_at_first: usize,
-    /// In the 20 s after.
+    /// The rejections in the 20 s after that.
     rejected_later: usize,
-    /// Connections at the end.
+    /// The number of open connections at the end.
     open_connections: usize,
-    /// At the end.
+    /// The idle limit after one request at the end.
     limit_after_one_request: Duration,
 }
 
-/// The recorded crowd on other numbers of descriptors; docs/connection-limits.md quotes figures.
+/// Serves the recorded clients with different numbers of descriptors. docs/connection-limits.md
+/// quotes the printed figures.
 #[test]
 fn the_recorded_crowd_is_served_on_few_descriptors_and_on_many() {
     let rates = [(Behavior::OneRequest, 250), (Behavior::Silent, 45)];
--- a/crates/connection-limits/tests/orders.rs
+++ b/crates/connection-limits/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Which connections are closed, when and in which order, and the estimates behind these orders.
+//! Tests when and in which order connections are closed, and the estimates behind the decisions.
 
 use pinetrail_connection_limits::{
     CloseOrder, CloseOrderReason, ConnectionId, ConnectionTable, DescriptorBudget, GrowthEstimator, Limits,
@@ -9,7 +9,7 @@
 /// The short idle timeout, before which a connection must be used again to count as reused.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_200);
 
-/// The time within which the growth of the number of connections is expected.
+/// The time for which the growth of the number of connections is estimated.
 const GROWTH_HORIZON: Duration = Duration::from_millis(500);
 
 fn at_ms(ms: u64) -> Timestamp {
@@ -48,12 +48,12 @@
 fn a_close_order_applies_only_to_the_phase_that_it_names() {
     let mut table = table_of(10);
     table.insert(at_ms(0), 1);
-    // Honest clients may take 2 s for a command.
+    // Well-behaved clients may take 2 s for a command.
     assert_eq!(table.expired(at_ms(2400)), []);
     let first = table.expired(at_ms(2500))[0];
     assert_eq!((first.phase, first.reason), (Phase::Silent, CloseOrderReason::Overdue));
     assert_eq!(table.expired(at_ms(2550)), []);
-    // It was used before it was closed: it may stay, and the order is outdated.
+    // The connection was used before it was closed: it stays open, and the order is outdated.
     let phase_number = table.set_phase(at_ms(2600), 1, Phase::CommandOpen);
     assert_ne!(phase_number, first.phase_number);
     assert_eq!(table.expired(at_ms(9000)), []);
@@ -110,7 +110,7 @@
     assert_eq!(growth.growth(at_ms(600), GROWTH_HORIZON), 0.0);
 }
 
-/// Each side keeps its reserve, and the two limits never add up to more than the total.
+/// Checks that each side keeps its reserve, and that no descriptor is given to both sides.
 #[test]
 fn the_budget_follows_backend_need_and_gives_no_descriptor_twice() {
     let mut budget = DescriptorBudget::new(360, 0.5, 0.25);
@@ -119,12 +119,12 @@
     assert_eq!(budget.client_limit(at_ms(0)), 360 - 128);
     budget.record_backend_need(at_ms(0), 1000);
     assert_eq!(budget.client_limit(at_ms(0)), 180);
-    // The need is over: clients get the descriptors back.
+    // Once the peak has decayed, clients get the descriptors back.
     assert_eq!(budget.client_limit(at_ms(60_000)), 270);
     for clients in 0..=270 {
         let backends = budget.backend_limit(clients);
         assert!(clients + backends <= 360 && backends >= 90);
     }
-    // A crowd that arrives while backends hold their maximum gets the rest.
+    // Clients that arrive while backends hold their maximum get the remaining descriptors.
     assert!(budget.has_room(at_ms(60_000), 179, 180) && !budget.has_room(at_ms(60_000), 180, 180));
 }
