--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,5 @@
-//! What must hold for a configuration beyond its form. Read [`check_settings`] first.
+//! Checks the values of a configuration after it has been deserialized. Read [`check_settings`]
+//! first.
 
 use super::catalog::{Catalog, Instance};
 use super::descriptors::{ADMIN_DESCRIPTORS, FLEET_DESCRIPTORS};
@@ -10,18 +11,18 @@
 use pinetrail_settings::settings::{Class, Idempotency, Settings};
 use std::net::SocketAddr;
 
-/// The most classes: a class is numbered by one byte.
+/// The maximum number of classes, since one byte numbers a class.
 const MAX_CLASSES: usize = 255;
-/// The most attempts of a request: an attempt is numbered by one byte.
+/// The maximum number of attempts of a request, since one byte numbers an attempt.
 const MAX_ATTEMPTS: u32 = 255;
-/// How discovery may deliver the endpoint list. Left out, it is asked for.
+/// The ways in which discovery may deliver the endpoint list. Without the key, the list is polled.
 const DISCOVERY_MODES: [&str; 3] = ["", "ask", "push"];
-/// The least sockets of a proxy without admin server and fleet.
+/// The minimum number of sockets of a proxy without admin server and fleet.
 const MIN_SOCKETS: usize = 32;
-/// The least memory, in MB.
+/// The minimum memory, in MB.
 const MIN_MEMORY_MB: usize = 16;
 
-/// Checks the object `settings`, with the names of its classes and tenants.
+/// Checks the object `settings`, and the names of its classes and tenants.
 ///
 /// # Errors
 ///
@@ -74,11 +75,11 @@
     check_not_negative(&field("Worth"), class.priority_weight)
 }
 
-/// Checks that there is enough memory.
+/// Checks that the memory limit reaches the minimum.
 ///
 /// # Errors
 ///
-/// Names the field.
+/// Names the field if its value is too low.
 pub(super) fn check_memory(limits: &Limits) -> Result<(), ConfigError> {
     if limits.memory_mb < MIN_MEMORY_MB {
         return Err(ConfigError::invalid_value("limits.memory_mb", limits.memory_mb, "at least 16"));
@@ -86,11 +87,11 @@
     Ok(())
 }
 
-/// Checks that there are enough sockets for the configured services.
+/// Checks that the socket limit suffices for the configured services.
 ///
 /// # Errors
 ///
-/// Names the field, and how many are needed.
+/// Names the field and how many sockets are needed, if its value is too low.
 pub(super) fn check_sockets(
     limits: &Limits,
     admin: Option<&SocketAddr>,
@@ -116,7 +117,8 @@
     Ok(())
 }
 
-/// Checks a list of endpoints: otherwise only failing requests would show an invalid entry.
+/// Checks a list of endpoints. Without this check, an invalid entry would become apparent only by
+/// failing requests.
 ///
 /// # Errors
 ///
@@ -140,7 +142,7 @@
     Ok(())
 }
 
-/// Checks the endpoint with this index; `before` are those that precede it.
+/// Checks the endpoint with this index; `before` has the endpoints that precede it in the list.
 fn check_endpoint(endpoint: &Instance, index: usize, before: &[Instance]) -> Result<(), ConfigError> {
     let field = |key: &str| format!("known.instances[{index}].{key}");
     let id = &endpoint.instance_id;
--- a/crates/config/src/descriptors.rs
+++ b/crates/config/src/descriptors.rs
@@ -1,12 +1,13 @@
-//! The descriptors that configured services need: [`ADMIN_DESCRIPTORS`], [`FLEET_DESCRIPTORS`].
-//! Those of the common policy depend on the fleet's size: `PolicyConfig::descriptors`.
+//! States how many descriptors the configured services need: [`ADMIN_DESCRIPTORS`] and
+//! [`FLEET_DESCRIPTORS`]. The number for the common policy depends on the fleet's size; see
+//! `PolicyConfig::descriptors`.
 
-/// The number of connections to the admin server that may be open at once.
+/// The maximum number of connections to the admin server that may be open at once.
 pub const MAX_ADMIN_CONNECTIONS: usize = 16;
-/// The descriptors of the admin server's own: its listener, and a connection that is being
-/// accepted.
+/// The number of descriptors that the admin server needs beside its open connections: one for its
+/// listener, and one for a connection that is being accepted.
 const ADMIN_LISTENER_DESCRIPTORS: usize = 2;
-/// The descriptors of the admin server with its connections.
+/// The number of descriptors of the admin server, including its connections.
 pub const ADMIN_DESCRIPTORS: usize = MAX_ADMIN_CONNECTIONS + ADMIN_LISTENER_DESCRIPTORS;
-/// The descriptors of a fleet: its socket.
+/// The number of descriptors of a fleet, which has one socket.
 pub const FLEET_DESCRIPTORS: usize = 1;
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,34 +1,35 @@
-//! Why a configuration is rejected: [`ConfigError`], and [`FleetConfigError`] and [`PolicyConfigError`]
-//! for the objects `fleet` and `fleet.policy`. Operators read their texts at a start or a reload.
+//! Defines why a configuration is rejected: [`ConfigError`], with [`FleetConfigError`] and
+//! [`PolicyConfigError`] for the objects `fleet` and `fleet.policy`. Operators read the texts at a
+//! start or a reload.
 
 use thiserror::Error;
 
 /// Why a configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The variable that names the file is not set.
+    /// The environment variable that names the file is not set.
     #[error("LB_CONFIG is not set: it names the configuration file")]
     PathNotSet,
     /// The file cannot be read.
     #[error("configuration {path}: {source}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What went wrong.
+        /// Why the file cannot be read.
         source: std::io::Error,
     },
     /// The file is not JSON.
     #[error("configuration: {0}")]
     Json(#[from] serde_json::Error),
-    /// A value has another type than expected.
+    /// A value cannot be deserialized: its type is wrong, or a key is missing or unknown.
     #[error("configuration: {path}: {source}")]
     Deserialize {
-        /// The path of its keys.
+        /// The keys that lead to the value.
         path: String,
-        /// The type that was found, and the expected one.
+        /// Why the value cannot be deserialized.
         source: serde_json::Error,
     },
-    /// A key that was there before is missing.
+    /// A newer configuration leaves out a key of the active one.
     #[error("configuration: the key {0} is missing")]
     MissingKey(String),
     /// The object `fleet` is not valid.
@@ -37,17 +38,17 @@
     /// A field has a value that is not valid.
     #[error("configuration: {field} {value:?} is not {expected}")]
     InvalidValue {
-        /// The field.
+        /// The keys that lead to the field.
         field: String,
-        /// Its value.
+        /// The value of the field.
         value: String,
-        /// The values that are valid.
+        /// A description of the valid values.
         expected: &'static str,
     },
 }
 
 impl ConfigError {
-    /// The error of a field whose value is not valid.
+    /// Creates the error of a field whose value is not valid.
     pub(super) fn invalid_value(
         field: impl Into<String>,
         value: impl ToString,
@@ -56,7 +57,7 @@
         ConfigError::InvalidValue { field: field.into(), value: value.to_string(), expected }
     }
 
-    /// Prefixes the path of the error with a key.
+    /// Adds a key to the front of the error's path, if the error has a path.
     pub(super) fn with_path_prefix(self, key: &str) -> ConfigError {
         match self {
             ConfigError::Deserialize { path, source } if path == "." => {
@@ -88,25 +89,26 @@
     /// The settings of quota leases are not valid.
     #[error(transparent)]
     Quota(#[from] pinetrail_quota::SettingsError),
-    /// The guaranteed minimum of a proxy would be below one attempt.
-    #[error("{field} {limit} is below 2 for each of size, {least}")]
+    /// A limit on attempts in flight is so low that the guaranteed minimum of a proxy would be
+    /// below one attempt.
+    #[error("{field} {limit} is below {least}, which is 2 attempts for each of size proxies")]
     LimitTooLow {
-        /// The key.
+        /// The key of the limit.
         field: &'static str,
-        /// Its value.
+        /// The value of the limit, in attempts in flight.
         limit: u64,
-        /// The least that it may be.
+        /// The lowest valid value, in attempts in flight.
         least: u64,
     },
-    /// Attempts may run longer than quota is reserved for them.
+    /// Attempts may run for longer than quota is reserved for them.
     #[error("call_ms {call_ms} is below the longest GiveUp, {longest_ms}")]
     AttemptsOutliveLease {
-        /// How long an attempt may run after the end of its lease, in ms.
+        /// How long quota stays reserved for attempts after the end of its lease, in ms.
         call_ms: u64,
         /// The longest `GiveUp` of a class, in ms.
         longest_ms: f64,
     },
-    /// The object `policy` in it is not valid.
+    /// The object `fleet.policy` is not valid.
     #[error("policy: {0}")]
     Policy(#[from] PolicyConfigError),
 }
@@ -114,35 +116,35 @@
 /// Why the object `fleet.policy` is rejected.
 #[derive(Debug, Error)]
 pub enum PolicyConfigError {
-    /// The key `founders`, which lists the voters, is missing.
-    #[error("it needs founders")]
+    /// The key `fleet.founders`, which lists the voters, is missing.
+    #[error("fleet.founders is missing: the policy needs voters")]
     NoFounders,
-    /// The object has no such key.
+    /// The object contains a key that is not valid.
     #[error("unknown key {key:?}; the nearest known one is {nearest:?}")]
     UnknownKey {
-        /// The key.
+        /// The key that is not valid.
         key: String,
         /// The most similar valid key.
         nearest: String,
     },
-    /// A value has another type than expected.
+    /// A value cannot be deserialized: its type is wrong, or a key is missing.
     #[error(transparent)]
     Deserialize(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// Peers cannot connect to an unspecified address.
-    #[error("others cannot reach an unspecified bind: advertise is needed")]
+    /// The address for peers is unspecified, so that no peer could connect to it.
+    #[error("peers cannot connect to an unspecified address: set advertise")]
     UnspecifiedAddress,
-    /// Its durations contradict each other.
+    /// The durations of the policy contradict each other.
     #[error(transparent)]
     Timing(#[from] pinetrail_policy_consensus::TimingError),
-    /// Requests would wait too long for a change.
-    #[error("hold_ms {wait_ms} is over {longest_ms}")]
+    /// Requests would wait too long while a change is decided.
+    #[error("hold_ms {wait_ms} is over the limit of {longest_ms}")]
     ChangeWaitTooLong {
         /// The configured wait, in ms.
         wait_ms: u64,
-        /// The longest valid one, in ms.
+        /// The longest valid wait, in ms.
         longest_ms: u64,
     },
-    /// A voter must store its votes, which a restart must not lose.
-    #[error("a founder needs state_dir: what it votes for must outlive it")]
+    /// A voter has no directory for its votes, which a restart must not lose.
+    #[error("state_dir is missing: a founder must not lose its votes at a restart")]
     NoStateDir,
 }
--- a/crates/config/src/error_text_tests.rs
+++ b/crates/config/src/error_text_tests.rs
@@ -1,5 +1,5 @@
-//! Texts of rejected configurations name types and the number of their fields. Operators know these
-//! texts: a type that is renamed keeps its name in them.
+//! Tests the error texts of rejected configurations, which name types and the number of their
+//! fields. Operators know these texts, so a renamed type keeps its old name in them.
 
 use super::{Config, ParsedSettings};
 use serde_json::{json, Value};
@@ -68,7 +68,7 @@
     }
 }
 
-/// Guards against a misspelt form of discovery, which would pass for `ask` without a word.
+/// Guards against a misspelt value of `Discovery`, which would otherwise silently mean `ask`.
 #[test]
 fn an_unknown_form_of_discovery_is_rejected() {
     let mut settings = settings_with("Discovery", json!("guess"));
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1,9 +1,9 @@
-//! The configuration file as it is read: the outermost object, [`ConfigFile`], and the part of the
-//! object `settings` that the decision module does not use, [`ProxySettings`]; their keys and
-//! defaults.
+//! Defines the configuration file as it is deserialized, with its keys and defaults: the outermost
+//! object, [`ConfigFile`], and the part of the object `settings` that the decision module does not
+//! use, [`ProxySettings`].
 //!
-//! Invariant: error texts that operators know name these types and the number of their fields, so
-//! that the types keep these names. Other modules use the names exported here.
+//! Invariant: the types keep their names, because error texts that operators know contain these
+//! names and the number of the types' fields. Other modules use the aliases exported here.
 
 use super::catalog::Catalog;
 use super::fleet::FleetFile;
@@ -15,7 +15,7 @@
 const DEFAULT_SOCKETS: usize = 1024;
 const DEFAULT_MEMORY_MB: usize = 192;
 
-/// The outermost object.
+/// The outermost object of the file.
 #[derive(Deserialize)]
 pub(super) struct File {
     #[serde(default)]
@@ -49,7 +49,7 @@
     pub connections: Connecting,
 }
 
-/// An entry of a list of which only the name is used here.
+/// An entry of a list, of which only the name is used here.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Named {
@@ -60,7 +60,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Connecting {
-    /// How long connecting may take, in ms.
+    /// How long connecting to a backend may take, in ms.
     #[serde(default = "default_connect_timeout_ms", rename = "ConnectTimeout")]
     pub connect_timeout_ms: f64,
 }
@@ -72,10 +72,10 @@
 /// The resources that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct Limits {
-    /// The most open sockets.
+    /// The maximum number of open sockets.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
-    /// The most memory, in MB.
+    /// The maximum memory, in MB.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: usize,
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The object `fleet` of the configuration, in the types of the crates that it configures. Read
-//! [`FleetConfig`] first.
+//! Parses the object `fleet` of the configuration into the types of the crates that it configures.
+//! Read [`FleetConfig`] first.
 
 use super::error::{ConfigError, FleetConfigError};
 use super::policy::PolicyConfig;
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The least calls in flight for each proxy of a fleet: the guaranteed minimum is half of its
-/// equal part, and must be at least one call.
+/// The minimum of a fleet's limit, in attempts in flight for each proxy. The guaranteed minimum of
+/// a proxy is half of its equal share, and must be at least one attempt.
 const MIN_ATTEMPTS_PER_PROXY: u64 = 2;
 
 /// The configuration of quota leases.
@@ -21,27 +21,30 @@
 pub struct QuotaConfig {
     /// The settings of the leases.
     pub settings: QuotaSettings,
-    /// The most attempts in flight of all proxies together, at one node and at the origin; infinite
-    /// where none is configured.
+    /// The maximum numbers of attempts in flight of all proxies together, at one node and at the
+    /// origin; infinite if not configured.
     pub limits: FleetLimits,
 }
 
 /// The object `fleet`, parsed and checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// Where its socket is bound.
+    /// The address to which the member's socket is bound.
     pub bind: SocketAddr,
-    /// The address that other members use instead, if any.
+    /// The address at which other members reach that socket, if it differs from `bind`.
     pub advertise: Option<SocketAddr>,
-    /// The settings of membership; see `membership_settings` for `advertise`.
+    /// The settings of membership. Their `advertise` is final only in the result of
+    /// [`FleetConfig::membership_settings`].
     pub settings: MembershipSettings,
-    /// Quota leases; without them the quota is one part of `GroupSize`.
+    /// The configuration of quota leases, if they are enabled. Without them, each of `GroupSize`
+    /// proxies has an equal share of the quota.
     pub quota: Option<QuotaConfig>,
-    /// The common policy, if there is one.
+    /// The configuration of the common policy, if there is one.
     pub policy: Option<PolicyConfig>,
 }
 
-/// The object as it is read: the edge where its keys become terms. All times are in ms.
+/// The object `fleet` as it is deserialized, which maps its keys to the terms of the code. All
+/// times are in ms.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetFile {
@@ -76,7 +79,7 @@
 }
 
 impl FleetConfig {
-    /// Checks the object for the proxy of this name.
+    /// Parses and checks the object for the proxy of this name.
     ///
     /// # Errors
     ///
@@ -106,7 +109,7 @@
         Ok(FleetConfig { bind, advertise, settings, quota, policy })
     }
 
-    /// Replaces the peers by those of a newer configuration, if there is one.
+    /// Replaces the peers with those of a newer configuration, if there is one.
     #[must_use]
     pub fn with_peers_of(mut self, newer: Option<FleetConfig>) -> FleetConfig {
         if let Some(newer) = newer {
@@ -115,14 +118,14 @@
         self
     }
 
-    /// The settings of a member whose socket is bound to this address.
+    /// Returns the settings of a member whose socket is bound to this address.
     pub fn membership_settings(&self, bound: SocketAddr) -> MembershipSettings {
         MembershipSettings { advertise: self.advertise.unwrap_or(bound), ..self.settings.clone() }
     }
 }
 
 impl QuotaConfig {
-    /// Checks the keys of quota leases. The key `founders` enables them.
+    /// Parses and checks the keys of quota leases, which the key `founders` enables.
     fn from_file(file: &FleetFile, founders: Vec<String>) -> Result<QuotaConfig, ConfigError> {
         let founders = parse_addresses("fleet.founders", founders)?;
         let defaults = QuotaSettings::with_defaults(founders, file.size);
@@ -145,7 +148,7 @@
     }
 }
 
-/// Returns a duration of the file, or its default.
+/// Returns the duration that the file has in ms, or the default.
 fn duration_or(millis: Option<u64>, default: Duration) -> Duration {
     millis.map_or(default, Duration::from_millis)
 }
@@ -154,12 +157,12 @@
     limit.map_or(f64::INFINITY, |limit| limit as f64)
 }
 
-/// Checks a limit on the calls in flight of the whole fleet.
+/// Checks a limit on the attempts in flight of the whole fleet.
 ///
 /// Decides: whether a limit is rejected as too low.
-/// Inputs: the limit, and the least that is allowed, both in calls in flight.
-/// Reason: a guaranteed minimum of less than one call either allows none, or, rounded up, the
-/// minimums exceed the limit together.
+/// Inputs: the limit, and the least that is allowed, both in attempts in flight.
+/// Reason: a guaranteed minimum of less than one attempt either allows none or is rounded up, so
+/// that the minimums together exceed the limit.
 fn check_fleet_limit(field: &'static str, limit: Option<u64>, least: u64) -> Result<(), FleetConfigError> {
     match limit {
         Some(limit) if limit < least => Err(FleetConfigError::LimitTooLow { field, limit, least }),
@@ -182,14 +185,14 @@
 
 /// Checks that every attempt ends while its quota is still reserved for it.
 ///
-/// Decides: whether a configuration is rejected because its attempts outlive their leases.
+/// Decides: whether a configuration is rejected because its attempts may outlive their quota.
 /// Inputs: `call_ms`, and the longest `GiveUp` of a class, both in ms.
-/// Reason: the quota of an expired lease is granted again after `call_ms`; an attempt that runs
+/// Reason: the quota of an expired lease is granted again after `call_ms`, so an attempt that runs
 /// longer would use quota that another proxy has too.
 ///
 /// # Errors
 ///
-/// If a class waits longer than `call_ms`.
+/// If the `GiveUp` of a class is longer than `call_ms`.
 pub(super) fn check_longest_attempt(
     fleet: Option<&FleetConfig>,
     settings: &Settings,
--- a/crates/config/src/golden_tests.rs
+++ b/crates/config/src/golden_tests.rs
@@ -1,7 +1,7 @@
-//! The keys of the operators' configuration file, which outlives every version of the program. A
-//! key that is read under another name is rejected, or, worse, silently replaced by its default.
-//! The text has every key that the program read before any renaming, each with a value that is not
-//! its default.
+//! Tests that every key of the configuration file is still read. The operators' files outlive each
+//! version of the program: if a key is renamed, files with the old name are rejected, or the value
+//! is silently replaced with its default. The recorded text has every key, each with a value that
+//! is not its default.
 
 use super::{Config, Limits};
 use pinetrail_policy_consensus::LeaseExpiryMode;
@@ -234,14 +234,15 @@
     same((names.tenant("second"), names.kind("small"), names.zone("west")), (Some(1), 1, 1));
 }
 
-/// All that was read, as text; without the file as it came.
+/// Returns the parsed configuration as text, without the JSON from which it was parsed; `None` if
+/// the configuration is rejected.
 fn read(given: &Value) -> Option<String> {
     let mut config = Config::from_json(given.to_string().as_bytes(), None).ok()?;
     config.json = Value::Null;
     Some(format!("{config:?}"))
 }
 
-/// The paths of all keys, as JSON pointers of what holds them.
+/// Collects all keys, each with the JSON pointer of the object that contains it.
 fn keys(value: &Value, path: &str, found: &mut Vec<(String, String)>) {
     match value {
         Value::Object(object) => {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
-//! The configuration at the start and at SIGHUP: the JSON object in the file that `LB_CONFIG`
-//! names, parsed and checked. Read [`Config`] first; [`ParsedSettings`] is its key `settings`,
-//! which a fleet's common policy may replace. The crate reads that file and opens no sockets.
+//! Reads the configuration at the start and at SIGHUP: the JSON object in the file that `LB_CONFIG`
+//! names, which is parsed and checked. Read [`Config`] first, then [`ParsedSettings`] for its
+//! object `settings`, which a fleet's common policy may replace. The crate opens no sockets.
 
 mod catalog;
 mod check;
@@ -40,13 +40,13 @@
 pub struct Config {
     /// This proxy's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which the proxy accepts clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where the operators' HTTP endpoint listens, if there is one.
+    /// The address at which the admin server listens, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The fleet to which it belongs, if any.
+    /// The configuration of the fleet to which this proxy belongs, if any.
     pub fleet: Option<FleetConfig>,
     /// The seed of random numbers.
     pub seed: u64,
@@ -56,11 +56,11 @@
     pub cached_endpoints: Catalog,
     /// The decision module's settings.
     pub settings: Settings,
-    /// The names of classes, tenants, kinds and zones, as the protocols have them.
+    /// The names of classes, tenants, kinds and zones that the protocols use.
     pub names: Names,
     /// How long connecting to a backend may take.
     pub connect_timeout: Duration,
-    /// The file as it was read.
+    /// The JSON of the file.
     json: serde_json::Value,
 }
 
@@ -74,7 +74,8 @@
     pub fn from_env() -> Result<Config, ConfigError> {
         let path = std::env::var("LB_CONFIG").map_err(|_| ConfigError::PathNotSet)?;
         let text = std::fs::read(&path).map_err(|source| ConfigError::Read { path, source })?;
-        // The variable is this process's own; the file may already have the next process's address.
+        // The variable has the address of this process. The file may already have the address of
+        // the process that is to replace it.
         let admin = std::env::var("LB_ADMIN").ok().filter(|admin| !admin.is_empty());
         Config::from_json(&text, admin)
     }
@@ -117,12 +118,12 @@
         })
     }
 
-    /// The configuration of the fleet's common policy, if there is one.
+    /// Returns the configuration of the fleet's common policy, if there is one.
     pub fn policy(&self) -> Option<&PolicyConfig> {
         self.fleet.as_ref()?.policy.as_ref()
     }
 
-    /// The object `settings` as it was read.
+    /// Returns the JSON of the object `settings`.
     pub fn settings_json(&self) -> &serde_json::Value {
         &self.json["settings"]
     }
--- a/crates/config/src/missing_keys.rs
+++ b/crates/config/src/missing_keys.rs
@@ -1,14 +1,14 @@
-//! Which keys a newer JSON value leaves out: [`first_missing_key`].
+//! Finds keys that a newer JSON value leaves out; read [`first_missing_key`] first.
 
 use serde_json::Value;
 
-/// The key that may be left out: discovery replaces the list in it.
+/// The key that may be left out, since discovery replaces the list in its value.
 const CACHED_ENDPOINTS_KEY: &str = "known";
 
 type Object = serde_json::Map<String, Value>;
 
-/// Returns the path of the first key that `before` has and `now` leaves out. Of a list of objects,
-/// each must have the keys that all had before.
+/// Returns the path of the first key that `before` has and `now` leaves out. In a list of objects,
+/// each object must have the keys that all objects of the list had before.
 ///
 /// Decides: whether a newer configuration, or newer settings, are rejected as incomplete.
 /// Inputs: the JSON values before and now.
--- a/crates/config/src/missing_keys/tests.rs
+++ b/crates/config/src/missing_keys/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of which keys a newer configuration must have.
+//! Tests which keys a newer configuration must have.
 
 use super::*;
 
--- a/crates/config/src/nearest_key.rs
+++ b/crates/config/src/nearest_key.rs
@@ -1,6 +1,6 @@
-//! A hint for an unknown key: [`nearest_key`].
+//! Finds the valid key that an unknown key probably stands for; read [`nearest_key`].
 
-/// Returns the valid key that is most similar to an unknown one, or an empty text if there are no
+/// Returns the valid key that is most similar to an unknown key, or an empty text if there are no
 /// valid keys.
 pub fn nearest_key(unknown: &str, valid: &[&str]) -> String {
     let scored = valid.iter().map(|key| (strsim::jaro_winkler(unknown, key), key));
--- a/crates/config/src/parsed_settings.rs
+++ b/crates/config/src/parsed_settings.rs
@@ -1,4 +1,5 @@
-//! The object `settings`, of the configuration file or of a policy version: [`ParsedSettings`].
+//! Parses and checks the object `settings` of the configuration file or of a policy version; read
+//! [`ParsedSettings`] first.
 
 use super::check;
 use super::error::ConfigError;
@@ -14,14 +15,15 @@
 pub struct ParsedSettings {
     /// The settings of the decision module.
     pub settings: Settings,
-    /// The names of its classes, tenants, kinds and zones.
+    /// The names of the classes, tenants, kinds and zones in the object.
     pub names: Names,
     /// How long connecting to a backend may take.
     pub connect_timeout: Duration,
 }
 
 const MIN_CONNECT_TIMEOUT_MS: f64 = 1.0;
-/// A time beyond the clock's range would panic: at SIGHUP that would end a proxy that serves.
+/// The longest time, in ms, that connecting to a backend may take. A time beyond the clock's range
+/// would panic, which at SIGHUP would end a proxy that serves clients.
 const MAX_CONNECT_TIMEOUT_MS: f64 = 60_000.0;
 const MS_PER_SECOND: f64 = 1_000.0;
 
@@ -53,7 +55,7 @@
         Ok(ParsedSettings { settings, names, connect_timeout })
     }
 
-    /// Parses and checks the object that is to replace the active one.
+    /// Parses and checks an object that is to replace the active object.
     ///
     /// # Errors
     ///
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -1,5 +1,5 @@
-//! The object `fleet.policy` of the configuration: the common policy of a fleet. Read
-//! [`PolicyConfig`] first.
+//! Parses the object `fleet.policy` of the configuration, which configures the common policy of a
+//! fleet. Read [`PolicyConfig`] first.
 
 use super::error::{ConfigError, FleetConfigError, PolicyConfigError};
 use super::nearest_key::nearest_key;
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The keys of the object.
+/// The valid keys of the object.
 const POLICY_KEYS: [&str; 14] = [
     "bind",
     "advertise",
@@ -28,47 +28,48 @@
     "local",
     "restore_after_ms",
 ];
-/// How long a request waits at most while a change is decided, unless configured.
+/// The default of the longest time, in ms, that a request waits while a change is decided.
 const DEFAULT_CHANGE_WAIT_MS: u64 = 150;
-/// The longest wait that may be configured for that.
+/// The maximum, in ms, that may be configured for that time.
 const MAX_CHANGE_WAIT_MS: u64 = 1_000;
-/// After how long a catch-up is logged, unless configured.
+/// The default time without an admission lease, in ms, after which a warning is logged.
 const DEFAULT_CATCH_UP_WARNING_MS: u64 = 10_000;
-/// Connections to one peer: a new one replaces the old one while that is still open.
+/// The maximum number of connections to one peer: a new connection replaces the old one while that
+/// is still open.
 const CONNECTIONS_PER_PEER: usize = 2;
-/// Descriptors for the listener, the poller and files.
+/// The number of descriptors for the listener, the poller and files.
 const BASE_DESCRIPTORS: usize = 8;
 
 /// The object `fleet.policy`, parsed and checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicyConfig {
-    /// Where peers connect.
+    /// The address at which this process listens for its peers.
     pub bind: SocketAddr,
-    /// The address by which peers reach that.
+    /// The address at which peers reach the listener.
     pub advertise: SocketAddr,
-    /// The directory of a voter's state.
+    /// The directory of the state of a voter, which a voter must have.
     pub state_dir: Option<PathBuf>,
-    /// Durations of leases and changes.
+    /// The durations of leases and changes.
     pub timing: Timing,
-    /// How long a request waits at most while a change is decided.
+    /// The longest time that a request waits while a change is decided.
     pub change_wait: Duration,
-    /// After this long without an admission lease, the log says why this process is not ready.
+    /// The time without an admission lease after which the log says why this process is not ready.
     pub catch_up_warning: Duration,
     /// Whether a process without an admission lease fails open or closed.
     pub lease_expiry_mode: LeaseExpiryMode,
     /// Whether SIGHUP applies the settings of the file.
     pub allows_local_reload: bool,
-    /// After this long of drift a process applies the approved version again, if configured.
+    /// The time of drift after which a process applies the approved version again; never if `None`.
     pub restore_after: Option<Duration>,
-    /// The voters.
+    /// The voters of the fleet.
     pub voters: VoterSet,
     /// The voter id of this proxy, if it is a voter.
     pub voter_id: Option<u8>,
-    /// The most processes to which it is connected.
+    /// The maximum number of processes to which this process is connected.
     pub max_peers: usize,
 }
 
-/// The object as it is read: the edge where its keys become terms.
+/// The object `fleet.policy` as it is deserialized, which maps its keys to the terms of the code.
 #[derive(Deserialize)]
 struct PolicyFile {
     bind: String,
@@ -96,7 +97,7 @@
 }
 
 impl PolicyConfig {
-    /// How many descriptors the policy needs.
+    /// Returns the number of descriptors that the policy needs.
     pub fn descriptors(&self) -> usize {
         CONNECTIONS_PER_PEER * self.max_peers + BASE_DESCRIPTORS
     }
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -1,5 +1,5 @@
-//! What a configuration that is read again may change: [`Config::reload`] rejects one that leaves
-//! keys out, [`Config::adopt`] keeps what only the next start can change.
+//! Replaces the configuration at SIGHUP: [`Config::reload`] rejects a newer configuration that
+//! leaves out keys, and [`Config::adopt`] keeps the values that only the next start can change.
 
 use super::error::ConfigError;
 use super::fleet::{check_longest_attempt, FleetConfig};
@@ -11,18 +11,19 @@
     ///
     /// # Errors
     ///
-    /// Why the newer configuration is rejected.
+    /// If the newer configuration cannot be read, is not valid, or leaves out a key.
     pub fn reload(&self) -> Result<Config, ConfigError> {
         let newer = Config::from_env()?;
         if let Some(key) = first_missing_key(&self.json, &newer.json) {
             return Err(ConfigError::MissingKey(key));
         }
-        // `call_ms` is the running one: the newer value applies at the next start.
+        // `call_ms` is checked as it is now, because a newer value applies only at the next start.
         check_longest_attempt(self.fleet.as_ref(), &newer.settings)?;
         Ok(newer)
     }
 
-    /// Becomes a newer configuration, except for the values that only the next start can change.
+    /// Replaces this configuration with a newer one, except for the values that only the next start
+    /// can change.
     pub fn adopt(&mut self, newer: Config) {
         *self = Config {
             name: std::mem::take(&mut self.name),
@@ -34,7 +35,8 @@
         };
     }
 
-    /// Returns the keys that differ in a newer configuration and that only the next start applies.
+    /// Returns the keys whose values differ in a newer configuration and are applied only at the
+    /// next start.
     pub fn keys_that_need_restart(&self, newer: &Config) -> Vec<&'static str> {
         let mut changed = Vec::new();
         if self.name != newer.name {
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -1,17 +1,17 @@
-//! How single values of the configuration are parsed.
+//! Parses single values of the configuration.
 
 use super::error::ConfigError;
 use std::net::SocketAddr;
 
 const HEXADECIMAL: u32 = 16;
-/// The seed of random numbers if none is given.
+/// The seed of random numbers if none is configured.
 const DEFAULT_SEED: u64 = 0;
 
 /// Parses an IP address and port.
 ///
 /// # Errors
 ///
-/// Names the field if its value is none.
+/// Names the field if its value is not an IP address and port.
 pub(super) fn parse_address(field: &'static str, value: String) -> Result<SocketAddr, ConfigError> {
     value.parse().map_err(|_| ConfigError::invalid_value(field, value, "an IP address and port"))
 }
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// Names the field if one of its values is none.
+/// Names the field if one of its values is not an IP address and port.
 pub(super) fn parse_addresses(
     field: &'static str,
     addresses: Vec<String>,
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 ///
-/// If it is no number of at most 16 hexadecimal digits.
+/// If the value is not a number of at most 16 hexadecimal digits.
 pub(super) fn parse_seed(value: String) -> Result<u64, ConfigError> {
     if value.is_empty() {
         return Ok(DEFAULT_SEED);
