--- a/crates/codec/src/http/chunked.rs
+++ b/crates/codec/src/http/chunked.rs
@@ -1,14 +1,14 @@
-//! Chunked bodies: [`parse_chunk`], and [`parse_chunked_body`] for a complete one.
+//! Parses chunked bodies: [`parse_chunk`] parses one chunk, [`parse_chunked_body`] a complete body.
 
 use super::{HttpError, ParseError, ParseResult, Parsed, MAX_HEADERS, MAX_HEAD_BYTES};
 
-/// The longest line with the size of a chunk, in bytes.
+/// The maximum length, in bytes, of the line with the size of a chunk.
 const MAX_CHUNK_LINE_BYTES: usize = 128;
-/// Ends the data of a chunk.
+/// The line end after the data of a chunk.
 const LINE_END: &[u8] = b"\r\n";
 
-/// Parses one chunk of a chunked body, of at most `max_length` bytes. The last chunk is empty; its
-/// length includes the trailers after it.
+/// Parses one chunk of a chunked body, with at most `max_length` bytes of data. The last chunk has
+/// no data, and its length includes the trailers after it.
 ///
 /// # Errors
 ///
--- a/crates/codec/src/http/head.rs
+++ b/crates/codec/src/http/head.rs
@@ -1,15 +1,16 @@
-//! The head of a response: [`parse_head`], and [`parse_final_head`] which skips interim responses.
+//! Parses the head of a response with [`parse_head`], or with [`parse_final_head`], which skips
+//! interim responses.
 
 use super::{HttpError, ParseError, ParseResult, Parsed, MAX_HEADERS, MAX_HEAD_BYTES};
 use std::ops::Range;
 
-/// The most interim responses (1xx) before the final one.
+/// The number of interim responses (1xx) at which a response is rejected as malformed.
 pub(super) const MAX_INTERIM_RESPONSES: usize = 8;
-/// The line end and the empty line after the last header.
+/// The line end of the last header, with the empty line after it.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// The name of the header with a load report.
+/// The header name of a load report, in lower case and with its colon.
 const LOAD_REPORT_HEADER: &[u8] = b"x-pressure:";
-/// Stands for a header value that is not UTF-8.
+/// The placeholder for a header value that is not UTF-8.
 const NON_UTF8_PLACEHOLDER: &str = "?";
 
 const INTERIM_STATUSES: Range<u16> = 100..FIRST_FINAL_STATUS;
@@ -21,31 +22,32 @@
 /// How the body of a response ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// After this many bytes.
+    /// The body ends after this many bytes.
     Length(usize),
-    /// With the last chunk.
+    /// The body ends with the last chunk.
     Chunked,
-    /// With the connection, so that a complete body and a truncated one look alike.
+    /// The body ends when the connection is closed, so that a truncated body cannot be told from a
+    /// complete one.
     UntilClose,
 }
 
 /// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// Its status.
+    /// The status of the response.
     pub status: u16,
-    /// How its body ends.
+    /// How the body of the response ends.
     pub body: Body,
-    /// Whether the server rejected the request, which never ran (`X-Turned-Away: 1`).
+    /// Whether the server rejected the request before it ran (`X-Turned-Away: 1`).
     pub is_rejected: bool,
-    /// The id of the request to which it responds (`X-Txn`), if it has one.
+    /// The id of the request to which the response belongs (`X-Txn`), if the head has one.
     pub id: Option<String>,
     /// Whether the connection closes after this response.
     pub closes: bool,
 }
 
-/// Parses the head of a response. A malformed load report is ignored; any other line that is not a
-/// header makes the whole response malformed.
+/// Parses the head of a response. A malformed load report is ignored, but any other line that is
+/// not a header makes the whole response malformed.
 ///
 /// # Errors
 ///
@@ -62,10 +64,10 @@
     }
 }
 
-/// A head without its load reports.
+/// A head from which the load reports were removed.
 struct StrippedHead {
     head: Vec<u8>,
-    /// The length of the load reports, in bytes.
+    /// The length of the removed load reports, in bytes.
     removed: usize,
 }
 
@@ -151,7 +153,7 @@
     let mut framing = FramingHeaders::default();
     let mut head = Head { status, body: Body::UntilClose, is_rejected: false, id: None, closes: is_http_1_0 };
     for header in response.headers.iter() {
-        // None of these headers has a valid value that is not UTF-8.
+        // The placeholder is safe because every valid value of the headers below is UTF-8.
         let value = std::str::from_utf8(header.value).map_or(NON_UTF8_PLACEHOLDER, str::trim);
         let is_named = |name: &str| header.name.eq_ignore_ascii_case(name);
         if is_named("content-length") {
--- a/crates/codec/src/http/mod.rs
+++ b/crates/codec/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as the origin and discovery use it: requests are encoded, responses parsed. Read
+//! Encodes HTTP/1.1 requests to the origin and to discovery, and parses the responses. Read
 //! [`parse_head`] first; [`Body`] says how the body after a head ends.
 
 mod chunked;
@@ -14,36 +14,36 @@
 use super::{ParseError, ParseResult, Parsed};
 use thiserror::Error;
 
-/// The longest head of a response, and the longest trailers, in bytes.
+/// The maximum length of the head of a response, and of trailers, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most headers of a head, and the most trailers.
+/// The maximum number of headers in a head, and of trailers.
 const MAX_HEADERS: usize = 64;
 
-/// What is wrong with a response. The log of discovery has the text.
+/// What is wrong with a response. The text is logged when a watch of discovery ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// The bytes are not a head, or the head is too long.
-    #[error("no head of a response")]
+    /// The bytes are not the head of a response, or the head is too large.
+    #[error("the response head is invalid, or over {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} headers")]
     InvalidHead,
-    /// A length is not a number, or two lengths differ.
-    #[error("a bad length")]
+    /// A `Content-Length` is not a number, or two of them differ.
+    #[error("the Content-Length is not a number, or was given twice with different values")]
     BadLength,
-    /// The transfer encoding is not `chunked`.
-    #[error("an unknown transfer encoding")]
+    /// The transfer encoding is not `chunked`, or is given twice.
+    #[error("the Transfer-Encoding is not chunked, or was given twice")]
     UnknownTransferEncoding,
-    /// The headers give the body two different ends.
-    #[error("both a length and chunks")]
+    /// Both `Content-Length` and `Transfer-Encoding` say how the body ends.
+    #[error("the response has both a Content-Length and a Transfer-Encoding")]
     LengthAndChunks,
-    /// No final response follows the interim ones.
-    #[error("too many interim responses")]
+    /// Too many interim responses precede the final response.
+    #[error("too many interim (1xx) responses precede the final response")]
     TooManyInterimResponses,
-    /// A chunk is longer than its size.
-    #[error("a chunk without its end")]
+    /// The data of a chunk is not followed by a line end.
+    #[error("the data of a chunk is not followed by a line end")]
     UnterminatedChunk,
-    /// A chunk has no size, or is too large.
-    #[error("a bad chunk")]
+    /// The size of a chunk is missing, invalid or too large.
+    #[error("the size of a chunk is missing, invalid or too large")]
     BadChunk,
-    /// The bytes after the last chunk are not trailers.
-    #[error("bad trailers")]
+    /// The bytes after the last chunk are not trailers, or the trailers are too large.
+    #[error("the trailers are invalid, or over {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} lines")]
     BadTrailers,
 }
--- a/crates/codec/src/http/request.rs
+++ b/crates/codec/src/http/request.rs
@@ -1,8 +1,7 @@
-//! Requests to the origin and to discovery: [`encode_request`].
-
+//! Encodes requests to the origin and to discovery; read [`encode_request`] first.
 use std::fmt::Write;
 
-/// Encodes a `GET` request, or a `PUT` request if there is a value for its body.
+/// Encodes a `GET` request, or a `PUT` request if there is a value for the body.
 pub fn encode_request(path: &str, host: &str, headers: &[(&str, &str)], value: Option<&[u8]>) -> Vec<u8> {
     let method = if value.is_some() { "PUT" } else { "GET" };
     let mut head = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
@@ -18,7 +17,7 @@
     bytes
 }
 
-/// Encodes a key as the path of a URL: all bytes that are not allowed there are percent-encoded.
+/// Encodes a key as the path of a URL, in which all bytes that are not allowed are percent-encoded.
 pub fn encode_path(key: &str) -> String {
     let mut path = String::from("/");
     for byte in key.bytes() {
--- a/crates/codec/src/http/tests.rs
+++ b/crates/codec/src/http/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the HTTP codec: which heads are accepted, and how bodies end.
+//! Tests which heads of HTTP responses are accepted, and how bodies end.
 
 use super::head::MAX_INTERIM_RESPONSES;
 use super::*;
--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -1,5 +1,5 @@
-//! The codecs of the proxy's protocols: pure functions between bytes and messages. They are strict
-//! and bounded, do no I/O, and never panic on input. Read [`ParseResult`] first. [`memcache`] is
+//! Encodes and parses the messages of the proxy's protocols, with pure functions that are strict
+//! and bounded, do no I/O, and never panic on input. Read [`ParseResult`] first. [`memcache`] has
 //! the protocol of clients and cache nodes, [`http`] the protocol of the origin and of discovery.
 
 pub mod http;
@@ -7,51 +7,55 @@
 
 use thiserror::Error;
 
-/// The longest value that is buffered, in bytes. This much memory is reserved for each response.
+/// The maximum length, in bytes, of a value that is buffered. This much memory is reserved for each
+/// response.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
-/// The longest value of a response, in bytes. A value longer than [`MAX_VALUE_BYTES`] is streamed.
+/// The maximum length, in bytes, of the value of a response. A value longer than
+/// [`MAX_VALUE_BYTES`] is streamed.
 ///
-/// Note: backends do send values many times as long as the protocol's 64 KiB. If they were rejected
-/// as malformed, each would be fetched again, in vain.
+/// Note: some backends send values many times as long as the protocol's 64 KiB. If such values were
+/// rejected as malformed, each would be fetched again without success.
 pub const MAX_STREAMED_VALUE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A message at the beginning of the buffer, or why there is none.
+/// The message at the beginning of a buffer, or why the buffer does not begin with a message.
 pub type ParseResult<T, E> = Result<Parsed<T>, ParseError<E>>;
 
-/// A complete message.
+/// A complete message at the beginning of a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parsed<T> {
     /// The message.
     pub message: T,
-    /// Its length in bytes.
+    /// The length of the message in bytes.
     pub length: usize,
 }
 
 /// Why the buffer does not begin with a complete message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError<E> {
-    /// More bytes are needed.
-    #[error("the message is not complete")]
+    /// The buffer has only the beginning of a message, so that more bytes are needed.
+    #[error("the message is incomplete")]
     Incomplete,
-    /// More bytes would not help.
+    /// The buffer begins with bytes that are not a valid message, whatever follows them.
     #[error("{error}")]
     Malformed {
-        /// What is wrong.
+        /// What is wrong with the message.
         error: E,
-        /// How many bytes to skip to the next message; `None` if its position is unknown, so that
-        /// the connection must be closed.
+        /// The number of bytes to skip to the next message; `None` if the position of the next
+        /// message is unknown, so that the connection must be closed.
         skip: Option<usize>,
     },
 }
 
 impl<E> ParseError<E> {
-    /// A malformed message, after which the position of the next one is unknown.
+    /// Creates the error of a malformed message after which the position of the next message is
+    /// unknown.
     #[inline]
     pub(crate) fn fatal(error: E) -> ParseError<E> {
         ParseError::Malformed { error, skip: None }
     }
 
-    /// A malformed message of this length, after which the next one begins.
+    /// Creates the error of a malformed message of this length, after which the next message
+    /// begins.
     #[inline]
     pub(crate) fn skippable(error: E, length: usize) -> ParseError<E> {
         ParseError::Malformed { error, skip: Some(length) }
--- a/crates/codec/src/memcache/backend.rs
+++ b/crates/codec/src/memcache/backend.rs
@@ -1,4 +1,5 @@
-//! The cache nodes' side: [`encode_request`] and [`parse_response`].
+//! Encodes requests to cache nodes with [`encode_request`], and parses their responses with
+//! [`parse_response`].
 
 use super::super::{ParseError, ParseResult, Parsed, MAX_STREAMED_VALUE_BYTES, MAX_VALUE_BYTES};
 use super::{parse_block, parse_length, parse_line, MemcacheError, LINE_END};
@@ -6,7 +7,8 @@
 
 /// The texts with which a cache node's response may begin.
 const RESPONSE_PREFIXES: [&str; 6] = ["VA ", "HD ", "EN ", "SERVER_ERROR ", "CLIENT_ERROR ", "ERROR\r\n"];
-/// The response belongs to another request, or is not one: the connection must be closed.
+/// The error if the bytes are not a response or the response belongs to another request. The
+/// connection must then be closed.
 const UNEXPECTED_RESPONSE: ParseError<MemcacheError> =
     ParseError::Malformed { error: MemcacheError::UnexpectedResponse, skip: None };
 
@@ -17,20 +19,20 @@
     Value(Vec<u8>),
     /// The receipt of a write.
     Receipt(String),
-    /// A value that is too long to be buffered begins after this message.
+    /// The beginning of a value that is too long to be buffered. The value follows this message.
     LongValue {
         /// The length of the value, in bytes.
         length: usize,
     },
     /// The cache node does not have the key.
     Miss,
-    /// Rejected; the request never ran.
+    /// The cache node rejected the request, which never ran.
     Busy,
-    /// Failed; the request may have run.
+    /// The request failed, but may have run.
     Failed,
 }
 
-/// Encodes a request to a cache node; `labels` are already joined.
+/// Encodes a request to a cache node; `labels` is the complete argument of the flag `P`.
 pub fn encode_request(key: &str, opaque: &str, labels: &str, value: Option<&[u8]>) -> Vec<u8> {
     match value {
         None => format!("mg {key} v O{opaque} P{labels}\r\n").into_bytes(),
@@ -47,11 +49,12 @@
 ///
 /// # Errors
 ///
-/// If the response is incomplete, malformed, or belongs to another request.
+/// If the response is incomplete or malformed, or belongs to another request.
 ///
 /// Invariant: a client never gets the response to another request.
 pub fn parse_response(bytes: &[u8], opaque: &str) -> ParseResult<BackendResponse, MemcacheError> {
-    // Bytes that are not a response are rejected at once: their line may never end.
+    // Bytes that cannot begin a response are rejected before their line is complete, since it may
+    // never end.
     if !may_be_response(bytes) {
         return Err(UNEXPECTED_RESPONSE);
     }
@@ -76,7 +79,7 @@
     Ok(Parsed { message: response, length })
 }
 
-/// Whether these bytes may be the beginning of a response.
+/// Returns whether these bytes may be the beginning of a response.
 fn may_be_response(bytes: &[u8]) -> bool {
     RESPONSE_PREFIXES.iter().any(|beginning| {
         let beginning = beginning.as_bytes();
@@ -84,12 +87,12 @@
     })
 }
 
-/// Whether the flags have the opaque id of this request, and no other id.
+/// Returns whether the flags contain this opaque id once, and no other opaque id.
 fn has_opaque(flags: &Split<char>, opaque: &str) -> bool {
     flags.clone().filter_map(|flag| flag.strip_prefix('O')).eq(std::iter::once(opaque))
 }
 
-/// Parses what follows `VA`: length and flags on the line, then the value.
+/// Parses what follows `VA`, which is the length and the flags on the line, and then the value.
 fn parse_value(
     bytes: &[u8],
     mut tokens: Split<char>,
--- a/crates/codec/src/memcache/command.rs
+++ b/crates/codec/src/memcache/command.rs
@@ -1,49 +1,49 @@
-//! Commands of clients: [`parse_command`].
+//! Parses the commands of clients; read [`parse_command`] first.
 
 use super::super::{ParseError, ParseResult, Parsed, MAX_VALUE_BYTES};
 use super::{parse_block, parse_length, parse_line, MemcacheError};
 
-/// The longest key in bytes.
+/// The maximum length of a key, in bytes.
 const MAX_KEY_BYTES: usize = 250;
-/// The longest opaque id in bytes.
+/// The maximum length of an opaque id, in bytes.
 const MAX_OPAQUE_BYTES: usize = 32;
-/// The length of a flag's name in bytes; its argument follows.
+/// The length of a flag's name, in bytes. The flag's argument follows the name.
 const FLAG_BYTES: usize = 1;
 
 /// A command of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// `mg` or `ms`.
+    /// The command `mg` or `ms`.
     Request(RequestCommand),
-    /// `mn`.
+    /// The command `mn`.
     Noop,
-    /// `stats`.
+    /// The command `stats`.
     Stats,
-    /// `version`.
+    /// The command `version`.
     Version,
-    /// `quit`.
+    /// The command `quit`.
     Quit,
 }
 
 /// A read (`mg`) or a write (`ms`) as a client sends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestCommand {
-    /// The key.
+    /// The key that is read or written.
     pub key: String,
     /// The opaque id, which the response repeats.
     pub opaque: String,
-    /// Names and values in the flag `P`, in their order.
+    /// The names and values in the flag `P`, in the order of the flag.
     pub labels: Vec<(String, String)>,
-    /// The value of a write.
+    /// The value of a write, or `None` for a read.
     pub value: Option<Vec<u8>>,
 }
 
 /// The kind of a request, which decides the flags that it may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestKind {
-    /// `mg`, which must request the value by the flag `v`.
+    /// A read (`mg`), which must request the value with the flag `v`.
     Read,
-    /// `ms`.
+    /// A write (`ms`).
     Write,
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// Checks a command without arguments.
+/// Returns a command that has no arguments, or an error if its line has any.
 fn parse_bare_command(command: Command, line: &str, length: usize) -> ParseResult<Command, MemcacheError> {
     if line.contains(' ') {
         Err(ParseError::skippable(MemcacheError::BadFormat, length))
@@ -78,7 +78,8 @@
     }
 }
 
-/// Parses what follows `ms`: key, length and flags on the line, then the value.
+/// Parses what follows `ms`, which is the key, the length and the flags on the line, and then the
+/// value.
 fn parse_write<'a>(
     bytes: &[u8],
     mut tokens: impl Iterator<Item = &'a str>,
@@ -102,8 +103,8 @@
     }
 }
 
-/// Parses the key and the flags of `mg` or `ms`, without the value. Only flags that backends
-/// support are allowed, each once: `v` (of reads), `O` and `P`.
+/// Parses the key and the flags of `mg` or `ms`, without the value. Only the flags that backends
+/// support are allowed, each once: `v` (for reads only), `O` and `P`.
 fn parse_request<'a>(mut tokens: impl Iterator<Item = &'a str>, kind: RequestKind) -> Option<RequestCommand> {
     let key = tokens.next().filter(|key| is_key(key))?;
     let mut wants_value = false;
--- a/crates/codec/src/memcache/mod.rs
+++ b/crates/codec/src/memcache/mod.rs
@@ -1,7 +1,7 @@
-//! The meta commands of the memcache text protocol, as clients and cache nodes use them. Read
-//! [`parse_command`] and [`encode_response`] for the clients' side, [`encode_request`] and
-//! [`parse_response`] for the cache nodes' side. This file parses what both have: lines and data
-//! blocks.
+//! Encodes and parses the meta commands of the memcache text protocol, which clients and cache
+//! nodes use. Read [`parse_command`] and [`encode_response`] for the clients' side,
+//! [`encode_request`] and [`parse_response`] for the cache nodes' side. The functions in this file
+//! parse lines and data blocks, which both sides have.
 
 mod backend;
 mod command;
@@ -16,14 +16,14 @@
 use super::{ParseError, ParseResult, Parsed};
 use thiserror::Error;
 
-/// The longest line in bytes, with its end.
+/// The maximum length of a line with its line end, in bytes.
 pub const MAX_LINE_BYTES: usize = 2048;
-/// Ends a line and a value.
+/// The line end, which also follows a value.
 pub const LINE_END: &[u8] = b"\r\n";
-/// The most digits of a length: a longer text is rejected without parsing.
+/// The maximum number of digits of a length. A longer text is rejected without parsing.
 const MAX_LENGTH_DIGITS: usize = 9;
 
-/// What is wrong with a message. Clients receive the text as it is.
+/// What is wrong with a message. Clients receive the text unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MemcacheError {
     /// The line is longer than [`MAX_LINE_BYTES`].
@@ -44,15 +44,16 @@
     /// The arguments of the command are missing, unknown or not valid.
     #[error("CLIENT_ERROR bad command line format")]
     BadFormat,
-    /// There is no such command.
+    /// The command is unknown.
     #[error("ERROR")]
     UnknownCommand,
-    /// A cache node's response does not belong to this request.
+    /// A cache node sent bytes that are not a response to this request.
     #[error("no response to this request")]
     UnexpectedResponse,
 }
 
-/// Parses a line, without its end. It may have any UTF-8 text: names of classes and tenants do.
+/// Parses a line, and returns it without its line end. UTF-8 text is allowed because names of
+/// classes and tenants may contain it.
 fn parse_line(bytes: &[u8]) -> ParseResult<&str, MemcacheError> {
     let window = &bytes[..bytes.len().min(MAX_LINE_BYTES)];
     let Some(end) = window.iter().position(|byte| *byte == b'\n') else {
@@ -69,7 +70,7 @@
     }
 }
 
-/// Whether a byte of UTF-8 is not an ASCII control character.
+/// Returns whether a byte of UTF-8 text is not an ASCII control character.
 fn is_printable(byte: u8) -> bool {
     !byte.is_ascii_control()
 }
@@ -86,7 +87,7 @@
     }
 }
 
-/// Parses a length in bytes.
+/// Parses a length in bytes, which must be a plain decimal number without a sign.
 fn parse_length(token: &str) -> Option<usize> {
     let is_plain = token.len() <= MAX_LENGTH_DIGITS && token.bytes().all(|byte| byte.is_ascii_digit());
     if is_plain {
--- a/crates/codec/src/memcache/response.rs
+++ b/crates/codec/src/memcache/response.rs
@@ -1,14 +1,13 @@
-//! Responses to clients: [`encode_response`].
-
+//! Encodes responses to clients; read [`encode_response`] first.
 use super::LINE_END;
 use std::time::Duration;
 
-/// A response to a client, as the protocol knows it.
+/// A response to a client, in the terms of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResponse<'a> {
     /// The value of a read.
     Value(&'a [u8]),
-    /// What precedes the value of a read that is streamed.
+    /// The line that precedes the value of a read whose value is streamed.
     ValueHead {
         /// The length of the value, in bytes.
         length: usize,
@@ -17,7 +16,7 @@
     Receipt(&'a str),
     /// The request was rejected.
     Rejected {
-        /// When the client may retry, in whole ms, if that is known.
+        /// The time after which the client may retry, if known; encoded in whole ms.
         retry_after: Option<Duration>,
     },
     /// The request failed.
--- a/crates/codec/src/memcache/tests.rs
+++ b/crates/codec/src/memcache/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the memcache codec: the errors of malformed commands, and which responses of cache
-//! nodes are accepted as the response to a request.
+//! Tests the errors of malformed memcache commands, and which responses of cache nodes are accepted
+//! as the response to a request.
 
 use super::*;
 use crate::MAX_VALUE_BYTES;
 
-/// Returns the error that a client receives for a malformed command, and how many bytes are
-/// skipped.
+/// Returns the error that a client receives for a malformed command, and the number of bytes to
+/// skip.
 fn malformed(bytes: &[u8]) -> (String, Option<usize>) {
     match parse_command(bytes) {
         Err(ParseError::Malformed { error, skip }) => (error.to_string(), skip),
