--- a/crates/settings/src/time.rs
+++ b/crates/settings/src/time.rs
@@ -1,8 +1,8 @@
-//! Points in time and lengths of time, as the decision module counts them: in milliseconds, on one
-//! clock of the caller's that never goes back. Read [`Timestamp`] first.
+//! Defines the decision module's points in time and lengths of time, in milliseconds on a monotonic
+//! clock of the caller. Read [`Timestamp`] first.
 //!
-//! Both wrap an `f64`, since the simulator and the settings state times as such numbers. Sockets
-//! and timers use [`std::time`]; the dispatcher converts between the two.
+//! Both types wrap an `f64`, since the simulator and the settings state times as `f64` numbers.
+//! Sockets and timers use [`std::time`]; the dispatcher converts between the two.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Div, Mul, Sub};
@@ -15,31 +15,31 @@
 impl Timestamp {
     /// The origin of the clock.
     pub const ZERO: Timestamp = Timestamp(0.0);
-    /// Before every other point in time.
+    /// A point in time before every other.
     pub const DISTANT_PAST: Timestamp = Timestamp(f64::MIN);
-    /// After every other point in time.
+    /// A point in time after every other.
     pub const NEVER: Timestamp = Timestamp(f64::MAX);
 
-    /// The point this many ms after the origin.
+    /// Creates the point in time that is this many ms after the origin.
     #[inline]
     pub const fn from_ms(ms: f64) -> Timestamp {
         Timestamp(ms)
     }
 
-    /// The ms since the origin.
+    /// Returns the time since the origin in ms.
     #[inline]
     pub const fn as_ms(self) -> f64 {
         self.0
     }
 
-    /// The earlier of two points.
+    /// Returns the earlier of two points in time.
     #[inline]
     #[must_use]
     pub fn min(self, other: Timestamp) -> Timestamp {
         Timestamp(self.0.min(other.0))
     }
 
-    /// The later of two points.
+    /// Returns the later of two points in time.
     #[inline]
     #[must_use]
     pub fn max(self, other: Timestamp) -> Timestamp {
@@ -74,44 +74,44 @@
     }
 }
 
-/// A length of time, in ms. It may be negative, infinite or no number where a caller stated it.
+/// A length of time, in ms. A value that comes from a caller may be negative, infinite or NaN.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Deserialize)]
 #[serde(transparent)]
 pub struct TimeSpan(f64);
 
 impl TimeSpan {
-    /// No time.
+    /// The length of time zero.
     pub const ZERO: TimeSpan = TimeSpan(0.0);
-    /// Longer than any other time.
+    /// The longest finite length of time.
     pub const MAX: TimeSpan = TimeSpan(f64::MAX);
 
-    /// This many ms.
+    /// Creates a length of time from its number of ms.
     #[inline]
     pub const fn from_ms(ms: f64) -> TimeSpan {
         TimeSpan(ms)
     }
 
-    /// Its length in ms.
+    /// Returns the length of time in ms.
     #[inline]
     pub const fn as_ms(self) -> f64 {
         self.0
     }
 
-    /// The shorter of two; the other one where one is no number.
+    /// Returns the shorter of two lengths of time; if one is NaN, returns the other.
     #[inline]
     #[must_use]
     pub fn min(self, other: TimeSpan) -> TimeSpan {
         TimeSpan(self.0.min(other.0))
     }
 
-    /// The longer of two; the other one where one is no number.
+    /// Returns the longer of two lengths of time; if one is NaN, returns the other.
     #[inline]
     #[must_use]
     pub fn max(self, other: TimeSpan) -> TimeSpan {
         TimeSpan(self.0.max(other.0))
     }
 
-    /// Whether it is neither infinite nor no number.
+    /// Returns whether the length of time is neither infinite nor NaN.
     #[inline]
     pub fn is_finite(self) -> bool {
         self.0.is_finite()
@@ -154,7 +154,7 @@
     }
 }
 
-/// How many times the divisor fits into a length of time.
+/// The ratio of two lengths of time.
 impl Div for TimeSpan {
     type Output = f64;
 
