--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -91,7 +91,7 @@
     Quota(#[from] pinetrail_quota::SettingsError),
     /// A limit on attempts in flight is so low that the guaranteed minimum of a proxy would be
     /// below one attempt.
-    #[error("{field} {limit} is below {least}, which is 2 attempts for each of size proxies")]
+    #[error("{field} {limit} is below the minimum of {least}, which is 2 for each proxy of the fleet")]
     LimitTooLow {
         /// The key of the limit.
         field: &'static str,
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -161,8 +161,8 @@
 ///
 /// Decides: whether a limit is rejected as too low.
 /// Inputs: the limit, and the least that is allowed, both in attempts in flight.
-/// Reason: a guaranteed minimum of less than one attempt either allows none or is rounded up, so
-/// that the minimums together exceed the limit.
+/// Reason: a guaranteed minimum below one attempt allows no attempt if rounded down. If rounded up,
+/// the minimums together exceed the limit.
 fn check_fleet_limit(field: &'static str, limit: Option<u64>, least: u64) -> Result<(), FleetConfigError> {
     match limit {
         Some(limit) if limit < least => Err(FleetConfigError::LimitTooLow { field, limit, least }),
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -47,7 +47,7 @@
     pub bind: SocketAddr,
     /// The address at which peers reach the listener.
     pub advertise: SocketAddr,
-    /// The directory of the state of a voter, which a voter must have.
+    /// The directory of a voter's state, which every voter must have.
     pub state_dir: Option<PathBuf>,
     /// The durations of leases and changes.
     pub timing: Timing,
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -17,7 +17,7 @@
         if let Some(key) = first_missing_key(&self.json, &newer.json) {
             return Err(ConfigError::MissingKey(key));
         }
-        // `call_ms` is checked as it is now, because a newer value applies only at the next start.
+        // The active `call_ms` is the limit, because a newer value applies only at the next start.
         check_longest_attempt(self.fleet.as_ref(), &newer.settings)?;
         Ok(newer)
     }
