--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -5,25 +5,26 @@
 //!
 //! Read [`QuotaLeases`] first, then [`Output`].
 //!
-//! Invariant: the quotas in use at any moment add up to at most one, whatever is partitioned, late,
-//! paused or restarted, provided that at most [`Settings::size`] processes run and that no clock is
-//! faster than another by more than [`Settings::skew_percent`].
+//! Invariant: the quotas in use at any moment add up to at most the whole of the limits, under any
+//! partition, delay, pause or restart, provided that at most [`Settings::size`] processes run and
+//! that no clock is faster than another by more than [`Settings::skew_percent`].
 //!
 //! A majority of the voters of a [`View`], which are founders, elects the leader by votes that
-//! expire. Only the leader grants leases, and it records them in a ledger. A new leader renews what
-//! the holders have, and grants no more until every lease of an earlier leader has expired.
+//! expire. Only the leader grants leases, and it records them in a ledger. A new leader grants each
+//! holder no more than the holder already has, until no attempt can run under a lease of an earlier
+//! leader.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `leases` | what a holder has, what the leader has granted, and the rule by which it grants |
+//! | `leases` | the lease of a holder, the ledger of the leader, and the rule for granting leases |
 //! | `voter` | the vote of this process and the view that it has accepted |
-//! | `leader_term` | a candidate or leader: its votes, its quorum, the view that it proposes |
-//! | `quota_leases` | elections, and which of the above handles a message |
+//! | `leader_term` | the votes, the quorum and the proposed view of a candidate or leader |
+//! | `quota_leases` | elections, and the dispatch of messages to the modules above |
 //! | `settings`, `view`, `message`, `wire` | values and their encoding |
 //!
-//! Sources: leases, Gray and Cheriton 1989; votes that expire and need no disk, PaxosLease
-//! (Trencseni, Gazso and Reinhardt 2012); voters that agree on the next voters, Lamport 1998,
-//! section 3.2, and Paxos.
+//! Sources: Gray and Cheriton 1989 for leases; PaxosLease (Trencseni, Gazso and Reinhardt 2012) for
+//! votes that expire, so that they need no disk; Paxos (Lamport 1998), section 3.2 of it for voters
+//! that decide on the next voters.
 
 #[cfg(test)]
 mod golden_tests;
@@ -48,7 +49,7 @@
 
 /// A fraction of the fleet's limits, in parts per billion.
 pub type Parts = u64;
-/// All parts: the whole of the fleet's limits.
+/// The number of parts in the whole of the fleet's limits.
 pub const TOTAL_PARTS: Parts = 1_000_000_000;
-/// The parts that are leased; the other half is divided into guaranteed minimums.
+/// The number of parts that may be leased; the others are divided into guaranteed minimums.
 pub const LEASABLE_PARTS: Parts = TOTAL_PARTS / 2;
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,4 +1,4 @@
-//! [`Message`]: what processes send each other about the quota. The order of variants and of
+//! The messages that processes exchange about the quota: [`Message`]. The order of variants and of
 //! fields is the format on the wire; times are sent as whole milliseconds.
 
 use crate::view::{Ballot, Process, View};
@@ -7,22 +7,23 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// When a process sent a request, by the clock of that process.
+/// The time at which a process sent a request, by the clock of that process.
 ///
-/// Invariant: only the process that sent the request may convert this to a [`Timestamp`], when it
-/// is returned in a response or a grant. Any other process compares it with request times of the
-/// same process, and never with its own clock.
+/// Invariant: only the process that sent the request may convert its time to a [`Timestamp`], after
+/// a response or a grant has returned it. Any other process compares request times of the same
+/// sender with each other, and never with its own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestTime(Timestamp);
 
 impl RequestTime {
-    /// The time of a request that this process sends, or sent, at this point of its own clock.
+    /// Returns the time of a request that this process sends, or sent, at `sent_at` by its own
+    /// clock.
     pub fn at(sent_at: Timestamp) -> RequestTime {
         RequestTime(sent_at)
     }
 
-    /// The point in time by the clock of this process, which must have sent the request.
+    /// Returns the time by the clock of this process, which must have sent the request.
     pub(crate) fn local_timestamp(self) -> Timestamp {
         self.0
     }
@@ -31,97 +32,100 @@
 /// A message from one process to another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// The leader, or a candidate, asks for a vote and for a lease request.
+    /// A request of the leader, or of a candidate, for a vote and for the receiver's lease request.
     VoteRequest(Box<VoteRequest>),
-    /// The response to a vote request.
+    /// The response to a vote request, with a lease request.
     VoteResponse(Box<VoteResponse>),
-    /// The leader grants a lease.
+    /// A lease that the leader grants.
     LeaseGrant(LeaseGrant),
 }
 
-/// See [`Message::VoteRequest`]. It is prepare, accept and heartbeat in one.
+/// The body of [`Message::VoteRequest`], which is the prepare request and the accept request of
+/// Paxos and the heartbeat of the leader in one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// The ballot; its proposer sends the request.
+    /// The ballot, whose proposer sends the request.
     pub ballot: Ballot,
-    /// When it was sent.
+    /// The time at which the request was sent.
     pub sent_at: RequestTime,
-    /// Whether the sender asks as a founder of a new fleet, and not as a voter of a view.
+    /// Whether the sender asks for a vote as a founder of a new fleet, not as a voter of a view.
     pub founding: bool,
-    /// Whether the sender is the leader: it holds the votes of a quorum.
+    /// Whether the sender is the leader, which holds the votes of a quorum.
     pub is_leader: bool,
     /// The latest decided view that the sender knows.
     pub view: Option<View>,
-    /// The view that it proposes as the next one.
+    /// The view that the sender proposes as the next one.
     pub proposed_view: Option<View>,
 }
 
-/// A view that a voter has accepted, and in which ballot.
+/// A view that a voter has accepted, with the ballot of the proposal.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AcceptedView {
-    /// The ballot in which it was proposed and accepted.
+    /// The ballot in which the view was proposed and accepted.
     pub ballot: Ballot,
-    /// The view.
+    /// The accepted view.
     pub view: View,
 }
 
-/// See [`Message::VoteResponse`].
+/// The body of [`Message::VoteResponse`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoteResponse {
     /// The process that responds.
     pub from: Process,
     /// The ballot of the request.
     pub ballot: Ballot,
-    /// When the request was sent.
+    /// The time at which the vote request was sent.
     pub request_sent_at: RequestTime,
     /// Whether the vote is granted.
     pub vote_granted: bool,
-    /// The ballot of the proposed view, if the voter has accepted that.
+    /// The ballot of the proposed view, if the voter has accepted that view.
     pub accepts: Option<Ballot>,
-    /// The view that the voter has accepted last and that may be decided; none beside `newer_view`.
+    /// The last view that the voter has accepted and that may be decided; `None` if `newer_view` is
+    /// given.
     pub accepted: Option<AcceptedView>,
     /// The latest ballot that the voter has seen.
     pub highest_ballot: Ballot,
-    /// The latest decided view that it knows, if that is later than the one in the request.
+    /// The latest decided view that the voter knows, if that is later than the view in the request.
     pub newer_view: Option<View>,
-    /// The highest number of a view that it has seen.
+    /// The highest view number that the voter has seen.
     pub highest_view_number: u64,
-    /// Whether it shuts down soon, and must be a voter in no further view.
+    /// Whether the voter shuts down soon, so that no later view may include it.
     pub leaving: bool,
-    /// Its request for a lease.
+    /// The voter's request for a lease.
     pub lease_request: LeaseRequest,
 }
 
-/// What a process holds by lease, as it requests the next one.
+/// The lease request of a process, with the parts that it holds by its present lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// When this request was sent: a lease lasts from here.
+    /// The time at which the request was sent, from which a granted lease lasts.
     pub sent_at: RequestTime,
-    /// The parts that it holds by lease.
+    /// The parts that the process holds by its present lease.
     pub held_parts: Parts,
-    /// When it sent the request by which it holds them. Leases for earlier requests are replaced.
+    /// The time of the request for which the present lease was granted. Leases for earlier requests
+    /// are replaced.
     pub held_since: RequestTime,
 }
 
-/// See [`Message::LeaseGrant`].
+/// The body of [`Message::LeaseGrant`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The leader.
+    /// The leader, which grants the lease.
     pub from: Process,
-    /// The holder.
+    /// The holder of the lease.
     pub to: Process,
-    /// When the holder sent the request.
+    /// The time at which the holder sent its lease request.
     pub request_sent_at: RequestTime,
     /// The leased parts.
     pub parts: Parts,
-    /// How long the lease lasts from the sending of the request.
+    /// The duration of the lease, which starts when the holder sends the request.
     #[serde(with = "duration_as_millis")]
     pub duration: Duration,
-    /// The number of the view in which the leader was elected.
+    /// The number of the leader's view.
     pub view_number: u64,
 }
 
-/// A duration on the wire: a `u64` of whole milliseconds.
+/// Encodes a duration as a `u64` of whole milliseconds.
 mod duration_as_millis {
     use pinetrail_clock::whole_millis;
     use serde::{Deserialize, Deserializer, Serializer};
--- a/crates/quota/src/output.rs
+++ b/crates/quota/src/output.rs
@@ -1,42 +1,44 @@
-//! [`Output`]: what the driver has to do, and the events for the rest of the program.
+//! The results of each step: actions for the driver ([`Output`]), events for the rest of the
+//! program ([`QuotaEvent`]) and counters ([`QuotaCounters`]).
 
 use crate::leases::Lease;
 use crate::message::Message;
 use std::net::SocketAddr;
 
-/// What the driver has to do.
+/// An action that the driver must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message to the process at an address. It may be lost.
+    /// Send a message to the process at an address. The message may be lost on its way.
     Send(SocketAddr, Message),
-    /// Pass on an event.
+    /// Pass an event on to the rest of the program.
     Event(QuotaEvent),
 }
 
 /// An event for the rest of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaEvent {
-    /// This process holds another lease, or the same for longer.
+    /// A new lease was granted to this process, or its lease was renewed.
     LeaseGranted(Lease),
-    /// Its lease has expired and was not renewed: it has only its guaranteed minimum.
+    /// The lease of this process has expired without a renewal, so that only the guaranteed minimum
+    /// remains.
     LeaseExpired,
-    /// It is the leader from now on.
+    /// This process has become the leader.
     BecameLeader,
-    /// It is no longer the leader.
+    /// This process is no longer the leader.
     LostLeadership,
-    /// The view of this number is the latest one that this process knows to be decided.
+    /// The latest decided view that this process knows has changed to the view of this number.
     ViewChanged(u64),
 }
 
-/// What one process has counted since its start.
+/// Counters of one process since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct QuotaCounters {
-    /// Leases that it granted as the leader.
+    /// Leases that this process granted as the leader.
     pub leases_granted: u64,
-    /// Lease requests to which it granted nothing as the leader.
+    /// Lease requests for which this process granted nothing as the leader.
     pub leases_rejected: u64,
-    /// Its leases that expired without a renewal.
+    /// Leases of this process that expired without a renewal.
     pub leases_expired: u64,
-    /// Times that it became the leader.
+    /// Terms for which this process became the leader.
     pub terms_led: u64,
 }
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -1,4 +1,5 @@
-//! [`Settings`]: which processes may vote, how many may run, and the durations of votes and leases.
+//! The settings of the quota: [`Settings`], which hold the possible voters, the maximum number of
+//! processes, and the durations of votes and leases.
 
 use crate::{Parts, LEASABLE_PARTS};
 use pinetrail_clock::whole_millis;
@@ -7,7 +8,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The most founders: two views with that many voters fit one datagram.
+/// The maximum number of founders: two views with that many voters fit into one datagram.
 pub const MAX_FOUNDERS: usize = 15;
 
 const DEFAULT_HEARTBEAT_PERIOD: Duration = Duration::from_millis(300);
@@ -18,7 +19,8 @@
 const DEFAULT_GROWTH_STEPS: u64 = 4;
 
 const HEARTBEAT_PERIOD_RANGE_MS: RangeInclusive<u64> = 50..=10_000;
-/// A vote must last for at least this many heartbeats, or the loss of one would end it.
+/// The minimum duration of a vote in heartbeat periods, so that the loss of one heartbeat does not
+/// end a vote.
 const MIN_HEARTBEATS_PER_VOTE: u64 = 2;
 const MAX_VOTE_DURATION_MS: u64 = 60_000;
 const MAX_LEASE_DURATION_MS: u64 = 120_000;
@@ -26,50 +28,50 @@
 const SKEW_RANGE_PERCENT: RangeInclusive<u64> = 0..=50;
 const GROWTH_STEPS_RANGE: RangeInclusive<u64> = 1..=100;
 
-/// Fractions of a millisecond that [`Settings::with_skew`] drops are covered by one more.
+/// The addition that covers fractions of a millisecond, which [`Settings::with_skew`] drops.
 const ROUNDING_ALLOWANCE_MS: u64 = 1;
-/// From this number of founders on, at least two voters must decide.
+/// The number of founders from which a quorum has at least two voters.
 const MIN_FOUNDERS_FOR_TWO_VOTERS: usize = 3;
 
-/// How the quota is divided, and the durations. All processes of a fleet must have equal settings,
-/// except for `heartbeat_period` and `growth_steps`. Durations count in whole milliseconds.
+/// The division of the quota, and the durations of votes, leases and attempts. All processes of a
+/// fleet must have equal settings, except for `heartbeat_period` and `growth_steps`. Durations
+/// count in whole milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// The addresses from which voters are chosen, sorted: the same at every process.
+    /// The addresses of the processes that may be voters, sorted.
     pub founders: Vec<SocketAddr>,
-    /// The most processes that ever run at once.
+    /// The maximum number of processes that run at the same time.
     pub size: usize,
-    /// The leader sends its vote requests once in each period. They are its heartbeat.
+    /// The period in which a leader sends its vote requests, which are its heartbeats.
     pub heartbeat_period: Duration,
-    /// How long a vote lasts.
+    /// The duration of a vote.
     pub vote_duration: Duration,
-    /// How long a lease lasts.
+    /// The duration of a lease.
     pub lease_duration: Duration,
-    /// The longest time that an attempt may run: leased parts stay in use that much longer.
+    /// The maximum duration of an attempt, for which leased parts stay in use after the lease.
     pub max_attempt_duration: Duration,
-    /// How much faster one clock may run than another, in percent.
+    /// The maximum by which one clock may run faster than another, in percent.
     pub skew_percent: u64,
-    /// The number of steps in which a lease grows from nothing to an equal part of all that is
-    /// leased.
+    /// The number of steps in which a lease grows from 0 to an equal part of [`LEASABLE_PARTS`].
     pub growth_steps: u64,
 }
 
-/// Why settings are invalid.
+/// The reasons why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// Too few or too many founders, or not sorted, or one of them twice. The text is recorded by
-    /// golden tests, with its older word for the addresses of founders.
+    /// There are too few or too many founders, or they are not sorted, or one is listed twice.
+    /// Golden tests record the error text, in which "seats" are the addresses of founders.
     #[error("founders: {count} seats, 1 to {MAX_FOUNDERS} expected, each once")]
     InvalidFounders {
-        /// How many there are.
+        /// The number of founders.
         count: usize,
     },
     /// There are more founders than processes.
     #[error("size {size} is below the number of founders, {founders}")]
     SizeBelowFounders {
-        /// The most processes that may run at once.
+        /// The maximum number of processes that run at the same time.
         size: usize,
-        /// How many founders there are.
+        /// The number of founders.
         founders: usize,
     },
     /// A number is outside its range.
@@ -77,18 +79,18 @@
     OutOfRange {
         /// The name of the setting.
         setting: &'static str,
-        /// Its value; milliseconds for a duration.
+        /// The value of the setting; in milliseconds if it is a duration.
         value: u64,
-        /// The least value that is allowed.
+        /// The minimum value.
         least: u64,
-        /// The greatest value that is allowed.
+        /// The maximum value.
         most: u64,
     },
 }
 
 impl Settings {
-    /// The defaults: leases of 3 s, votes of 1.2 s, heartbeats every 300 ms, attempts of at most
-    /// 2.5 s, a clock skew of 2 percent, growth in 4 steps.
+    /// Returns settings with the default durations: leases of 3 s, votes of 1.2 s, heartbeats every
+    /// 300 ms, attempts of at most 2.5 s, a clock skew of 2 percent, and growth in 4 steps.
     pub fn with_defaults(mut founders: Vec<SocketAddr>, size: usize) -> Settings {
         founders.sort();
         Settings {
@@ -103,11 +105,11 @@
         }
     }
 
-    /// Checks that the settings can work together.
+    /// Checks that each setting is valid, also in relation to the others.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first setting that is invalid.
+    /// [`SettingsError`] for the first setting that is invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
         let count = self.founders.len();
         let is_sorted_set = self.founders.windows(2).all(|pair| pair[0] < pair[1]);
@@ -129,7 +131,7 @@
         check_range("steps", self.growth_steps, GROWTH_STEPS_RANGE)
     }
 
-    /// A digest of all that must be the same at every process.
+    /// Returns a digest of the settings that must be the same at every process.
     pub(crate) fn digest(&self) -> u64 {
         let mut hash = xxhash_rust::xxh3::Xxh3Default::new();
         for founder in &self.founders {
@@ -148,30 +150,31 @@
         hash.digest()
     }
 
-    /// The parts that are always each process's own.
+    /// Returns the parts that each process may use without a lease.
     pub fn guaranteed_minimum(&self) -> Parts {
         LEASABLE_PARTS / self.size as Parts
     }
 
-    /// How long a duration on another process's clock may last on this one.
+    /// Returns the longest time that a duration on another process's clock may take on this one's.
     pub(crate) fn with_skew(&self, duration: Duration) -> Duration {
         let millis = whole_millis(duration);
         let skew_ms = millis * self.skew_percent / 100;
         Duration::from_millis(millis + skew_ms + ROUNDING_ALLOWANCE_MS)
     }
 
-    /// How long parts may be in use after they were leased: the lease, and then the last attempts.
+    /// Returns how long parts may be in use after they were leased: the duration of the lease and
+    /// of an attempt that begins at its end, with the clock skew.
     pub(crate) fn max_use_duration(&self) -> Duration {
         self.with_skew(self.lease_duration + self.max_attempt_duration)
     }
 
-    /// Whether this address is that of a founder.
+    /// Whether an address is that of a founder.
     pub(crate) fn is_founder(&self, address: &SocketAddr) -> bool {
         self.founders.binary_search(address).is_ok()
     }
 
-    /// The fewest voters that may decide: 1 of up to two founders, 2 of three and more. A fleet can be
-    /// founded while that many less one are missing.
+    /// Returns the minimum size of a quorum: 1 with up to two founders, 2 with three and more. A
+    /// fleet can be founded while one founder fewer than that is missing.
     pub(crate) fn min_quorum(&self) -> usize {
         if self.founders.len() >= MIN_FOUNDERS_FOR_TWO_VOTERS {
             2
@@ -180,12 +183,12 @@
         }
     }
 
-    /// How many founders can found a fleet.
+    /// Returns the number of founders that must agree to found a fleet.
     ///
-    /// Decides: the size of the quorum of the first view.
+    /// Decides: the size of the quorum for the first view.
     /// Inputs: the number of founders.
-    /// Reason: all but one are needed, since a view of two voters may still exist behind a
-    /// partition, and one of those two would be among them.
+    /// Reason: with three founders or more all but one are needed. A view of two voters may still
+    /// exist behind a partition, and at least one of the two is then among those that must agree.
     /// Source: Lamport 1998 (any two quorums intersect).
     pub(crate) fn founding_quorum(&self) -> usize {
         self.founders.len() + 1 - self.min_quorum()
--- a/crates/quota/src/voter/tests.rs
+++ b/crates/quota/src/voter/tests.rs
@@ -29,7 +29,7 @@
     STARTED_AT + Duration::from_millis(millis)
 }
 
-/// Whether the vote is granted, with the promise that follows.
+/// Handles a vote request, and returns whether the vote is granted.
 fn vote(voter: &mut Voter, now: Timestamp, request: &VoteRequest) -> bool {
     voter.handle_vote_request(now, request, LeaseRequest::default(), &settings()).vote_granted
 }
@@ -38,7 +38,8 @@
 fn a_restarted_founder_refuses_its_vote_until_that_of_its_predecessor_has_expired() {
     let voter = Voter::new(process(2), STARTED_AT);
     let check = |millis| voter.check_vote(after_start(millis), &founding_request(1, 1), &settings());
-    // A vote of 1,200 ms lasts 1,225 ms on a clock that is 2 percent faster.
+    // A vote of 1,200 ms may last 1,225 ms on a clock that is 2 percent faster: 24 ms for the skew
+    // and 1 ms for rounding.
     assert_eq!(check(1_224), Err(VoteRefusal::PredecessorVoteMayBeActive));
     assert_eq!(check(1_225), Ok(()));
 }
--- a/crates/quota/src/voter/vote.rs
+++ b/crates/quota/src/voter/vote.rs
@@ -1,4 +1,4 @@
-//! [`Vote`]: the state of a vote, with its transitions.
+//! The state of a vote, with its transitions: [`Vote`].
 
 use crate::settings::Settings;
 use crate::view::Process;
@@ -7,30 +7,30 @@
 /// The vote of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Vote {
-    /// No candidate has it.
+    /// No candidate has the vote.
     NotCast,
-    /// A candidate has it until it expires.
+    /// A candidate has the vote until the vote expires.
     Cast {
-        /// The candidate.
+        /// The candidate that has the vote.
         candidate: Process,
-        /// When it expires, by the voter's clock.
+        /// The expiry of the vote, by the voter's clock.
         expires_at: Timestamp,
     },
 }
 
 impl Vote {
-    /// A vote that is cast now.
+    /// Returns a vote that is cast now.
     ///
     /// Decides: until when this process votes for no other candidate.
     /// Inputs: the time now (voter's clock); the duration of a vote and the clock skew.
-    /// Reason: the candidate counts from the sending of its request, which was before now, but this
-    /// clock may be the faster one.
+    /// Reason: the candidate counts the duration from the sending of its request, which was
+    /// earlier. The clock skew is added because the voter's clock may be the faster one.
     /// Source: PaxosLease (Trencseni, Gazso and Reinhardt 2012).
     pub(super) fn cast(now: Timestamp, candidate: Process, settings: &Settings) -> Vote {
         Vote::Cast { candidate, expires_at: now + settings.with_skew(settings.vote_duration) }
     }
 
-    /// Whether a candidate other than this one has the vote now.
+    /// Whether another candidate than `candidate` has the vote now.
     pub(super) fn is_held_by_other(self, candidate: &Process, now: Timestamp) -> bool {
         match self {
             Vote::NotCast => false,
@@ -38,7 +38,8 @@
         }
     }
 
-    /// The vote after this candidate has given it back; the same if another candidate has it.
+    /// Returns the vote after its withdrawal from `candidate`; unchanged if another candidate has
+    /// it.
     pub(super) fn withdrawn_from(self, candidate: &Process) -> Vote {
         match self {
             Vote::Cast { candidate: holder, .. } if holder == *candidate => Vote::NotCast,
--- a/crates/quota/src/voter/vote_rules.rs
+++ b/crates/quota/src/voter/vote_rules.rs
@@ -1,36 +1,37 @@
-//! When a vote is granted: [`Voter::check_vote`].
+//! The conditions under which a vote is granted: [`Voter::check_vote`].
 
 use super::Voter;
 use crate::message::VoteRequest;
 use crate::settings::Settings;
 use pinetrail_clock::Timestamp;
 
-/// Why a vote is refused.
+/// The reasons why a vote is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum VoteRefusal {
     /// This process has promised a later ballot.
     LaterBallotPromised,
-    /// Another candidate has its vote.
+    /// Another candidate has the vote of this process.
     HeldByOtherCandidate,
-    /// It knows another view than the candidate, or one of them knows none.
+    /// This process and the candidate know different views, or one of them knows none.
     ViewMismatch,
-    /// It is not a voter of the view.
+    /// This process is not a voter of the view.
     NotVoter,
-    /// It is not a founder, and the candidate founds a fleet.
+    /// The candidate founds a fleet, of which this process is not a founder.
     NotFounder,
-    /// The process before it at its address may have granted a vote that has not expired.
+    /// The predecessor of this process at its address may have granted a vote that has not expired.
     PredecessorVoteMayBeActive,
-    /// Its fleet had a leader within the duration of a lease.
+    /// The candidate founds a fleet, but this process had contact with a leader within the last
+    /// lease duration.
     RecentLeaderContact,
 }
 
 impl Voter {
-    /// Checks whether a candidate gets the vote of this process.
+    /// Checks whether this process grants its vote to a candidate.
     ///
-    /// Decides: whether a vote is granted, and why not.
+    /// Decides: whether a vote is granted, or why it is refused.
     /// Inputs: the time now (voter's clock); the request with its ballot and view; the promised
     /// ballot, the present vote and the known view; the durations of votes and leases.
-    /// Reason: while a vote lasts no other candidate may get it, so that there is at most one
+    /// Reason: no other candidate may get a vote before it expires, so that there is at most one
     /// leader at a time.
     /// Source: PaxosLease (Trencseni, Gazso and Reinhardt 2012); Paxos, phase 1b (Lamport 1998).
     pub(super) fn check_vote(
@@ -60,13 +61,13 @@
         }
     }
 
-    /// Checks whether this process may help to found a new fleet.
+    /// Checks whether this process may vote for a new fleet.
     ///
     /// Decides: whether a founder votes for the first view of a new fleet.
     /// Inputs: the time now, the start of this process and the last contact with a leader (voter's
     /// clock); the durations of votes and leases.
-    /// Reason: the process before this one at its address may have granted a vote that this one
-    /// does not know, and a fleet that has a leader must not be replaced.
+    /// Reason: the predecessor of this process at its address may have granted a vote that this
+    /// process does not know, and a fleet that has a leader must not be replaced.
     /// Source: PaxosLease (a restarted acceptor waits for the longest vote).
     fn check_founding(&self, now: Timestamp, settings: &Settings) -> Result<(), VoteRefusal> {
         if !settings.is_founder(&self.local.address) {
--- a/crates/quota/src/wire.rs
+++ b/crates/quota/src/wire.rs
@@ -1,23 +1,23 @@
-//! [`encode`] and [`decode`]: messages about the quota as bytes. Messages under other settings are
-//! rejected: two processes that divide the quota differently must not vote for each other or grant
-//! each other leases.
+//! The encoding of messages about the quota: [`encode`] and [`decode`]. Messages of processes with
+//! other settings are rejected, since processes that divide the quota differently must not vote for
+//! each other or grant each other leases.
 
 use crate::message::Message;
 use crate::settings::Settings;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why bytes are not accepted as a message.
+/// The reasons why received bytes are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// They are not a message.
-    #[error("no message about the quota")]
+    /// The bytes are not a message about the quota.
+    #[error("the bytes are not a message about the quota")]
     Malformed(#[source] postcard::Error),
-    /// A message ends before the bytes do.
-    #[error("{0} bytes after the message about the quota")]
+    /// Further bytes follow the message.
+    #[error("{0} bytes follow the message about the quota")]
     TrailingBytes(usize),
-    /// The sender's founders, size or times are not this process's.
-    #[error("other founders, size or times")]
+    /// The sender's founders, size, durations or clock skew differ from those of this process.
+    #[error("the sender has other quota settings: founders, size, durations or clock skew")]
     SettingsMismatch,
 }
 
@@ -27,10 +27,10 @@
     message: T,
 }
 
-/// Encodes a message.
+/// Encodes a message with the digest of the settings.
 pub fn encode(settings: &Settings, message: &Message) -> Vec<u8> {
     let envelope = Envelope { settings_digest: settings.digest(), message };
-    // Postcard encodes numbers, addresses and lists without failure.
+    // Postcard cannot fail here: it encodes numbers, addresses and lists into memory.
     postcard::to_allocvec(&envelope).unwrap_or_default()
 }
 
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// [`DecodeError`] if the bytes are not one whole message of a process with equal settings.
+/// [`DecodeError`] if the bytes are not exactly one message of a process with equal settings.
 pub fn decode(settings: &Settings, bytes: &[u8]) -> Result<Message, DecodeError> {
     let (envelope, rest): (Envelope<Message>, &[u8]) =
         postcard::take_from_bytes(bytes).map_err(DecodeError::Malformed)?;
--- a/crates/quota/src/wire/tests.rs
+++ b/crates/quota/src/wire/tests.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The request time with the longest encoding.
+/// The request time that has the longest encoding.
 fn latest() -> RequestTime {
     RequestTime::at(Timestamp::from_millis(u64::MAX))
 }
@@ -19,7 +19,7 @@
     Process { address: address(host), start: u64::MAX / 2 }
 }
 
-/// Settings with as many founders as there may be.
+/// Settings with the maximum number of founders.
 fn largest_settings() -> Settings {
     let settings = Settings::with_defaults((0..MAX_FOUNDERS).map(address).collect(), 40);
     assert_eq!(settings.check(), Ok(()));
@@ -46,7 +46,7 @@
     }))
 }
 
-/// The longest response: it has accepted a view.
+/// The longest response, whose voter has accepted a view.
 fn longest_vote_response() -> Message {
     let ballot = latest_ballot();
     Message::VoteResponse(Box::new(VoteResponse {
