--- a/crates/quota/src/golden_tests.rs
+++ b/crates/quota/src/golden_tests.rs
@@ -1,9 +1,8 @@
-//! The bytes of messages about the quota, recorded from the program before names in it were
-//! changed. They must not change: processes of different versions talk to each other, so a new
-//! version must write what an old one reads, and read what an old one writes. Each message begins
-//! with a digest of the settings, which must not change either: messages with another one are
-//! rejected. A test that fails here says that the program has changed its format; the recorded
-//! bytes are not to be adapted.
+//! The wire format of messages about the quota, compared with recorded bytes. Processes of
+//! different versions exchange messages, so each version must read the messages of the other. Each
+//! message begins with a digest of the settings, and messages with another digest are rejected, so
+//! the digest must not change either. A failure here means that the program has changed its format;
+//! the recorded bytes, which are older than some names in the code, must not be adapted.
 
 use crate::message::{AcceptedView, LeaseGrant, LeaseRequest, RequestTime, VoteRequest, VoteResponse};
 use crate::{decode, encode, Ballot, Message, Process, Settings, Timestamp, View};
@@ -19,7 +18,8 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// The value is written as the recorded bytes, and the recorded bytes are read as the value.
+/// Asserts that the value is encoded as the recorded bytes, and that these are decoded as the
+/// value.
 fn assert_recorded(value: &Message, recorded: &str) {
     let written = hex(&encode(&settings(), value));
     assert_eq!(written, recorded, "encoding of {value:?}");
@@ -34,7 +34,8 @@
     SocketAddr::from(([0xfd00, 1, 2, 3, 4, 5, 6, 7], 65_535))
 }
 
-/// Every field has a value of its own, so that an exchange of two fields changes the digest.
+/// Settings in which every field has a different value, so that exchanging two fields changes the
+/// digest.
 fn settings() -> Settings {
     Settings {
         founders: vec![address(1), address(2), address_v6()],
@@ -116,7 +117,8 @@
     })
 }
 
-/// Does not compile when a kind of message is added, until its bytes are recorded as well.
+/// Returns the recorded bytes of a message without optional fields. The `match` has no wildcard, so
+/// a new kind of message does not compile until its bytes are recorded.
 fn recorded_plain(message: &Message) -> &'static str {
     match message {
         Message::VoteRequest(_) => "b2c683eaf08f9ff4350003000a0000018a3e8180f9c0c1c48203c0c40701000000",
@@ -221,7 +223,7 @@
 fn the_digest_of_settings_is_the_recorded_one() {
     assert_eq!(settings().check(), Ok(()));
     assert_eq!(hex(&settings().digest().to_be_bytes()), "35e87c7f0d40e332");
-    // How often a leader asks, and in how many steps a lease grows, is each process's own matter.
+    // The heartbeat period and the growth steps may differ between processes.
     let other = Settings { heartbeat_period: Duration::from_millis(250), growth_steps: 9, ..settings() };
     assert_eq!(other.digest(), settings().digest());
 }
--- a/crates/quota/src/leader_term.rs
+++ b/crates/quota/src/leader_term.rs
@@ -1,12 +1,13 @@
-//! [`LeaderTerm`]: a process that is the leader, or wants to be.
+//! The state of a candidate or leader: [`LeaderTerm`].
 //!
-//! It is the proposer of Paxos (Lamport 1998): it first asks a quorum for votes and for what they
-//! have accepted, then has a view decided that an earlier proposer may have left undecided. Votes
-//! expire, as in PaxosLease (Trencseni, Gazso and Reinhardt 2012), and the term expires with them;
-//! the leader renews them by its heartbeats.
+//! A candidate or leader is a proposer of Paxos (Lamport 1998): it first asks a quorum for votes
+//! and for accepted views, then has a view decided that an earlier proposer may have left
+//! undecided. Votes expire, as in PaxosLease (Trencseni, Gazso and Reinhardt 2012), and the term
+//! expires with its votes; the leader renews them by its heartbeats.
 //!
-//! Here are the phases of a term and its transitions; `quorum` holds who votes and how long the
-//! term is valid, `view_change` which view is proposed and when it is decided.
+//! This module has the phases of a term and the transitions between them. `quorum` determines which
+//! votes count and how long a term is valid; `view_change` determines which view is proposed and
+//! when that view is decided.
 
 mod quorum;
 mod view_change;
@@ -20,63 +21,63 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The phases of a term, in their order.
+/// The phases of a term, in the order in which a term passes through them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Phase {
-    /// A candidate that asks for votes.
+    /// The candidate asks for votes.
     RequestingVotes,
-    /// It has the votes of a quorum, and must have a view decided before it leads: one that it
-    /// found undecided, or the first one of a new fleet.
+    /// The candidate has the votes of a quorum, and must have a view decided before it leads: a
+    /// view that an earlier proposer left undecided, or the first view of a new fleet.
     DecidingView,
-    /// It grants leases.
+    /// The process is the leader and grants leases.
     Leading {
-        /// When it began to lead.
+        /// The time at which the process became the leader.
         since: Timestamp,
-        /// What it has granted since.
+        /// The leases that the leader has granted in this term.
         ledger: LeaseLedger,
     },
 }
 
-/// Whether a candidate asks as a voter of a view or as a founder.
+/// The kind of an election, by which the processes that vote differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ElectionKind {
-    /// In the view that it knows.
+    /// An election among the voters of the view that the candidate knows.
     InView,
-    /// Among the founders, for the first view of a new fleet.
+    /// An election among the founders, for the first view of a new fleet.
     Founding,
 }
 
-/// A candidate or leader. Timestamps are of its own clock.
+/// The state of this process as candidate or leader. Timestamps are of its own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct LeaderTerm {
     local: Process,
     ballot: Ballot,
-    /// The view whose voters it asks; none if it founds a fleet.
+    /// The view whose voters are asked; `None` if the candidate founds a fleet.
     view: Option<View>,
-    /// When each vote expires.
+    /// The expiry of each vote.
     votes: BTreeMap<Process, Timestamp>,
-    /// What voters have accepted in earlier ballots: the one of the latest ballot.
+    /// The view that voters have accepted in the latest of the earlier ballots; it may be decided.
     undecided: Option<AcceptedView>,
     proposed_view: Option<View>,
-    /// The voters that have accepted the proposed view.
+    /// The voters that have accepted `proposed_view`.
     accepted_by: BTreeSet<Process>,
-    /// The processes that shut down soon.
+    /// The processes that shut down soon, which no proposed view includes.
     leaving: BTreeSet<Process>,
     pub(crate) phase: Phase,
-    /// Until when it has the votes of a quorum.
+    /// The time until which the term has the votes of a quorum.
     ///
-    /// Invariant: this is compared with the time before each act as leader, since another process
-    /// may have led between two acts.
+    /// Invariant: before each action as leader the current time is compared with `valid_until`,
+    /// since another process may have led between two actions.
     valid_until: Timestamp,
-    /// When it became a candidate.
+    /// The time at which this process became a candidate.
     pub(crate) started_at: Timestamp,
-    /// When it began to lead, or had its latest view decided: from then on the voters of the view
-    /// may vote.
+    /// The time at which this process became the leader, or had its latest view decided; the voters
+    /// of that view can vote from then on.
     view_decided_at: Timestamp,
 }
 
 impl LeaderTerm {
-    /// A new candidate.
+    /// Creates the term of a new candidate, in its first ballot.
     pub(crate) fn new(local: Process, now: Timestamp, voter: &mut Voter, kind: ElectionKind) -> LeaderTerm {
         let view = match kind {
             ElectionKind::InView => voter.view.clone(),
@@ -100,10 +101,10 @@
         term
     }
 
-    /// Continues in a ballot that is later than all that were seen.
+    /// Continues the term in a ballot that is later than all that this process has seen.
     ///
-    /// Invariant: acceptances of an earlier ballot are dropped, since they decide nothing in the
-    /// new one.
+    /// Invariant: acceptances of an earlier ballot are dropped, since they do not count in the new
+    /// ballot.
     fn begin_ballot(&mut self, voter: &mut Voter) {
         self.ballot = Ballot { round: voter.highest_ballot.round + 1, proposer: self.local };
         voter.observe(self.ballot, 0);
@@ -116,22 +117,22 @@
         }
     }
 
-    /// Whether it is the leader now.
+    /// Whether this process is the leader now.
     pub(crate) fn is_leading(&self, now: Timestamp) -> bool {
         matches!(self.phase, Phase::Leading { .. }) && now < self.valid_until
     }
 
-    /// How long ago it asked for the votes that it holds.
+    /// Returns the age of the votes: the time since the requests to which a quorum responded.
     pub(crate) fn age_of_votes(&self, now: Timestamp, settings: &Settings) -> Duration {
         (now + settings.vote_duration).saturating_duration_since(self.valid_until)
     }
 
-    /// Whether it had the votes of a quorum and has them no longer.
+    /// Whether the term has lost the votes of a quorum after it had them.
     pub(crate) fn has_expired(&self, now: Timestamp) -> bool {
         self.phase != Phase::RequestingVotes && now >= self.valid_until
     }
 
-    /// The request that it sends to every process now.
+    /// Returns the vote request to send to all processes now.
     pub(crate) fn vote_request(&self, now: Timestamp) -> VoteRequest {
         VoteRequest {
             ballot: self.ballot,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Handles the response to one of its requests.
+    /// Handles the response to a vote request of this term.
     pub(crate) fn handle_vote_response(
         &mut self,
         now: Timestamp,
@@ -164,6 +165,7 @@
         self.advance_phase(now, voter, settings);
     }
 
+    /// Records a granted vote, and what the voter has accepted.
     fn record_vote(&mut self, response: &VoteResponse, settings: &Settings) {
         let expires_at = self.votes.entry(response.from).or_default();
         *expires_at = (*expires_at).max(response.request_sent_at.local_timestamp() + settings.vote_duration);
@@ -181,20 +183,21 @@
         }
     }
 
-    /// A voter has seen a later ballot: continues in one that is later still.
+    /// Continues in a new ballot if a voter that refused its vote has seen a later ballot.
     fn handle_refusal(&mut self, response: &VoteResponse, voter: &mut Voter) {
         if response.highest_ballot <= self.ballot {
             return;
         }
         self.begin_ballot(voter);
         if self.phase == Phase::RequestingVotes {
-            // The responses of the old ballot do not count in the new one, which asks again.
+            // Responses of the old ballot do not count in the new ballot; the voters are asked
+            // again.
             self.votes.clear();
             self.undecided = None;
         }
     }
 
-    /// Moves the term to the phase that its votes and acceptances permit.
+    /// Advances the term to the phase that its votes and acceptances permit.
     ///
     /// Decides: when a candidate has a view decided, and when it begins to lead.
     /// Inputs: the time now and the expiry of each vote (own clock); the acceptances of the
--- a/crates/quota/src/leader_term/quorum.rs
+++ b/crates/quota/src/leader_term/quorum.rs
@@ -1,4 +1,4 @@
-//! Which votes count in a term, and until when they make a quorum.
+//! The quorum of a [`LeaderTerm`]: which votes count, and until when they are a quorum.
 
 use super::LeaderTerm;
 use crate::settings::Settings;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 impl LeaderTerm {
-    /// The addresses of the processes whose votes count.
+    /// Returns the addresses of the processes whose votes count.
     pub(crate) fn voter_addresses(&self, settings: &Settings) -> Vec<SocketAddr> {
         match &self.view {
             Some(view) => view.voters.iter().map(|process| process.address).collect(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// How many voters decide.
+    /// Returns the size of a quorum: the number of voters that decide.
     pub(super) fn quorum(&self, settings: &Settings) -> usize {
         match &self.view {
             Some(view) => view.quorum(settings.min_quorum()),
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Computes until when this term has the votes of a quorum.
+    /// Updates the time until which this term has the votes of a quorum.
     ///
     /// Decides: when the term expires.
     /// Inputs: the expiry of each vote (own clock), the addresses of the voters, the size of a
     /// quorum.
-    /// Reason: two processes at one address ran one after the other, so their votes count once;
-    /// the term ends when the votes of a quorum no longer overlap.
+    /// Reason: a process and its successor at the same address count as one voter, and the term
+    /// lasts only as long as the votes of a quorum are valid at the same time.
     /// Source: PaxosLease (Trencseni, Gazso and Reinhardt 2012).
     pub(super) fn update_valid_until(&mut self, settings: &Settings) {
         let mut expiry_by_address: BTreeMap<SocketAddr, Timestamp> = BTreeMap::new();
--- a/crates/quota/src/leader_term/view_change.rs
+++ b/crates/quota/src/leader_term/view_change.rs
@@ -1,5 +1,6 @@
-//! Which view a term proposes, and when that is decided: reconfiguration by the consensus itself
-//! (Lamport 1998, section 3.2).
+//! The view changes of a [`LeaderTerm`]: which view is proposed, and when a proposed view is
+//! decided. The voters decide on their successors by the consensus itself (Lamport 1998, section
+//! 3.2).
 
 use super::LeaderTerm;
 use crate::settings::Settings;
@@ -9,18 +10,19 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// A voter that does not vote within this many heartbeat periods is left out of the next view.
+/// The number of heartbeat periods after which a voter without a valid vote is left out of the next
+/// view.
 const VOTE_TIMEOUT_HEARTBEATS: u32 = 2;
 
 impl LeaderTerm {
-    /// The view that must be decided before this term leads, if there is one.
+    /// Returns the view that must be decided before this process leads; `None` if there is none.
     ///
     /// Decides: the first proposal of a term.
     /// Inputs: the view that voters accepted in the latest earlier ballot; the valid votes, by the
     /// time now (own clock); the highest view number that was seen.
-    /// Reason: a view that an earlier leader proposed may have been decided without its knowledge,
-    /// so it is proposed again. When a fleet is founded, that view is void: the voters that
-    /// accepted it have left it.
+    /// Reason: a view of an earlier leader may have been decided without that leader's knowledge,
+    /// so the view is proposed again. When a fleet is founded, such a view is void, since the
+    /// voters that accepted it leave it for the new fleet.
     /// Source: Paxos, phase 2a (Lamport 1998).
     pub(super) fn initial_proposal(&mut self, now: Timestamp, highest_view_number: u64) -> Option<View> {
         let undecided = self.undecided.take();
@@ -32,11 +34,11 @@
         Some(View { ballot: self.ballot, number: highest_view_number + 1, voters })
     }
 
-    /// Adopts the proposed view once it is decided.
+    /// Adopts the proposed view if a quorum has accepted it.
     ///
     /// Decides: whether the proposed view is decided.
     /// Inputs: the voters that have accepted it, their addresses, the size of a quorum.
-    /// Reason: two processes at one address ran one after the other, and are one voter.
+    /// Reason: a process and its successor at the same address count as one voter.
     /// Source: Paxos, phase 2b (Lamport 1998).
     pub(super) fn decide_if_accepted(&mut self, now: Timestamp, voter: &mut Voter, settings: &Settings) {
         let addresses: BTreeSet<SocketAddr> =
@@ -53,12 +55,14 @@
         }
     }
 
-    /// Proposes a view of these voters, if it differs from the present one and can decide.
+    /// Proposes a view of these voters, if it differs from the present view and has enough voters
+    /// for a quorum.
     ///
     /// Decides: which processes are voters of the next view.
     /// Inputs: the processes that may vote; the votes that have not expired and the time since the
     /// last view was decided (own clock); the processes that shut down; the heartbeat period.
-    /// Reason: a voter that does not respond must be replaced before its loss costs the quorum.
+    /// Reason: a voter that does not respond must be replaced before the failure of another voter
+    /// costs the quorum.
     /// Source: Lamport 1998, section 3.2.
     pub(crate) fn propose_voters(
         &mut self,
--- a/crates/quota/src/leases.rs
+++ b/crates/quota/src/leases.rs
@@ -1,5 +1,5 @@
-//! Leases of quota (Gray and Cheriton 1989). A holder has one [`LeaseState`]; the leader records
-//! what it has granted in a [`LeaseLedger`], which also holds the rule by which it grants.
+//! Leases of quota (Gray and Cheriton 1989). A holder has one [`LeaseState`]. The leader decides on
+//! lease requests by a [`LeaseLedger`], which records the leases that it has granted.
 
 mod lease;
 mod ledger;
--- a/crates/quota/src/leases/lease.rs
+++ b/crates/quota/src/leases/lease.rs
@@ -1,28 +1,28 @@
-//! The holder's side: [`Lease`], and [`LeaseState`] with its transitions.
+//! The lease of a holder: [`Lease`], and [`LeaseState`] with its transitions.
 
 use crate::message::{LeaseGrant, LeaseRequest, RequestTime};
 use crate::Parts;
 use pinetrail_clock::Timestamp;
 use std::time::Duration;
 
-/// A lease, as its holder knows it. Timestamps are of the holder's clock.
+/// A lease of quota, with timestamps of the holder's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lease {
-    /// The leased parts.
+    /// The leased parts, in parts per billion.
     pub parts: Parts,
-    /// When it expires.
+    /// The time at which the lease expires.
     pub expires_at: Timestamp,
-    /// When it was requested.
+    /// The time at which the holder requested the lease.
     pub(crate) requested_at: Timestamp,
 }
 
 impl Lease {
-    /// The parts that this lease permits at a point in time.
+    /// Returns the parts that the lease permits at a point in time; 0 after its expiry.
     ///
     /// Decides: how many leased parts the holder may use.
     /// Inputs: the time now and the expiry, both of the holder's clock; the leased parts.
     /// Reason: a process that was paused resumes with a lease whose parts may have been granted to
-    /// another, so this must be evaluated at every use.
+    /// another, so the holder must evaluate the lease at every use.
     /// Source: Gray and Cheriton 1989.
     pub fn parts_at(&self, now: Timestamp) -> Parts {
         if now < self.expires_at {
@@ -33,19 +33,19 @@
     }
 }
 
-/// What this process holds by lease.
+/// The state of the lease of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum LeaseState {
     /// No lease was granted to this process yet.
     NeverGranted,
-    /// It holds a lease whose expiry was not noticed yet.
+    /// This process holds a lease whose expiry [`LeaseState::expire`] has not recorded yet.
     Active(Lease),
-    /// Its last lease has expired, or had expired before its grant arrived.
+    /// The last lease of this process has expired, perhaps before its grant arrived.
     Expired(Lease),
 }
 
 impl LeaseState {
-    /// The lease that was granted last; one of no parts if none was.
+    /// Returns the lease that was granted last; a lease of 0 parts if none was granted.
     pub(crate) fn last_lease(self) -> Lease {
         match self {
             LeaseState::NeverGranted => Lease::default(),
@@ -53,7 +53,8 @@
         }
     }
 
-    /// When [`LeaseState::expire`] has an effect; none if it has none any more.
+    /// Returns the time from which [`LeaseState::expire`] has an effect; `None` if no lease is
+    /// active.
     pub(crate) fn expires_at(self) -> Option<Timestamp> {
         match self {
             LeaseState::Active(lease) => Some(lease.expires_at),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// A request to renew the lease.
+    /// Returns a request to renew the lease, sent now.
     pub(crate) fn renewal_request(self, now: Timestamp) -> LeaseRequest {
         let lease = self.last_lease();
         LeaseRequest {
@@ -71,13 +72,13 @@
         }
     }
 
-    /// Replaces the lease by what was granted; returns whether the grant had an effect.
+    /// Replaces the lease by the granted one, and returns whether the grant was applied.
     ///
     /// Decides: whether a grant replaces the present lease, and when the new one expires.
     /// Inputs: the time now, the time at which the request was sent and the duration, all by the
     /// holder's clock; the longest duration that the settings permit.
-    /// Reason: the lease lasts from the sending of its request, since the arrival of the grant may
-    /// be delayed; and a late grant for an earlier request must not undo a later, smaller one.
+    /// Reason: the lease lasts from the sending of its request, since the grant may arrive late. A
+    /// late grant for an earlier request must not undo a later grant of fewer parts.
     /// Source: Gray and Cheriton 1989.
     pub(crate) fn renew(&mut self, now: Timestamp, grant: &LeaseGrant, max_duration: Duration) -> bool {
         let requested_at = grant.request_sent_at.local_timestamp();
@@ -93,11 +94,13 @@
         true
     }
 
-    /// Takes note that the lease has expired; returns whether it did since the last call.
+    /// Records the expiry of the lease, and returns whether the lease has expired since the last
+    /// call.
     ///
     /// Decides: whether an active lease has expired.
     /// Inputs: the time now and the expiry, both of the holder's clock.
-    /// Reason: the rest of the program must learn once that only the guaranteed minimum remains.
+    /// Reason: the rest of the program must be notified once that only the guaranteed minimum
+    /// remains.
     /// Source: Gray and Cheriton 1989.
     pub(crate) fn expire(&mut self, now: Timestamp) -> bool {
         let LeaseState::Active(lease) = *self else { return false };
--- a/crates/quota/src/leases/ledger.rs
+++ b/crates/quota/src/leases/ledger.rs
@@ -1,5 +1,5 @@
-//! The leader's side: [`LeaseLedger`], what a leader has granted and what of it may still be in
-//! use. Read [`LeaseLedger::grant`] first.
+//! The leader's record of granted leases: [`LeaseLedger`], which determines the parts that may
+//! still be in use. Read [`LeaseLedger::grant`] first.
 
 use crate::message::{LeaseRequest, RequestTime};
 use crate::settings::Settings;
@@ -8,37 +8,38 @@
 use pinetrail_clock::Timestamp;
 use std::collections::BTreeMap;
 
-/// How a leader answers a lease request.
+/// The decision of the leader on a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseDecision {
-    /// The holder may use these parts.
+    /// These parts are granted to the holder.
     Granted(Parts),
-    /// Nothing is free for this holder yet.
+    /// No parts are free for this holder yet.
     NoFreeParts,
 }
 
-/// What one holder was granted for one request.
+/// A lease that was granted to a holder for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GrantedLease {
-    /// When the holder sent the request.
+    /// The time at which the holder sent the request.
     request_sent_at: RequestTime,
     parts: Parts,
-    /// Until when attempts that began under it may run, by the leader's clock.
+    /// The time until which attempts that began under the lease may run, by the leader's clock.
     in_use_until: Timestamp,
 }
 
-/// What a leader has granted in its term. Timestamps are of the leader's clock.
+/// The leases that a leader has granted in its term. Timestamps are of the leader's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct LeaseLedger {
-    /// Before this time a process may hold a lease of an earlier leader that is not recorded here.
+    /// The time before which processes may use leases of an earlier leader that are not recorded
+    /// here.
     complete_at: Timestamp,
     granted: BTreeMap<Process, Vec<GrantedLease>>,
-    /// When each process sent its last request.
+    /// The time at which the last request of each process arrived.
     requested_at: BTreeMap<Process, Timestamp>,
 }
 
 impl LeaseLedger {
-    /// The ledger of a term that begins now.
+    /// Creates the ledger of a term that begins now.
     pub(crate) fn new(now: Timestamp, settings: &Settings) -> LeaseLedger {
         LeaseLedger {
             complete_at: now + settings.max_use_duration(),
@@ -47,13 +48,14 @@
         }
     }
 
-    /// Answers a lease request and records the answer.
+    /// Decides on a lease request and records the decision.
     ///
-    /// Decides: how many parts a holder gets, see [`LeaseLedger::allocate`], and until when they
-    /// count as in use.
+    /// Decides: how many parts the holder gets (see [`LeaseLedger::allocate`]), and until when
+    /// these parts count as in use.
     /// Inputs: the time now (leader's clock); the request (holder's clock, parts that are held);
     /// the durations of leases and attempts and the clock skew from the settings.
-    /// Reason: parts may be granted anew only when no attempt can still run under an earlier lease.
+    /// Reason: parts may be granted to another holder only when no attempt can still run under an
+    /// earlier lease of them.
     /// Source: Gray and Cheriton 1989.
     pub(crate) fn grant(
         &mut self,
@@ -81,20 +83,21 @@
         });
     }
 
-    /// Counts this process among the requesters, and removes those that were silent for too long.
+    /// Records a process as a requester, and removes requesters that have sent no request for as
+    /// long as parts may stay in use.
     fn record_requester(&mut self, now: Timestamp, holder: Process, settings: &Settings) {
         let max_silence = settings.max_use_duration();
         self.requested_at.insert(holder, now);
         self.requested_at.retain(|_, at| *at + max_silence > now);
     }
 
-    /// Shortens the use of leases that the holder has replaced.
+    /// Shortens the time for which replaced leases of the holder count as in use.
     ///
     /// Decides: until when parts of replaced leases count as in use.
     /// Inputs: the time now (leader's clock); when the holder requested the lease that it holds now
     /// (holder's clock); the longest attempt and the clock skew.
-    /// Reason: a holder begins no attempt under a lease that it has replaced, so only attempts that
-    /// already run can use its parts.
+    /// Reason: a holder begins no attempt under a replaced lease, so only attempts that already run
+    /// can use the parts of that lease.
     /// Source: docs/quota-design.md.
     fn shorten_replaced(
         &mut self,
@@ -110,14 +113,15 @@
         }
     }
 
-    /// The parts to grant: an equal part for each requester, approached by steps.
+    /// Returns the parts to grant: an equal part for each requester, to which a lease grows by
+    /// steps.
     ///
     /// Decides: the size of a lease, in parts per billion.
     /// Inputs: the time now (leader's clock); the parts that the holder has; the number of
     /// requesters; the parts that other holders may use; the number of growth steps.
     /// Reason: until the ledger is complete, the parts in use are within the limit but not all
-    /// recorded here, so leases are renewed and do not grow; after that they grow by steps, since a
-    /// sudden increase would be a burst at the origin.
+    /// recorded here, so leases are renewed but do not grow. After that they grow by steps, since a
+    /// sudden increase would cause a burst of requests at the origin.
     /// Source: Gray and Cheriton 1989 (a server that recovers waits for the longest lease).
     fn allocate(&self, now: Timestamp, holder: Process, request: LeaseRequest, settings: &Settings) -> Parts {
         let equal_part = LEASABLE_PARTS / self.requested_at.len().max(1) as Parts;
@@ -131,8 +135,8 @@
         equal_part.min(request.held_parts + step).min(free)
     }
 
-    /// Records a new lease, and the one by which the holder has its parts if an earlier leader
-    /// granted that: its parts are in use as well.
+    /// Records a new lease. If the holder's present lease was granted by an earlier leader, that
+    /// lease is recorded too, since its parts are in use as well.
     fn record(
         &mut self,
         now: Timestamp,
@@ -157,7 +161,7 @@
     }
 }
 
-/// The most parts that a holder may use at once: it uses one of its leases at a time.
+/// Returns the most parts that a holder may use at once: a holder uses one of its leases at a time.
 fn max_parts_in_use(leases: &[GrantedLease]) -> Parts {
     leases.iter().map(|lease| lease.parts).max().unwrap_or(0)
 }
--- a/crates/quota/src/quota_leases.rs
+++ b/crates/quota/src/quota_leases.rs
@@ -1,5 +1,6 @@
-//! [`QuotaLeases`]: the quota of one process. Messages and the time go in, messages and events come
-//! out. `election` decides when this process becomes a candidate, `messages` handles each message.
+//! The quota of one process: [`QuotaLeases`]. The driver passes in messages and the time; each step
+//! outputs messages and events. `election` decides when this process becomes a candidate,
+//! `messages` handles each message.
 
 mod election;
 mod messages;
@@ -15,27 +16,29 @@
 use pinetrail_clock::Timestamp;
 use std::collections::BTreeSet;
 
-/// The quota as one process knows it. Timestamps are of its own clock.
+/// The state of the quota at one process: its vote, its term and its lease. Timestamps are of its
+/// own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaLeases {
     settings: Settings,
     local: Process,
     voter: Voter,
-    /// Its term, if it is the leader or a candidate.
+    /// The term of this process, if it is the leader or a candidate.
     term: Option<LeaderTerm>,
     lease: LeaseState,
-    /// The other processes that are believed to be alive.
+    /// The other processes that the driver last reported as alive.
     live_processes: BTreeSet<Process>,
     started_at: Timestamp,
-    /// When it sends its next vote requests, as leader or candidate, or becomes a candidate.
+    /// The time at which a leader or candidate sends its next vote requests, and any other process
+    /// becomes a candidate.
     next_election_step: Timestamp,
-    /// Elections that it lost since it last knew a leader.
+    /// The number of elections that this process has lost since it last knew a leader.
     lost_elections: u64,
     counters: QuotaCounters,
 }
 
 impl QuotaLeases {
-    /// A process that has just started: it has its guaranteed minimum.
+    /// Creates the state of a process that has just started and may use its guaranteed minimum.
     ///
     /// # Errors
     ///
@@ -58,43 +61,45 @@
         Ok(quota)
     }
 
-    /// The parts that it may use now.
+    /// Returns the parts that this process may use now: its quota.
     ///
-    /// Decides: the quota of this process.
+    /// Decides: how much of the fleet's limits this process uses.
     /// Inputs: the time now (own clock); the guaranteed minimum and the lease, in parts per
     /// billion.
-    /// Reason: the guaranteed minimum needs no other process, so it remains when a lease expires.
+    /// Reason: the guaranteed minimum depends on no other process, so it remains when a lease
+    /// expires.
     /// Source: docs/quota-design.md.
     pub fn usable_parts(&self, now: Timestamp) -> Parts {
         self.settings.guaranteed_minimum() + self.lease().parts_at(now)
     }
 
-    /// The parts that are always its own.
+    /// Returns the parts that this process may use without a lease.
     pub fn guaranteed_minimum(&self) -> Parts {
         self.settings.guaranteed_minimum()
     }
 
-    /// The lease that was granted to it last, which may have expired; one of no parts if none was.
+    /// Returns the lease that was granted last, which may have expired; a lease of 0 parts if none
+    /// was granted.
     pub fn lease(&self) -> Lease {
         self.lease.last_lease()
     }
 
-    /// The number of the latest decided view that it knows; 0 if it knows none.
+    /// Returns the number of the latest decided view that this process knows; 0 if it knows none.
     pub fn view_number(&self) -> u64 {
         self.voter.view_number()
     }
 
-    /// Whether it is the leader now.
+    /// Whether this process is the leader now.
     pub fn is_leader(&self, now: Timestamp) -> bool {
         self.term.as_ref().is_some_and(|term| term.is_leading(now))
     }
 
-    /// What it has counted.
+    /// Returns the counters of this process since its start.
     pub fn counters(&self) -> QuotaCounters {
         self.counters
     }
 
-    /// When [`QuotaLeases::handle_timeout`] is to be called at the latest.
+    /// Returns the time by which the driver must call [`QuotaLeases::handle_timeout`].
     pub fn next_timeout(&self) -> Timestamp {
         match self.lease.expires_at() {
             Some(expires_at) => self.next_election_step.min(expires_at),
@@ -102,20 +107,21 @@
         }
     }
 
-    /// Sets which processes are believed to be alive. Safety does not depend on whether that is
-    /// true.
+    /// Sets the processes that are believed to be alive. Wrong beliefs may delay elections
+    /// and view changes, but never let the quotas exceed the whole of the limits.
     pub fn set_live_processes(&mut self, alive: impl IntoIterator<Item = Process>) {
         let others = alive.into_iter().filter(|process| process.address != self.local.address);
         self.live_processes = others.collect();
     }
 
-    /// Notes that this process shuts down soon. It keeps its lease for as long as it runs, but is a
-    /// voter in no view after the present one.
+    /// Marks this process as shutting down soon. The process keeps its lease for as long as it
+    /// runs, but later views do not include it as a voter.
     pub fn begin_shutdown(&mut self) {
         self.voter.leaving = true;
     }
 
-    /// Does what is due by now.
+    /// Does what is due by now: expires the lease and the term, sends vote requests, and starts or
+    /// ends a candidacy.
     pub fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.expire(now, out);
         if now < self.next_election_step {
@@ -142,7 +148,7 @@
         }
     }
 
-    /// Takes note of what has expired by now: the lease, the term.
+    /// Handles the expiry of the lease and of the term.
     fn expire(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         if self.lease.expire(now) {
             self.counters.leases_expired += 1;
@@ -153,6 +159,7 @@
         }
     }
 
+    /// Ends the term, and schedules the next election.
     fn end_term(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let ended = self.term.take();
         if ended.is_some_and(|term| matches!(term.phase, Phase::Leading { .. })) {
--- a/crates/quota/src/quota_leases/election.rs
+++ b/crates/quota/src/quota_leases/election.rs
@@ -1,4 +1,5 @@
-//! When a process becomes a candidate, in which kind of election, and when it gives up.
+//! Elections: when a process becomes a candidate, in which kind of election, and when it ends its
+//! candidacy.
 
 use super::QuotaLeases;
 use crate::leader_term::{ElectionKind, LeaderTerm, Phase};
@@ -7,9 +8,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A candidate waits for votes for this many heartbeat periods.
+/// The number of heartbeat periods for which a candidate waits for votes.
 const CANDIDACY_TIMEOUT_HEARTBEATS: u32 = 4;
-/// Without a leader for this many durations of a lease, a view may be lost.
+/// The number of lease durations without a leader after which a view may have lost its quorum.
 const VIEW_LOSS_TIMEOUT_LEASES: u32 = 2;
 /// An odd number whose bits are mixed well (2^64 divided by the golden ratio).
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -17,7 +18,8 @@
 const HASH_SHIFT_BITS: u32 = 32;
 
 impl QuotaLeases {
-    /// Becomes a candidate, unless it is too early, its vote is not free, or it is not eligible.
+    /// Makes this process a candidate, unless the election time is not reached, another candidate
+    /// has its vote, or the process is not eligible.
     pub(super) fn start_election_if_due(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let election_time = self.election_time(self.voter.last_leader_contact.max(self.started_at));
         let next_heartbeat = now + self.settings.heartbeat_period;
@@ -34,13 +36,14 @@
         }
     }
 
-    /// The election in which it may be a candidate, if there is one.
+    /// Returns the kind of election in which this process may be a candidate; `None` if it is not
+    /// eligible.
     ///
-    /// Decides: whether a process asks for votes in its view, or for a new fleet.
+    /// Decides: whether this process asks for votes in its view, or to found a new fleet.
     /// Inputs: whether it is a founder and a voter; the time since the last contact with a leader
     /// (own clock); the elections that it has lost.
-    /// Reason: a view whose quorum is lost never elects a leader again, so every other election
-    /// founds a new fleet; a view that can still elect one gets the other elections.
+    /// Reason: a view that has lost its quorum never elects a leader again, so every other election
+    /// is for a new fleet. The remaining elections are for a view that can still elect a leader.
     /// Source: docs/quota-design.md.
     fn election_kind(&self, now: Timestamp) -> Option<ElectionKind> {
         let is_founder = self.settings.is_founder(&self.local.address);
@@ -57,14 +60,15 @@
         }
     }
 
-    /// When it becomes a candidate if it has no contact with a leader after this time.
+    /// Returns the time at which this process becomes a candidate without a contact with a leader
+    /// after `since`.
     ///
     /// Decides: the start of the next election at this process.
     /// Inputs: the last contact with a leader or the end of the last election (own clock); its rank
     /// among the voters that are alive; the duration of a vote, the clock skew and the heartbeat
     /// period; its start and the elections that it has lost, which spread the candidates.
-    /// Reason: candidates at the same time would split the votes, so they start one after the
-    /// other, and those that failed together try again at different times.
+    /// Reason: simultaneous candidates would split the votes, so candidates start one after the
+    /// other, and candidates that failed at the same time try again at different times.
     /// Source: PaxosLease (Trencseni, Gazso and Reinhardt 2012) for the wait until votes expire.
     pub(super) fn election_time(&self, since: Timestamp) -> Timestamp {
         let candidates: Vec<SocketAddr> = match &self.voter.view {
@@ -78,7 +82,7 @@
         votes_expired_at + rank_delay + self.election_jitter(rank as u64)
     }
 
-    /// A part of a heartbeat period that differs between processes and elections.
+    /// Returns a fraction of a heartbeat period that differs between processes and elections.
     fn election_jitter(&self, rank: u64) -> Duration {
         let seed = (self.local.start ^ rank).wrapping_add(self.lost_elections);
         let hash = seed.wrapping_mul(HASH_MULTIPLIER) >> HASH_SHIFT_BITS;
@@ -89,20 +93,22 @@
         self.live_processes.iter().any(|process| process.address == *address)
     }
 
-    /// Whether a candidate got too few votes in its time.
+    /// Whether a candidate has waited for votes for [`CANDIDACY_TIMEOUT_HEARTBEATS`] without a
+    /// quorum.
     pub(super) fn has_candidacy_timed_out(&self, term: &LeaderTerm, now: Timestamp) -> bool {
         let time_to_wait = self.settings.heartbeat_period * CANDIDACY_TIMEOUT_HEARTBEATS;
         term.phase == Phase::RequestingVotes && now >= term.started_at + time_to_wait
     }
 
-    /// Ends its candidacy as a lost election.
+    /// Ends the candidacy of this process as a lost election.
     pub(super) fn end_candidacy(&mut self, now: Timestamp) {
         self.term = None;
         self.lost_elections += 1;
         self.next_election_step = self.election_time(now);
     }
 
-    /// Ends its candidacy in favour of a later one. No other process counts its vote for itself.
+    /// Ends the candidacy of this process in favour of a candidate with a later ballot. The process
+    /// may withdraw its vote for itself, since no other process counts that vote.
     pub(super) fn yield_to_later_candidate(&mut self, now: Timestamp) {
         self.voter.withdraw_own_vote();
         self.end_candidacy(now);
--- a/crates/quota/src/quota_leases/messages.rs
+++ b/crates/quota/src/quota_leases/messages.rs
@@ -1,4 +1,4 @@
-//! How a process handles each message, and the requests that it sends as leader or candidate.
+//! The handling of each message, and the requests of a leader or candidate.
 
 use super::QuotaLeases;
 use crate::leader_term::Phase;
@@ -11,7 +11,8 @@
 use std::net::SocketAddr;
 
 impl QuotaLeases {
-    /// Asks all processes for votes and lease requests, as leader or candidate.
+    /// Asks all processes for votes and lease requests, as leader or candidate; the request also
+    /// proposes a new view if the voters have to change.
     pub(super) fn send_vote_requests(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.next_election_step = now + self.settings.heartbeat_period;
         let possible_voters = self.possible_voters();
@@ -26,13 +27,13 @@
         for address in addresses {
             out.push(Output::Send(address, Message::VoteRequest(Box::new(request.clone()))));
         }
-        // Its own vote is one like any other.
+        // The vote of this process itself is handled like any other.
         let lease_request = self.lease.renewal_request(now);
         let own = self.voter.handle_vote_request(now, &request, lease_request, &self.settings);
         self.handle_vote_response(now, &own, out);
     }
 
-    /// The founders that are alive, and this process.
+    /// Returns the founders that are alive, and this process.
     fn possible_voters(&self) -> Vec<Process> {
         let is_founder = |process: &&Process| self.settings.is_founder(&process.address);
         let mut voters: Vec<Process> = self.live_processes.iter().filter(is_founder).copied().collect();
@@ -40,6 +41,7 @@
         voters
     }
 
+    /// Responds to a vote request of a leader or candidate.
     pub(super) fn handle_vote_request(
         &mut self,
         now: Timestamp,
@@ -49,7 +51,7 @@
         let view_before = self.view_number();
         let is_candidate = self.term.as_ref().is_some_and(|term| term.phase == Phase::RequestingVotes);
         if is_candidate && request.ballot > self.voter.highest_ballot {
-            // Two candidates at the same time would both get too few votes.
+            // Two simultaneous candidates would both get too few votes.
             self.yield_to_later_candidate(now);
         }
         let lease_request = self.lease.renewal_request(now);
@@ -65,7 +67,8 @@
         out.push(Output::Send(to, Message::VoteResponse(Box::new(response))));
     }
 
-    /// Ends its term if another process has had a view decided: this one does not lead in it.
+    /// Ends the term of this process if another process has had a view decided, since this process
+    /// was not elected in that view.
     fn handle_view_change(&mut self, now: Timestamp, view_before: u64, out: &mut Vec<Output>) {
         if self.view_number() != view_before {
             out.push(Output::Event(QuotaEvent::ViewChanged(self.view_number())));
@@ -73,6 +76,8 @@
         }
     }
 
+    /// Handles a response to a vote request: adopts a newer view, counts the vote, and grants a
+    /// lease if this process is the leader.
     pub(super) fn handle_vote_response(
         &mut self,
         now: Timestamp,
@@ -107,19 +112,20 @@
         self.counters.terms_led += 1;
         self.voter.last_leader_contact = now;
         self.lost_elections = 0;
-        // The leases of an earlier leader expire soon: their holders are asked at once.
+        // The leases of an earlier leader expire soon, so their holders are asked for lease
+        // requests at once.
         self.next_election_step = now;
         out.push(Output::Event(QuotaEvent::BecameLeader));
     }
 
-    /// As the leader, grants a lease for the request in a response.
+    /// Grants a lease, as the leader, for the lease request in a response.
     ///
-    /// Decides: whether a request is answered by a lease, and for how long that lasts.
+    /// Decides: whether a lease is granted for a request, and how long the lease lasts.
     /// Inputs: the time now, the start of the term and the age of the votes (own clock); the
     /// request of the holder; the duration of a lease.
-    /// Reason: the parts that the holder had before this term may be another's now. A lease is
-    /// shorter by the age of the votes, so that in a partition without a quorum all processes have
-    /// only their guaranteed minimum within the duration of one lease.
+    /// Reason: parts that the holder had before this term may have been granted to another process
+    /// since. A lease is shortened by the age of the votes, so that in a partition without a quorum
+    /// all processes fall to their guaranteed minimum within the duration of one lease.
     /// Source: Gray and Cheriton 1989; PaxosLease (Trencseni, Gazso and Reinhardt 2012).
     fn grant_lease(&mut self, now: Timestamp, response: &VoteResponse, out: &mut Vec<Output>) {
         let view_number = self.voter.view_number();
@@ -155,7 +161,8 @@
         }
     }
 
-    /// Takes over a lease. A grant to the process before this one at its address has no effect.
+    /// Applies a granted lease. A grant to the predecessor of this process at its address is
+    /// ignored.
     pub(super) fn handle_lease_grant(&mut self, now: Timestamp, grant: &LeaseGrant, out: &mut Vec<Output>) {
         if grant.to != self.local || grant.parts == 0 {
             return;
--- a/crates/quota/tests/guarantees.rs
+++ b/crates/quota/tests/guarantees.rs
@@ -1,5 +1,5 @@
-//! The guarantees of the quota: under faults drawn from seeds, in a model of every order of faults,
-//! and in scripted cases.
+//! The guarantees of the quota: under faults that are generated from seeds, in a model of every
+//! order of faults, and in scripted scenarios.
 
 use pinetrail_clock::whole_millis;
 use pinetrail_quota::{Parts, Process, QuotaEvent, LEASABLE_PARTS, TOTAL_PARTS};
@@ -9,7 +9,7 @@
 
 const HOSTS: usize = 5;
 
-/// A fleet of founders that has run for so long that all have their leases.
+/// Returns a fleet of founders that has run for long enough that all hold equal leases.
 fn settled_fleet(hosts: usize, size: usize, seed: u64) -> QuotaSimulation {
     let mut simulation = QuotaSimulation::new(hosts, hosts, size, seed);
     start(&mut simulation, 0..hosts);
@@ -30,24 +30,25 @@
     }
 }
 
-/// How long a lease lasts, in simulated ms.
+/// Returns the duration of a lease in simulated ms.
 fn lease_millis(simulation: &QuotaSimulation) -> u64 {
     whole_millis(simulation.settings.lease_duration)
 }
 
-/// What a process may use that holds one of so many equal leases.
+/// Returns the parts that a process may use if it holds one of `holders` equal leases.
 fn with_equal_lease(simulation: &QuotaSimulation, holders: usize) -> Parts {
     simulation.settings.guaranteed_minimum() + LEASABLE_PARTS / holders as Parts
 }
 
-/// Faults that are drawn from a seed: see `pinetrail_simulation::seeds`. The experiments play more.
+/// The faults of each run are generated from its seed by `pinetrail_simulation::seeds`. The
+/// experiments run more seeds.
 #[test]
 fn under_seeded_faults_quotas_never_exceed_the_whole_and_leases_become_equal() {
     let violations: Vec<Violation> = (0..200).filter_map(|seed| seeds::play(seed).err()).take(5).collect();
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// In every order of faults, up to a bound: see `pinetrail_simulation::model`. The experiments
+/// `pinetrail_simulation::model` explores every order of faults up to a bound. The experiments
 /// explore more.
 #[test]
 fn in_every_order_of_faults_quotas_never_exceed_the_whole_and_leases_become_equal() {
@@ -55,7 +56,8 @@
     assert!(found.violations.is_empty() && found.unique_states > 10_000, "{found:?}");
 }
 
-/// The check can fail: clocks whose rates differ by more than the stated skew break the guarantee.
+/// Shows that the model detects violations: clocks whose rates differ by more than the permitted
+/// skew break the guarantee.
 #[test]
 fn clocks_beyond_the_permitted_skew_break_the_guarantee() {
     let found = Scope::new(1, 10, [1000, 1000, 600]).explore(2);
@@ -65,7 +67,7 @@
     assert!(found.violations.iter().any(is_over), "{found:?}");
 }
 
-/// A lease that grew at once would be a burst at the origin.
+/// A lease that grew in one step would cause a burst of requests at the origin.
 #[test]
 fn a_lease_grows_by_steps() {
     let simulation = settled_fleet(HOSTS, 8, 1);
@@ -85,8 +87,8 @@
     }
 }
 
-/// A minority has only its guaranteed minimum; the others share what is leased, once that must be
-/// free.
+/// A minority keeps only its guaranteed minimum. The majority gets all leased parts as soon as no
+/// attempt of the minority can use them any more.
 #[test]
 fn a_minority_falls_to_its_minimum_and_the_majority_gets_the_leased_parts() {
     let mut simulation = settled_fleet(HOSTS, 8, 2);
@@ -114,8 +116,9 @@
     assert!(simulation.max_parts_in_use <= TOTAL_PARTS);
 }
 
-/// What each may use when a fleet of this size is cut in halves: none of four has more than its
-/// minimum, and a single process of two or more is not a quorum.
+/// Returns the parts that each process may use after a partition of the fleet into halves. In
+/// fleets of two and four neither half is a quorum, and in a fleet of three the single process is
+/// not, so these processes have only their minimum.
 fn quotas_in_halves(hosts: usize, minimum: Parts) -> Vec<Parts> {
     match hosts {
         1 => vec![minimum + LEASABLE_PARTS],
@@ -130,23 +133,23 @@
         let mut simulation = settled_fleet(hosts, hosts, 3);
         let equal = with_equal_lease(&simulation, hosts);
         let all: Vec<usize> = (0..hosts).collect();
-        assert!(all.iter().all(|host| simulation.usable_parts(*host) == equal), "of {hosts}");
+        assert!(all.iter().all(|host| simulation.usable_parts(*host) == equal), "{hosts} hosts");
 
         let (one, other) = all.split_at(hosts / 2);
         simulation.network.cut_into(&[one, other]);
         simulation.run(15_000);
         let quotas: Vec<Parts> = all.iter().map(|host| simulation.usable_parts(*host)).collect();
         let expected = quotas_in_halves(hosts, simulation.settings.guaranteed_minimum());
-        assert_eq!(quotas, expected, "of {hosts}");
+        assert_eq!(quotas, expected, "{hosts} hosts");
 
         simulation.network.heal();
         simulation.run(20_000);
-        assert!(all.iter().all(|host| simulation.usable_parts(*host) == equal), "of {hosts}");
+        assert!(all.iter().all(|host| simulation.usable_parts(*host) == equal), "{hosts} hosts after heal");
     }
 }
 
-/// Seven of ten processes fail in turn and leave their part to the rest; after a restart of nearly
-/// all, these found the fleet anew.
+/// Seven of ten processes fail one after the other, and the others get their parts. Then all fail
+/// and nine restart, which found a new fleet.
 #[test]
 fn seven_of_ten_processes_fail_in_turn_and_then_nine_restart() {
     let mut simulation = settled_fleet(10, 10, 4);
@@ -159,7 +162,7 @@
     simulation.run(2 * lease_millis(&simulation));
     assert_eq!([7, 8, 9].map(|host| simulation.usable_parts(host)), [with_equal_lease(&simulation, 3); 3]);
 
-    // All but one, which may never return.
+    // Not all restart, since one process may never return.
     kill(&mut simulation, 0..10);
     start(&mut simulation, 0..9);
     simulation.update_all_live_processes();
@@ -169,8 +172,8 @@
     assert!(simulation.max_parts_in_use <= TOTAL_PARTS);
 }
 
-/// A fleet in which only the first two hosts run, as the voters of its view; and which of them
-/// leads.
+/// Returns a fleet in which only the first two hosts run, which are the voters of its view, and the
+/// host that leads.
 fn fleet_of_two_voters(seed: u64) -> (QuotaSimulation, usize) {
     let mut simulation = settled_fleet(HOSTS, 8, seed);
     for host in [2, 3, 4] {
@@ -179,10 +182,11 @@
         simulation.run(3_000);
     }
     let leader = (0..2).find(|host| simulation.is_leader(*host));
-    (simulation, leader.expect("one of both leads"))
+    (simulation, leader.expect("one of the two voters leads"))
 }
 
-/// The process before this one at its address may have voted for a leader that still leads.
+/// Guards against two leaders: the predecessor of a restarted process may have voted for a leader
+/// that still leads.
 #[test]
 fn a_restarted_process_founds_no_fleet_while_a_vote_of_its_predecessor_may_last() {
     for seed in 0..40 {
@@ -204,7 +208,8 @@
     }
 }
 
-/// Runs until one of the restarted founders knows that it leads; returns whether that happened.
+/// Runs until one of the restarted founders knows that it leads, for at most 30 s of simulated
+/// time. Returns whether one leads.
 fn run_until_a_founder_leads(simulation: &mut QuotaSimulation) -> bool {
     for _ in 0..30_000 {
         simulation.run(1);
@@ -215,8 +220,8 @@
     false
 }
 
-/// One of two voters could return to the other after it has helped to found a fleet without that
-/// one.
+/// Guards against two leaders: one of two voters helps to found a fleet without the other, and
+/// could then vote for the other again in their old view.
 #[test]
 fn a_process_that_helped_to_found_a_fleet_does_not_return_to_its_old_view() {
     let mut tried = 0;
@@ -225,7 +230,7 @@
         let other = 1 - leader;
         simulation.network.cut_into(&[&[leader], &[other, 2, 3, 4]]);
         start(&mut simulation, 2..HOSTS);
-        // The moment at which the founder knows that it leads, and the other does not.
+        // At this moment the founder knows that it leads, and `other` does not know it yet.
         if !run_until_a_founder_leads(&mut simulation) {
             continue;
         }
@@ -244,11 +249,11 @@
         let quotas = [leader, other].map(|host| simulation.usable_parts(host));
         assert_eq!(quotas, [minimum; 2], "seed {seed}");
     }
-    assert!(tried > 5, "{tried} of 20 came so far");
+    assert!(tried > 5, "a founder led in only {tried} of 20 runs");
 }
 
-/// A release: a process that shuts down announces it, and is no voter any more when it exits,
-/// however many do so at a time.
+/// A process that shuts down, as for a new release, announces this and is no voter any more when it
+/// exits, even if many processes shut down at the same time.
 #[test]
 fn a_process_that_shuts_down_is_no_voter_when_it_exits() {
     let mut simulation = settled_fleet(10, 10, 5);
