--- a/crates/peer-transport/src/accept.rs
+++ b/crates/peer-transport/src/accept.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The pause after an accept that failed, for example for want of descriptors.
+/// The delay after a failed accept, for example if no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections until the task is aborted.
@@ -18,7 +18,7 @@
                 let shared = Arc::clone(&shared);
                 // The task ends with its connection.
                 tokio::spawn(async move {
-                    // The process that dialled reports the error to its handler.
+                    // The process that dialled passes its own error to its handler.
                     let _ = session::run(&shared, stream).await;
                 });
             }
--- a/crates/peer-transport/src/config.rs
+++ b/crates/peer-transport/src/config.rs
@@ -1,20 +1,20 @@
-//! The configuration of a transport ([`TransportConfig`]) and the peers that it dials ([`Peer`]).
+//! The configuration of a transport ([`TransportConfig`]) and the peers to dial ([`Peer`]).
 
 use crate::process::Process;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// The longest frame in bytes, without its length prefix.
+/// The maximum length of a frame in bytes, without the length prefix.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// Timeouts and intervals of all connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// The timeout of the connect, and then of the peer's handshake. Default: 1 s.
+    /// The timeout of connecting, and then the timeout of the peer's handshake. Default: 1 s.
     pub handshake_timeout: Duration,
-    /// The time without another frame after which a heartbeat is written. Default: 400 ms.
+    /// The time without an outgoing frame after which a heartbeat is written. Default: 400 ms.
     pub heartbeat_interval: Duration,
-    /// The time in which nothing arrives, or nothing can be written, after which a connection ends.
+    /// The time after which a connection ends if nothing arrives, or if a frame cannot be written.
     /// Default: 1.6 s.
     pub silence_timeout: Duration,
 }
@@ -32,23 +32,23 @@
 /// The configuration of a transport.
 #[derive(Clone, Debug)]
 pub struct TransportConfig {
-    /// The fleet's name; connections with processes of another fleet are rejected.
+    /// The name of the fleet; connections with processes of another fleet are rejected.
     pub fleet: String,
-    /// This process.
+    /// The identity of this process, which its handshakes announce.
     pub process: Process,
-    /// The address of this machine from which peers are dialled; any address if it is unspecified.
+    /// The local address from which peers are dialled; the system chooses one if it is unspecified.
     pub local_address: IpAddr,
-    /// Timeouts and intervals.
+    /// Timeouts and intervals of all connections.
     pub timing: Timing,
-    /// Seeds the jitter of the backoff between attempts to dial.
+    /// The seed of the jitter of the backoff between attempts to dial.
     pub seed: u64,
 }
 
-/// A process that the transport dials.
+/// A process to dial, with its address.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Peer {
     /// The process that is expected at the address.
     pub process: Process,
-    /// The address at which it listens.
+    /// The address at which the process listens.
     pub address: SocketAddr,
 }
--- a/crates/peer-transport/src/connection.rs
+++ b/crates/peer-transport/src/connection.rs
@@ -1,5 +1,5 @@
 //! The state of one established connection, with the interface for sending: [`PeerConnection`]. The
-//! tasks that read and write it are in `session`.
+//! tasks that read from and write to the connection are in `session`.
 
 use crate::frame::{Frame, Handshake, RequestId};
 use crate::process::Process;
@@ -11,28 +11,28 @@
 /// The response to a request; `None` if the peer has no response.
 pub(crate) type ResponseBody = Option<Vec<u8>>;
 
-/// The requests in flight: they were sent and have no response yet.
+/// The requests in flight, which were sent and have no response yet.
 #[derive(Default)]
 struct PendingRequests {
     last_id: RequestId,
     senders: BTreeMap<RequestId, oneshot::Sender<ResponseBody>>,
 }
 
-/// A request that was sent.
+/// A request that was sent, with the receiver of its response.
 pub(crate) struct SentRequest {
     pub(crate) id: RequestId,
-    /// Receives the response. Its sender is dropped if the request cannot be queued, or if the
-    /// connection ends before the response arrives.
+    /// The receiver of the response. The sending half is dropped if the request cannot be queued,
+    /// or if the connection ends before the response arrives.
     pub(crate) response: oneshot::Receiver<ResponseBody>,
 }
 
-/// One established connection.
+/// The state of one established connection.
 pub(crate) struct PeerConnection {
     /// The handshake of the peer.
     handshake: Handshake,
     /// The frames that wait to be written to the peer.
     pub(crate) send_queue: SendQueue,
-    /// Guards the requests in flight; it is not held together with another lock.
+    /// The requests in flight. Their lock is not held together with another lock.
     pending: Mutex<PendingRequests>,
     closed: Notify,
 }
@@ -47,17 +47,17 @@
         }
     }
 
-    /// The process at the other end.
+    /// Returns the process at the other end.
     pub(crate) fn peer(&self) -> &Process {
         &self.handshake.sender
     }
 
-    /// The voter id that the peer holds, if any.
+    /// Returns the voter id that the peer holds, if any.
     pub(crate) fn voter_id(&self) -> Option<u8> {
         self.handshake.voter_id
     }
 
-    /// Queues a request.
+    /// Queues a request. If it does not fit into the queue, the response receiver fails at once.
     pub(crate) fn request(&self, body: Vec<u8>) -> SentRequest {
         let (sender, response) = oneshot::channel();
         let id = {
@@ -77,7 +77,7 @@
     pub(crate) fn complete_request(&self, id: RequestId, body: ResponseBody) {
         let sender = self.pending().senders.remove(&id);
         if let Some(sender) = sender {
-            // The receiver is dropped when its task stops waiting.
+            // Sending fails if the task has stopped waiting and dropped its receiver.
             let _ = sender.send(body);
         }
     }
@@ -94,7 +94,8 @@
         self.closed.notify_one();
     }
 
-    /// Waits for [`PeerConnection::close`]. Only the task that runs the connection may wait.
+    /// Waits for [`PeerConnection::close`]. Only the task that runs the connection may wait, since
+    /// one waiter is notified.
     pub(crate) async fn closed(&self) {
         self.closed.notified().await;
     }
--- a/crates/peer-transport/src/dial.rs
+++ b/crates/peer-transport/src/dial.rs
@@ -1,4 +1,4 @@
-//! The task that dials one peer while the peer is in the list of peers.
+//! The task that dials a peer as long as it is in the list of peers.
 
 use crate::config::Peer;
 use crate::error::ConnectionError;
@@ -9,17 +9,17 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// The backoff after the first failure; it doubles with each further one.
+/// The backoff after the first failure; doubled after each further failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest backoff between two attempts.
+/// The maximum backoff between two attempts, before the jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(1000);
 
-/// Keeps a connection with a peer: dials it, runs the connection, and after its end waits and
+/// Keeps a connection with a peer: dials the peer, runs the connection, and after its end waits and
 /// dials again. The task ends when the peer is removed from the list of peers.
 pub(crate) async fn keep_connected<N: Network>(shared: Arc<Shared<N>>, peer: Peer) {
     let mut backoff = MIN_BACKOFF;
     while shared.is_peer(&peer) {
-        // The peer may have dialled this process; there is one connection for both directions.
+        // If the peer has dialled this process, that connection serves both directions.
         if !shared.is_connected(&peer.process) {
             let error = match connect(&shared, &peer).await {
                 Ok(stream) => {
--- a/crates/peer-transport/src/error.rs
+++ b/crates/peer-transport/src/error.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a connection ended, or was not established.
+/// The reasons why a connection ended, or was not established.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum ConnectionError {
@@ -14,44 +14,44 @@
     #[error("connecting failed")]
     Connect(#[source] io::Error),
     /// The peer did not accept the connection in time.
-    #[error("connecting took longer than {limit:?}")]
+    #[error("connecting timed out after {limit:?}")]
     ConnectTimeout {
         /// [`Timing::handshake_timeout`](crate::Timing::handshake_timeout).
         limit: Duration,
     },
     /// One of the two processes rejected the handshake.
-    #[error("the handshake failed")]
+    #[error("handshake failed")]
     Handshake(#[from] HandshakeError),
     /// Reading or writing failed.
-    #[error("input or output failed")]
+    #[error("reading from or writing to the connection failed")]
     Io(#[from] io::Error),
     /// The peer closed the connection.
     #[error("the peer closed the connection")]
     ClosedByPeer,
-    /// Nothing arrived within the silence timeout.
-    #[error("nothing arrived for {limit:?}")]
+    /// The peer sent nothing within the silence timeout.
+    #[error("the peer sent nothing for {limit:?}")]
     Silent {
         /// [`Timing::silence_timeout`](crate::Timing::silence_timeout).
         limit: Duration,
     },
-    /// A frame could not be read.
-    #[error("a frame could not be decoded")]
+    /// A received frame could not be decoded.
+    #[error("decoding a frame failed")]
     Decode(#[from] DecodeError),
-    /// The peer sent a handshake after the first one.
+    /// The peer sent another handshake after its first frame.
     #[error("the peer sent a second handshake")]
     SecondHandshake,
-    /// This process closed it: a newer connection with the same peer replaced it, this process
-    /// announces another voter id, or writing failed or stalled.
+    /// This process closed the connection: a newer connection with the same peer replaced it, this
+    /// process announces another voter id, or writing failed or stalled.
     #[error("this process closed the connection")]
     ClosedLocally,
 }
 
-/// Why a handshake is rejected.
+/// The reasons why a handshake fails.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum HandshakeError {
-    /// This process's own handshake cannot be sent.
-    #[error("this process's handshake cannot be encoded")]
+    /// The handshake of this process cannot be encoded.
+    #[error("encoding the handshake of this process failed")]
     Encode(#[from] EncodeError),
     /// The peer did not send its handshake in time.
     #[error("the peer sent no handshake within {limit:?}")]
@@ -59,73 +59,73 @@
         /// [`Timing::handshake_timeout`](crate::Timing::handshake_timeout).
         limit: Duration,
     },
-    /// The first frame of the peer is no handshake.
-    #[error("the peer's first frame is not a handshake")]
+    /// The first frame of the peer is not a handshake.
+    #[error("the first frame of the peer is not a handshake")]
     NotAHandshake,
-    /// The peer's frames have another version.
-    #[error("the peer's frames have version {found}, this process has {expected}")]
+    /// The peer uses another protocol version.
+    #[error("the peer uses protocol version {found}, this process version {expected}")]
     VersionMismatch {
-        /// The version of this process.
+        /// The protocol version of this process.
         expected: u16,
-        /// The version of the peer.
+        /// The protocol version of the peer.
         found: u16,
     },
     /// The peer belongs to another fleet.
     #[error("the peer belongs to fleet {found:?}, this process to {expected:?}")]
     FleetMismatch {
-        /// The fleet of this process.
+        /// The name of this process's fleet.
         expected: String,
-        /// The fleet of the peer.
+        /// The name of the peer's fleet.
         found: String,
     },
-    /// The peer is this process itself.
-    #[error("the peer is this process itself, {process}")]
+    /// The process at the other end is this process itself.
+    #[error("the connection leads to this process itself, {process}")]
     ConnectedToSelf {
-        /// This process.
+        /// The identity of this process.
         process: Process,
     },
 }
 
-/// Why a frame cannot be written.
+/// The reasons why a frame cannot be encoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum EncodeError {
-    /// The value has no encoding.
-    #[error("the frame cannot be serialized")]
+    /// The frame's value cannot be serialized.
+    #[error("serializing the frame failed")]
     Serialize(#[source] postcard::Error),
     /// The frame would be longer than [`MAX_FRAME_BYTES`].
-    #[error("the frame has {length} bytes, more than {MAX_FRAME_BYTES}")]
+    #[error("the frame has {length} bytes, the limit is {MAX_FRAME_BYTES}")]
     TooLong {
-        /// Its length in bytes.
+        /// The length of the frame in bytes.
         length: usize,
     },
 }
 
-/// Why a frame cannot be read.
+/// The reasons why received bytes cannot be decoded as a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum DecodeError {
-    /// It is shorter than its checksum.
-    #[error("the frame has {length} bytes, fewer than its checksum")]
+    /// The frame is shorter than a checksum.
+    #[error("the frame has {length} bytes, fewer than a checksum")]
     TooShort {
-        /// Its length in bytes.
+        /// The length of the frame in bytes.
         length: usize,
     },
-    /// Its bytes were changed in transit.
-    #[error("the frame's checksum is {found:#010x}, its bytes have {computed:#010x}")]
+    /// The frame was damaged in transit.
+    #[error("the frame has checksum {found:#010x}, but its bytes give {computed:#010x}")]
     ChecksumMismatch {
         /// The checksum in the frame.
         found: u32,
         /// The checksum of the received bytes.
         computed: u32,
     },
-    /// Its bytes are not a frame.
-    #[error("the frame cannot be deserialized")]
+    /// The bytes after the checksum are not a frame.
+    #[error("deserializing the frame failed")]
     Deserialize(#[source] postcard::Error),
-    /// Bytes follow the value.
-    #[error("{length} bytes follow the frame's value")]
+    /// Further bytes follow the frame's value.
+    #[error("{length} bytes follow the value of the frame")]
     TrailingBytes {
-        /// The number of these bytes.
+        /// The number of bytes after the value.
         length: usize,
     },
 }
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -1,8 +1,9 @@
-//! The format of the frames that peers exchange: [`Frame`]. The first one is a [`Handshake`].
+//! The frames that peers exchange, and their encoding: [`Frame`]. The first frame of each end is a
+//! [`Handshake`].
 //!
-//! A frame is its length (4 bytes, big-endian, by tokio-util), the CRC-32C of the rest (4 bytes,
-//! big-endian), and a postcard value. Decoding is strict and bounded, and no received bytes cause a
-//! panic.
+//! On the wire a frame is a length prefix (4 bytes, big-endian, by tokio-util), the CRC-32C of the
+//! value (4 bytes, big-endian), and the value, encoded by postcard. Decoding is strict and bounded,
+//! and no received bytes cause a panic.
 
 use crate::config::MAX_FRAME_BYTES;
 use crate::error::{DecodeError, EncodeError};
@@ -11,19 +12,19 @@
 use serde::{Deserialize, Serialize};
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// The version of the format. A peer with another version is rejected in the handshake.
+/// The version of the frames. A peer with another version is rejected in the handshake.
 pub(crate) const PROTOCOL_VERSION: u16 = 1;
 /// The length of the checksum in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// The first frame of each end of a connection.
+/// The handshake, which is the first frame of each end of a connection.
 ///
 /// The order of the fields is part of the format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
-    /// The version of the frames.
+    /// The protocol version of the sender.
     pub version: u16,
-    /// The name of the fleet that the sender belongs to.
+    /// The name of the sender's fleet.
     pub fleet: String,
     /// The process that sends the handshake.
     pub sender: Process,
@@ -31,7 +32,8 @@
     pub voter_id: Option<u8>,
 }
 
-/// Identifies the request of a response. It counts the requests that one end of a connection sent.
+/// The id of a request, by which a response names its request. Each end of a connection numbers the
+/// requests that it sends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct RequestId(pub(crate) u64);
 
@@ -42,33 +44,33 @@
     }
 }
 
-/// One frame.
+/// A unit of communication between two peers.
 ///
 /// The order of the variants, and of the fields in them, is part of the format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Frame {
-    /// The first frame of each end, and only the first.
+    /// The handshake of the sender. It is the first frame of each end, and no later one.
     Handshake(Handshake),
-    /// Keeps a connection without other frames alive.
+    /// A heartbeat, which keeps a connection without other frames alive.
     Heartbeat,
-    /// The sender dropped frames that did not fit into its queue.
+    /// A notice that the sender has dropped frames, since its queue for the receiver was full.
     Resync,
     /// A message without a response.
     OneWay(Vec<u8>),
-    /// A message with a response.
+    /// A message that needs a response.
     Request(RequestId, Vec<u8>),
     /// The response to a request.
     Response(RequestId, Vec<u8>),
-    /// The receiver has no response to a request.
+    /// A notice that the receiver of a request has no response.
     NoResponse(RequestId),
 }
 
-/// Returns the codec of the length prefix.
+/// Returns the codec that adds and removes the length prefix.
 pub(crate) fn length_codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
-/// Encodes a frame, with its checksum and without its length prefix.
+/// Encodes a frame with its checksum, but without the length prefix.
 pub(crate) fn encode(frame: &Frame) -> Result<Bytes, EncodeError> {
     let body = postcard::to_allocvec(frame).map_err(EncodeError::Serialize)?;
     let length = CHECKSUM_BYTES + body.len();
@@ -81,7 +83,7 @@
     Ok(encoded.freeze())
 }
 
-/// Decodes a frame that [`encode`] encoded.
+/// Decodes a frame that was encoded by [`encode`], and checks its checksum.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Frame, DecodeError> {
     let Some((checksum, body)) = bytes.split_first_chunk::<CHECKSUM_BYTES>() else {
         return Err(DecodeError::TooShort { length: bytes.len() });
--- a/crates/peer-transport/src/golden_tests.rs
+++ b/crates/peer-transport/src/golden_tests.rs
@@ -1,8 +1,8 @@
-//! The bytes that processes exchange over TCP, recorded from the program before names in it were
-//! changed: the handshake and each kind of frame, with its length prefix. They must not change:
-//! processes of different versions exchange them, so that each version must read the frames of the
-//! other. A failure here means that the program has changed its format; the recorded bytes must not
-//! be adapted.
+//! The wire format of the frames that processes exchange over TCP, compared with recorded bytes:
+//! the handshake and each kind of frame, with the length prefix. Processes of different versions
+//! exchange frames, so each version must read the frames of the other. A failure here means that
+//! the program has changed its format; the recorded bytes, which are older than some names in the
+//! code, must not be adapted.
 
 use crate::frame::{self, Frame, RequestId, PROTOCOL_VERSION};
 use crate::session;
@@ -30,11 +30,11 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// A frame as it is written to TCP, with its length prefix.
+/// Returns the bytes of a frame on TCP, with the length prefix.
 fn written(frame: &Frame) -> Vec<u8> {
     let mut out = BytesMut::new();
-    let encoded = frame::encode(frame).expect("it is short");
-    frame::length_codec().encode(encoded, &mut out).expect("it is short");
+    let encoded = frame::encode(frame).expect("the frame is short");
+    frame::length_codec().encode(encoded, &mut out).expect("the frame is short");
     out.to_vec()
 }
 
@@ -46,7 +46,8 @@
     Frame::Handshake(Handshake { version: PROTOCOL_VERSION, fleet: "gdynia".into(), sender, voter_id })
 }
 
-/// Does not compile when a kind of frame is added, until its bytes are recorded as well.
+/// Returns the recorded bytes of a frame. The `match` has no wildcard, so a new kind of frame does
+/// not compile until its bytes are recorded.
 fn recorded(frame: &Frame) -> &'static str {
     match frame {
         Frame::Handshake(Handshake { sender, .. }) if sender.start == 5 => HANDSHAKE_OF_PEER,
@@ -78,13 +79,14 @@
         let recorded = recorded(&value);
         assert_eq!(hex(&written(&value)), recorded, "encoding of {value:?}");
         let mut stream = BytesMut::from(&bytes(recorded)[..]);
-        let body = frame::length_codec().decode(&mut stream).expect("a length").expect("all of it");
-        assert!(stream.is_empty(), "the length counts all of {recorded}");
+        let body =
+            frame::length_codec().decode(&mut stream).expect("a valid length").expect("a complete frame");
+        assert!(stream.is_empty(), "the length prefix covers all of {recorded}");
         assert_eq!(frame::decode(&body), Ok(value), "decoding of {recorded}");
     }
 }
 
-/// A network without connections; the test has the only one.
+/// A network without connections, for tests that run a connection on a stream of their own.
 #[derive(Clone)]
 pub(crate) struct NoNetwork;
 
@@ -105,7 +107,7 @@
     }
 }
 
-/// The events of the handler, in order.
+/// A handler that records its events in order, as text.
 #[derive(Default)]
 pub(crate) struct Recorder(Mutex<Vec<String>>);
 
@@ -132,7 +134,7 @@
     fn on_connection_failed(&self, _: &Process, _: &ConnectionError) {}
 }
 
-/// The bytes at the end of a connection are those of the frames alone.
+/// A connection carries the recorded bytes of frames and no others.
 #[tokio::test]
 async fn a_connection_begins_with_the_recorded_handshake_and_accepts_the_recorded_bytes() {
     let local = process("n0", 1_700_000_000_000_000);
@@ -151,13 +153,13 @@
     let running = tokio::spawn(async move { session::run(transport.shared(), theirs).await });
 
     let mut handshake = vec![0; bytes(HANDSHAKE_OF_VOTER).len()];
-    ours.read_exact(&mut handshake).await.expect("a handshake");
+    ours.read_exact(&mut handshake).await.expect("a handshake arrives");
     assert_eq!(hex(&handshake), HANDSHAKE_OF_VOTER);
 
-    // The other process sends its recorded frames.
+    // The peer sends its recorded frames.
     ours.write_all(&bytes(HANDSHAKE_OF_PEER)).await.expect("written");
     ours.write_all(&bytes(ONE_WAY)).await.expect("written");
-    ours.shutdown().await.expect("ended");
+    ours.shutdown().await.expect("shut down");
     let end = running.await.expect("no panic");
     assert!(matches!(end, ConnectionError::ClosedByPeer), "{end:?}");
     let events = recorder.0.lock().expect("no panic").clone();
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -1,12 +1,13 @@
-//! One TCP connection for each pair of processes of a fleet, on tokio. Read [`PeerTransport`]
-//! first, which sends messages and requests to other processes, and then [`MessageHandler`], which
-//! receives theirs.
+//! Connections between the processes of a fleet: one TCP connection for each pair, on tokio. Read
+//! [`PeerTransport`] first, which sends messages and requests to other processes, and then
+//! [`MessageHandler`], which receives messages of other processes.
 //!
 //! Each connection has one task that reads and one that writes. Each peer in the list of peers has
-//! one task that dials, runs the connection, waits and dials again. A slow peer does not delay
-//! others: its send queue is bounded. A frame that does not fit is dropped, and the peer gets one
-//! request to resynchronise ([`MessageHandler::on_resync_needed`]). A connection that is silent,
-//! stalled, half open or corrupt ends within [`Timing::silence_timeout`].
+//! one task that dials, runs the connection, waits and dials again. Each connection has its own
+//! bounded send queue, so a slow peer neither delays others nor exhausts the memory. Frames that do
+//! not fit into the queue are dropped, and the peer gets one request to resynchronise for all of
+//! them ([`MessageHandler::on_resync_needed`]). A connection that is silent, stalled, half open or
+//! corrupt ends within [`Timing::silence_timeout`].
 //!
 //! Modules, from the bottom up: `process`, `network` and `config` (identities, addresses and
 //! durations), `frame` (the format), `send_queue` and `connection` (the state of one connection),
--- a/crates/peer-transport/src/network.rs
+++ b/crates/peer-transport/src/network.rs
@@ -1,5 +1,5 @@
-//! The network under the transport: [`Network`]. The program uses [`TcpNetwork`], the simulation a
-//! simulated one.
+//! The network below the transport: [`Network`]. The program uses [`TcpNetwork`], the simulation
+//! uses a simulated network.
 
 use std::future::Future;
 use std::io;
@@ -7,26 +7,26 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// The number of connections that the kernel queues until this process accepts them.
+/// The maximum number of connections that the kernel queues until this process accepts them.
 const LISTEN_BACKLOG: u32 = 128;
 
-/// A network that carries streams of bytes.
+/// A network with connections that are streams of bytes.
 pub trait Network: Clone + Send + Sync + 'static {
-    /// A connection.
+    /// A connection, as a stream of bytes.
     type Stream: AsyncRead + AsyncWrite + Unpin + Send + 'static;
-    /// Accepts connections.
+    /// A listener, which accepts connections.
     type Listener: Send + Sync + 'static;
     /// Listens at an address.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened at.
+    /// If this process cannot listen at the address, for example because the address is in use.
     fn bind(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>> + Send;
     /// Waits for the next incoming connection.
     ///
     /// # Errors
     ///
-    /// If the accept fails; a further call may succeed.
+    /// If accepting fails; a further call may succeed.
     fn accept(listener: &Self::Listener) -> impl Future<Output = io::Result<Self::Stream>> + Send;
     /// Connects to `remote` from `local`, an address of this machine or an unspecified one.
     ///
--- a/crates/peer-transport/src/process.rs
+++ b/crates/peer-transport/src/process.rs
@@ -4,15 +4,15 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A process of a fleet. Its identity is its name together with its start: after a restart the same
-/// name is another process.
+/// The identity of a process: its name together with its start. After a restart the process with
+/// the same name is another process.
 ///
-/// The order of the fields is part of the frames' format.
+/// The order of the fields is part of the format of frames.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Process {
-    /// The proxy's name.
+    /// The name of the proxy.
     pub name: Arc<str>,
-    /// When this process started, in Unix microseconds.
+    /// The start of the process, in Unix microseconds.
     pub start: u64,
 }
 
--- a/crates/peer-transport/src/send_queue.rs
+++ b/crates/peer-transport/src/send_queue.rs
@@ -1,5 +1,5 @@
-//! The frames that wait to be written to one peer: [`SendQueue`]. It is bounded, so that a slow
-//! peer does not exhaust the memory of this process.
+//! The queue of frames for one peer: [`SendQueue`]. The queue is bounded, so that a slow peer does
+//! not exhaust the memory of this process.
 
 use crate::frame::{self, Frame};
 use bytes::Bytes;
@@ -7,15 +7,15 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// The capacity of the queue in frames.
+/// The capacity of a queue in frames.
 const MAX_QUEUED_FRAMES: usize = 512;
-/// The capacity of the queue in bytes.
+/// The capacity of a queue in bytes.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
 
 #[derive(Default)]
 struct State {
     frames: VecDeque<Bytes>,
-    /// The sum of the lengths of `frames`.
+    /// The total length of `frames` in bytes.
     bytes: usize,
     /// Whether a frame was dropped since the last [`Frame::Resync`].
     needs_resync: bool,
@@ -25,19 +25,21 @@
 /// The frames that wait to be written to one peer.
 #[derive(Default)]
 pub(crate) struct SendQueue {
-    /// Guards the queue; it is held for single operations only.
+    /// The queue. Its lock is held for single operations only.
     state: Mutex<State>,
-    /// Wakes the task that writes.
+    /// Notifies the task that writes of a new frame, or that the queue is closed.
     changed: Notify,
 }
 
 impl SendQueue {
-    /// Decides: whether a frame is queued or dropped. Returns false if it is dropped: it is too long,
-    /// exceeds the capacity of the queue, or the queue is closed.
+    /// Queues a frame, and returns whether it was queued. A frame is dropped if it is too long, if
+    /// it exceeds the capacity of the queue, or if the queue is closed.
+    ///
+    /// Decides: whether a frame is queued or dropped.
     /// Inputs: the encoded length of the frame in bytes; the frames and bytes in the queue; whether
     /// the queue is closed.
-    /// Reason: a peer that does not read must not exhaust the memory of this process. It gets one
-    /// [`Frame::Resync`] for all dropped frames.
+    /// Reason: a peer that does not read must not exhaust the memory of this process. The peer gets
+    /// one [`Frame::Resync`] for all dropped frames.
     pub(crate) fn push(&self, frame: &Frame) -> bool {
         let Ok(encoded) = frame::encode(frame) else { return false };
         let is_queued = {
@@ -55,8 +57,8 @@
         is_queued
     }
 
-    /// Waits for the next encoded frame; `None` when the queue is closed. [`Frame::Resync`] comes
-    /// after all queued frames.
+    /// Waits for the next frame and returns its encoding; `None` when the queue is closed.
+    /// [`Frame::Resync`] is returned after all queued frames.
     pub(crate) async fn pop(&self) -> Option<Bytes> {
         loop {
             {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Closes the queue: no further frame is written.
+    /// Closes the queue: queued frames are not written, and later ones are dropped.
     pub(crate) fn close(&self) {
         self.lock().closed = true;
         self.changed.notify_one();
--- a/crates/peer-transport/src/send_queue/tests.rs
+++ b/crates/peer-transport/src/send_queue/tests.rs
@@ -13,12 +13,12 @@
         assert_eq!(queue.pop().await.as_ref(), Some(&encoded));
     }
     assert_eq!(queue.pop().await, frame::encode(&Frame::Resync).ok());
-    assert!(queue.push(&Frame::Heartbeat), "there is capacity again");
+    assert!(queue.push(&Frame::Heartbeat), "the emptied queue has capacity again");
     queue.close();
     assert_eq!(queue.pop().await, None);
 }
 
-/// Guards against a message that is reported as sent and is never written.
+/// Guards against messages that are reported as sent but never written.
 #[test]
 fn a_closed_queue_reports_that_it_drops_frames() {
     let queue = SendQueue::default();
--- a/crates/peer-transport/src/session.rs
+++ b/crates/peer-transport/src/session.rs
@@ -17,7 +17,7 @@
 /// Reads frames from a stream.
 struct FrameReader<S> {
     stream: ReadHalf<S>,
-    /// The bytes that were read and not decoded yet.
+    /// The bytes that were read but not decoded yet.
     buffer: BytesMut,
     length_codec: LengthDelimitedCodec,
 }
@@ -27,8 +27,8 @@
         FrameReader { stream, buffer: BytesMut::new(), length_codec: frame::length_codec() }
     }
 
-    /// Reads the next frame. The limit applies to each read, not to the frame: a frame of a slow
-    /// peer may take longer, as long as some of its bytes arrive.
+    /// Reads the next frame. The limit applies to each read, not to the whole frame: a frame of a
+    /// slow peer may take longer, as long as bytes keep arriving.
     async fn next_frame(&mut self, limit: Duration) -> Result<Frame, ConnectionError> {
         loop {
             if let Some(bytes) = self.length_codec.decode(&mut self.buffer)? {
@@ -45,9 +45,9 @@
 }
 
 /// Runs one connection: exchanges handshakes, then reads and writes frames until the connection
-/// ends. Returns the reason for its end.
+/// ends. Returns the reason for the end.
 ///
-/// The task that writes is spawned and aborted here.
+/// The task that writes is spawned after the handshakes and aborted at the end.
 pub(crate) async fn run<N: Network>(shared: &Arc<Shared<N>>, stream: N::Stream) -> ConnectionError {
     let (input, mut output) = tokio::io::split(stream);
     let mut reader = FrameReader::new(input);
@@ -59,7 +59,7 @@
     shared.add_connection(&connection);
     let writer = tokio::spawn(write_frames(shared.timing(), Arc::clone(&connection), output));
     let error = tokio::select! {
-        // A fixed order, so that a simulation with the same seed repeats its run.
+        // Polled in a fixed order, so that simulations with the same seed have identical runs.
         biased;
         error = read_frames(shared, &connection, &mut reader) => error,
         () = connection.closed() => ConnectionError::ClosedLocally,
@@ -70,7 +70,7 @@
     error
 }
 
-/// Sends the handshake of this process, and returns that of the peer if it is accepted.
+/// Sends the handshake of this process, and returns the peer's handshake if it is accepted.
 async fn exchange_handshakes<N: Network>(
     shared: &Shared<N>,
     reader: &mut FrameReader<N::Stream>,
@@ -92,10 +92,12 @@
     Ok(handshake)
 }
 
+/// Checks the handshake of a peer.
+///
 /// Decides: whether the handshake of a peer is accepted.
 /// Inputs: the handshake; the version of the frames, the fleet and the identity of this process.
 /// Reason: frames of another version cannot be decoded, messages of another fleet are about another
-/// policy, and a connection of a process with itself would count it as a peer.
+/// policy, and in a connection with itself a process would count as its own peer.
 fn check_handshake<N: Network>(shared: &Shared<N>, handshake: &Handshake) -> Result<(), HandshakeError> {
     if handshake.version != PROTOCOL_VERSION {
         return Err(HandshakeError::VersionMismatch { expected: PROTOCOL_VERSION, found: handshake.version });
@@ -110,7 +112,7 @@
     Ok(())
 }
 
-/// Reads frames and handles them until one fails. Returns the error.
+/// Reads and handles frames until one of them fails. Returns the error.
 async fn read_frames<N: Network>(
     shared: &Shared<N>,
     connection: &PeerConnection,
@@ -137,7 +139,7 @@
         Frame::Heartbeat => {}
         Frame::Resync => handler.on_resync_needed(peer),
         Frame::OneWay(body) => {
-            // A message has no response.
+            // A one-way message has no response, so what the handler returns is dropped.
             let _ = handler.on_message(peer, &body);
         }
         Frame::Request(id, body) => {
@@ -145,7 +147,7 @@
                 Some(body) => Frame::Response(id, body),
                 None => Frame::NoResponse(id),
             };
-            // If the response is dropped, the request times out at the peer.
+            // If the queue drops the response, the request times out at the peer.
             connection.send_queue.push(&response);
         }
         Frame::Response(id, body) => connection.complete_request(id, Some(body)),
@@ -154,8 +156,8 @@
     Ok(())
 }
 
-/// Writes the queued frames, and a heartbeat after [`Timing::heartbeat_interval`] without a frame.
-/// If a frame cannot be written within [`Timing::silence_timeout`], the connection ends.
+/// Writes the queued frames, and a heartbeat after each [`Timing::heartbeat_interval`] without a
+/// frame. Closes the connection if a frame cannot be written within [`Timing::silence_timeout`].
 ///
 /// The task ends when the queue is closed, when writing fails, or when [`run`] aborts it.
 async fn write_frames<W: AsyncWrite + Unpin>(timing: Timing, connection: Arc<PeerConnection>, mut output: W) {
@@ -174,7 +176,7 @@
     connection.close();
 }
 
-/// Writes an encoded frame after its length prefix.
+/// Writes the length prefix and an encoded frame.
 async fn write_frame<W: AsyncWrite + Unpin>(output: &mut W, frame: Bytes) -> io::Result<()> {
     let mut bytes = BytesMut::new();
     frame::length_codec().encode(frame, &mut bytes)?;
--- a/crates/peer-transport/src/session/tests.rs
+++ b/crates/peer-transport/src/session/tests.rs
@@ -13,8 +13,8 @@
     Handshake { version: PROTOCOL_VERSION, fleet: FLEET.into(), sender: process(name), voter_id: None }
 }
 
-/// Runs a connection of the process "own" on which a peer writes only these frames, and returns why
-/// it ends.
+/// Runs a connection of the process "own" to a peer that writes only these frames. Returns the
+/// reason for the end of the connection.
 async fn end_after(frames: &[Frame]) -> ConnectionError {
     let config = TransportConfig {
         fleet: FLEET.into(),
--- a/crates/peer-transport/src/shared.rs
+++ b/crates/peer-transport/src/shared.rs
@@ -1,6 +1,6 @@
-//! The state of all connections of one process: [`Shared`]. It spawns no task; the tasks in
-//! `accept`, `dial` and `session` use it, and [`PeerTransport`](crate::PeerTransport) is its public
-//! interface.
+//! The state of all connections of one process: [`Shared`]. The tasks in `accept`, `dial` and
+//! `session` use this state, which spawns no tasks itself. [`PeerTransport`](crate::PeerTransport)
+//! is its public interface.
 
 use crate::config::{Peer, Timing, TransportConfig};
 use crate::connection::PeerConnection;
@@ -15,19 +15,19 @@
 use std::ops::Range;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 
-/// The factors by which a backoff is multiplied, so that the peers of a process that restarts do
-/// not all dial it at the same time.
+/// The range of the factor by which a backoff is multiplied, so that the peers of a restarted
+/// process do not all dial it at the same time.
 const JITTER_FACTORS: Range<f64> = 0.5..1.5;
 
 /// The state that changes while the transport runs.
 #[derive(Default)]
 struct State {
-    /// The voter id that this process announces.
+    /// The voter id that this process announces, if it holds one.
     voter_id: Option<u8>,
     connections: BTreeMap<Process, Arc<PeerConnection>>,
-    /// The peers to dial, and their addresses.
+    /// The peers to dial, with their addresses.
     peers: BTreeMap<Process, SocketAddr>,
-    /// The peers that have a task that dials.
+    /// The peers for which a task of `dial` runs.
     dialing: BTreeSet<Peer>,
 }
 
@@ -36,10 +36,10 @@
     pub(crate) network: N,
     pub(crate) config: TransportConfig,
     handler: OnceLock<Arc<dyn MessageHandler>>,
-    /// Guards the connections and the peers. No connection is closed, and the handler is not
-    /// called, while it is held.
+    /// The connections and the peers. While the lock is held, no connection is closed and the
+    /// handler is not called.
     state: Mutex<State>,
-    /// Guards the random numbers of the jitter; it is held for single draws.
+    /// The random numbers of the jitter. The lock is held for single draws only.
     rng: Mutex<StdRng>,
 }
 
@@ -62,7 +62,7 @@
     ///
     /// # Panics
     ///
-    /// If no handler was set: the transport must have one before it listens or dials.
+    /// If no handler was set; a handler must be set before the transport listens or dials.
     pub(crate) fn handler(&self) -> &dyn MessageHandler {
         &**self.handler.get().expect("set_handler is called before listen and set_peers")
     }
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Sets the voter id that handshakes announce. If it changes, all connections are closed, since
-    /// only a handshake announces it.
+    /// Sets the voter id that handshakes announce. If the voter id changes, all connections are
+    /// closed, since peers learn of it only by a new handshake.
     pub(crate) fn set_voter_id(&self, voter_id: Option<u8>) {
         let connections = {
             let mut state = self.state();
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Adds an established connection. An earlier one with the same peer is closed.
+    /// Adds an established connection, and closes an earlier one with the same peer.
     pub(crate) fn add_connection(&self, connection: &Arc<PeerConnection>) {
         let peer = connection.peer();
         let replaced = self.state().connections.insert(peer.clone(), Arc::clone(connection));
@@ -103,7 +103,7 @@
         self.handler().on_connected(peer, connection.voter_id());
     }
 
-    /// Removes a connection that has ended, unless another one has replaced it.
+    /// Removes an ended connection, unless another connection has replaced it.
     pub(crate) fn remove_connection(&self, connection: &Arc<PeerConnection>) {
         let peer = connection.peer();
         let is_removed = {
@@ -136,7 +136,7 @@
         self.state().connections.contains_key(peer)
     }
 
-    /// Sets the peers to dial, and returns those for which the caller has to start a task.
+    /// Sets the peers to dial, and returns the peers for which the caller must start a task.
     pub(crate) fn set_peers(&self, peers: Vec<Peer>) -> Vec<Peer> {
         let mut state = self.state();
         state.peers = peers.iter().map(|peer| (peer.process.clone(), peer.address)).collect();
@@ -149,17 +149,17 @@
         to_start
     }
 
-    /// Whether this peer with this address is in the list of peers.
+    /// Whether a peer is in the list of peers with the same address.
     pub(crate) fn is_peer(&self, peer: &Peer) -> bool {
         self.state().peers.get(&peer.process) == Some(&peer.address)
     }
 
-    /// Records the end of the task that dialled this peer.
+    /// Records that the task that dialled a peer has ended.
     pub(crate) fn remove_dialing(&self, peer: &Peer) {
         self.state().dialing.remove(peer);
     }
 
-    /// Returns a random factor of [`JITTER_FACTORS`].
+    /// Returns a random factor in [`JITTER_FACTORS`].
     pub(crate) fn jitter_factor(&self) -> f64 {
         lock(&self.rng).random_range(JITTER_FACTORS)
     }
--- a/crates/peer-transport/src/transport.rs
+++ b/crates/peer-transport/src/transport.rs
@@ -1,4 +1,4 @@
-//! The public interface to all connections of one process: [`PeerTransport`].
+//! The public interface of the transport: [`PeerTransport`].
 
 use crate::accept;
 use crate::config::{Peer, TransportConfig};
@@ -15,10 +15,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// The connections of one process with others of its fleet.
+/// The connections of one process with the other processes of its fleet.
 ///
-/// [`PeerTransport::listen`] and [`PeerTransport::set_peers`] spawn tasks. They must be called
-/// inside a tokio runtime, and after [`PeerTransport::set_handler`].
+/// [`PeerTransport::listen`] and [`PeerTransport::set_peers`] spawn tasks, so they must be called
+/// inside a tokio runtime. They must be called after [`PeerTransport::set_handler`].
 pub struct PeerTransport<N: Network> {
     shared: Arc<Shared<N>>,
 }
@@ -30,39 +30,38 @@
         Arc::new(PeerTransport { shared: Arc::new(Shared::new(network, config)) })
     }
 
-    /// Sets the handler of messages; only the first call has an effect.
+    /// Sets the handler of messages and events; only the first call has an effect.
     pub fn set_handler(&self, handler: Arc<dyn MessageHandler>) {
         self.shared.set_handler(handler);
     }
 
-    /// Accepts connections at this address until the returned task is aborted. Established
-    /// connections stay.
+    /// Accepts connections at an address until the returned task is aborted. Established
+    /// connections stay open after that.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened at.
+    /// If this process cannot listen at the address.
     pub async fn listen(&self, address: SocketAddr) -> io::Result<JoinHandle<()>> {
         let listener = self.shared.network.bind(address).await?;
         Ok(tokio::spawn(accept::accept_connections(Arc::clone(&self.shared), listener)))
     }
 
-    /// Sets the peers to dial, except for this process itself. Established connections stay.
+    /// Sets the peers to dial; this process itself is skipped. Established connections stay open.
     pub fn set_peers(&self, peers: Vec<Peer>) {
         for peer in self.shared.set_peers(peers) {
-            // The task ends when a later call does not set the peer.
+            // The task ends after a later call whose peers do not include this one.
             tokio::spawn(dial::keep_connected(Arc::clone(&self.shared), peer));
         }
     }
 
-    /// Sets the voter id that this process holds, if any. If it changes, the established
-    /// connections end, since the handshake announces it; they are established again with the new
-    /// one.
+    /// Sets the voter id that this process holds, if any. If the voter id changes, all connections
+    /// are closed and established again, since only the handshake announces a voter id.
     pub fn set_voter_id(&self, voter_id: Option<u8>) {
         self.shared.set_voter_id(voter_id);
     }
 
-    /// Sends a message to a process. Returns false if it is dropped, since there is no connection
-    /// or no capacity in the send queue.
+    /// Sends a message to a process. Returns false if the message is dropped, because no connection
+    /// with the process is established or the send queue has no capacity.
     pub fn send(&self, to: &Process, body: Vec<u8>) -> bool {
         match self.shared.connection(to) {
             Some(connection) => connection.send_queue.push(&Frame::OneWay(body)),
@@ -73,13 +72,13 @@
     /// Sends a message to all connected processes.
     pub fn broadcast(&self, body: &[u8]) {
         for connection in self.shared.connections() {
-            // A peer for which it is dropped gets a request to resynchronise.
+            // A peer for which the message is dropped gets a request to resynchronise.
             connection.send_queue.push(&Frame::OneWay(body.to_vec()));
         }
     }
 
-    /// Sends a request to a process and waits for the response. `None` if there is no connection,
-    /// the peer has no response, or none arrived within the limit.
+    /// Sends a request to a process and waits for the response. Returns `None` if no connection is
+    /// established, if the peer has no response, or if none arrives within the limit.
     pub async fn request(&self, to: &Process, body: Vec<u8>, limit: Duration) -> Option<Vec<u8>> {
         let connection = self.shared.connection(to)?;
         let sent = connection.request(body);
@@ -92,8 +91,8 @@
         }
     }
 
-    /// Returns the connected process that holds this voter id; of several, the one that started
-    /// last.
+    /// Returns the connected process that holds a voter id. Of several processes with the same
+    /// voter id it is the one that started last.
     pub fn voter_process(&self, voter_id: u8) -> Option<Process> {
         let connections = self.shared.connections();
         let holders = connections.iter().filter(|connection| connection.voter_id() == Some(voter_id));
@@ -105,12 +104,12 @@
         self.shared.connected_peers()
     }
 
-    /// Whether a connection with this process is established.
+    /// Whether a connection with a process is established.
     pub fn is_connected(&self, process: &Process) -> bool {
         self.shared.is_connected(process)
     }
 
-    /// Returns the state that the tasks share, for tests of the crate.
+    /// Returns the shared state of the tasks, for the tests of this crate.
     #[cfg(test)]
     pub(crate) fn shared(&self) -> &Arc<Shared<N>> {
         &self.shared
--- a/crates/peer-transport/tests/transport.rs
+++ b/crates/peer-transport/tests/transport.rs
@@ -1,4 +1,4 @@
-//! Transports of several processes on a network in memory, with tokio's clock paused.
+//! Transports of several processes on an in-memory network, with tokio's clock paused.
 
 use pinetrail_peer_transport::{
     ConnectionError, MessageHandler, Network, Peer, PeerTransport, Process, Timing, TransportConfig,
@@ -17,7 +17,7 @@
 /// The timeout of requests and conditions.
 const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Carries connections between listeners of the same value.
+/// An in-memory network. All clones share their listeners.
 #[derive(Clone, Default)]
 struct MemoryNetwork {
     listeners: Arc<Mutex<HashMap<SocketAddr, Sender<DuplexStream>>>>,
@@ -79,7 +79,7 @@
     peer: Peer,
 }
 
-/// Starts a process that accepts connections at an address with its number.
+/// Starts process `number`, which accepts connections at an address with the same number.
 async fn start(network: &MemoryNetwork, number: u8) -> Node {
     let process = Process { name: format!("n{number}").as_str().into(), start: u64::from(number) };
     let address = SocketAddr::from((Ipv4Addr::new(10, 0, 0, number), 7947));
@@ -97,7 +97,7 @@
     Node { transport, handler, peer: Peer { process, address } }
 }
 
-/// Waits for a condition, on the clock of the test.
+/// Waits until a condition holds, for at most [`TEST_TIMEOUT`] on the test's clock.
 async fn wait_until(condition: impl Fn() -> bool) {
     timeout(TEST_TIMEOUT, async {
         while !condition() {
@@ -105,10 +105,10 @@
         }
     })
     .await
-    .expect("the condition holds in time");
+    .expect("the condition holds within the timeout");
 }
 
-/// Two processes, of which the first has dialled the second.
+/// Returns two connected processes, of which the first has dialled the second.
 async fn connected_pair() -> (Node, Node) {
     let network = MemoryNetwork::default();
     let first = start(&network, 1).await;
