--- a/crates/peer-transport/src/connection.rs
+++ b/crates/peer-transport/src/connection.rs
@@ -57,7 +57,8 @@
         self.handshake.voter_id
     }
 
-    /// Queues a request. If it does not fit into the queue, the response receiver fails at once.
+    /// Queues a request. If it does not fit into the queue, the receiver of the response fails at
+    /// once.
     pub(crate) fn request(&self, body: Vec<u8>) -> SentRequest {
         let (sender, response) = oneshot::channel();
         let id = {
--- a/crates/quota/src/leader_term.rs
+++ b/crates/quota/src/leader_term.rs
@@ -38,7 +38,7 @@
     },
 }
 
-/// The kind of an election, by which the processes that vote differ.
+/// The kind of an election, which determines the processes that vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ElectionKind {
     /// An election among the voters of the view that the candidate knows.
