--- a/crates/drift/src/alarm.rs
+++ b/crates/drift/src/alarm.rs
@@ -1,83 +1,84 @@
-//! [`Alarms`]: when drift is an alarm. It is one once it has lasted, and no second time until the
-//! process was without drift for long enough. The rule is [`AlarmRecord::update`].
+//! [`Alarms`] decides when drift raises an alarm: once the drift of a process has lasted for the
+//! alarm delay, and not again until the process has been without drift for the recovery time. The
+//! rule is [`AlarmRecord::update`].
 
 use crate::{DriftDetector, DriftState, ProcessKey, Timestamp, Timing, TrackedProcess};
 use std::collections::BTreeMap;
 
-/// An alarm: a process that does not have the approved policy active.
+/// An alarm about a process that does not have the approved policy active.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Alarm {
-    /// The process.
+    /// The process that drifts.
     pub process: ProcessKey,
     /// The kind of drift.
     pub state: DriftState,
-    /// The parts that differ.
+    /// The names of the parts that differ from the approved policy, in order.
     pub differing_parts: Vec<String>,
 }
 
-/// Whether the alarm about a process was raised and is not over.
+/// Whether the alarm about a process was raised and the process has not recovered since.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum AlarmState {
-    /// It was not raised, or the process has recovered since.
+    /// The alarm was not raised, or the process has recovered since.
     #[default]
     NotRaised,
-    /// It was raised, here or at another process.
+    /// The alarm was raised, by this process or by another one.
     Raised,
 }
 
-/// How the state of a process has developed.
+/// Whether a process drifts or recovers, and since when.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Trend {
-    /// Neither drift nor recovery was seen.
+    /// The process was seen neither drifting nor recovering.
     #[default]
     Undetermined,
-    /// It drifts.
+    /// The process drifts.
     Drifting {
-        /// When that began.
+        /// When the drift began.
         since: Timestamp,
     },
-    /// It has the approved policy active, or had it when its state was last certain.
+    /// The process has the approved policy active, or had it when its state was last certain.
     Recovering {
-        /// When that began.
+        /// When the recovery began.
         since: Timestamp,
     },
 }
 
 impl Trend {
-    /// The trend after the present state of the process.
+    /// Returns the trend that follows from this one and the present state of the process.
     fn after(self, now: Timestamp, tracked: &TrackedProcess) -> Trend {
         match (tracked.state, self) {
             (state, Trend::Drifting { since }) if state.is_drift() => Trend::Drifting { since },
             (state, _) if state.is_drift() => Trend::Drifting { since: tracked.state_since },
             (DriftState::Same, Trend::Recovering { since }) => Trend::Recovering { since },
             (DriftState::Same, _) => Trend::Recovering { since: now },
-            // A state that is neither drift nor `Same` neither begins nor interrupts a recovery.
+            // A state other than drift and `Same` neither begins nor interrupts a recovery.
             (_, Trend::Recovering { since }) => Trend::Recovering { since },
             (_, Trend::Drifting { .. } | Trend::Undetermined) => Trend::Undetermined,
         }
     }
 }
 
-/// Whether an alarm is due.
+/// Whether the alarm about a process is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AlarmDecision {
-    /// The leader must raise it now.
+    /// The leader must raise the alarm now.
     Due,
-    /// The process does not drift, or not for long enough.
+    /// The process does not drift, or has drifted for less than the alarm delay.
     NoLastingDrift,
-    /// It was raised already.
+    /// The alarm was raised already.
     AlreadyRaised,
 }
 
-/// The record of one process.
+/// The trend of one process and the state of the alarm about it.
 #[derive(Default)]
 struct AlarmRecord {
     trend: Trend,
     alarm: AlarmState,
 }
 
-/// The alarms that were raised. Every process keeps them, so that a new leader knows which ones its
-/// predecessor raised.
+/// The alarms about all processes. Every process keeps them, so that a new leader knows which
+/// alarms its predecessor raised.
 #[derive(Default)]
 pub struct Alarms {
     timing: Timing,
@@ -85,26 +86,26 @@
 }
 
 impl Alarms {
-    /// No alarm was raised.
+    /// Creates the state in which no alarm was raised.
     pub fn new(timing: Timing) -> Alarms {
         Alarms { timing, ..Alarms::default() }
     }
 
-    /// Records that the alarm about a process was raised, here or at another process.
+    /// Records that the alarm about a process was raised, by this process or by another one.
     pub fn mark_raised(&mut self, process: ProcessKey) {
         self.records.entry(process).or_default().alarm = AlarmState::Raised;
     }
 
-    /// The processes about which an alarm was raised, and that did not recover since.
+    /// Returns the processes about which an alarm was raised and that have not recovered since.
     pub fn all_raised(&self) -> Vec<ProcessKey> {
         let raised = self.records.iter().filter(|(_, record)| record.alarm == AlarmState::Raised);
         raised.map(|(process, _)| process.clone()).collect()
     }
 
-    /// Takes the present states; returns the alarms that are due.
+    /// Updates the records of all processes from the detector and returns the alarms that are due.
     ///
-    /// Invariant: an alarm stays due until [`Alarms::mark_raised`]: a new leader raises what its
-    /// predecessor did not raise before it failed.
+    /// Invariant: an alarm stays due until [`Alarms::mark_raised`] is called, so that a new leader
+    /// raises the alarms that its predecessor did not raise before it failed.
     pub fn due(&mut self, now: Timestamp, detector: &DriftDetector) -> Vec<Alarm> {
         let processes: Vec<TrackedProcess> = detector.processes().collect();
         self.records.retain(|process, _| processes.iter().any(|tracked| tracked.process == *process));
@@ -124,13 +125,12 @@
 }
 
 impl AlarmRecord {
-    /// Takes the present state of a process.
+    /// Decides whether the alarm about a process is due, and when a raised alarm is over.
     ///
-    /// Decides: whether the alarm about a process is due, and when it is over.
-    /// Inputs: the time now and since when the process drifts or has recovered (own clock); whether
-    /// the alarm was raised; the alarm delay and the recovery time.
-    /// Reason: operators need one alarm for a drift that lasts, none for a short one, and not one
-    /// for each time that a process alternates between both.
+    /// Inputs: the time now and since when the process drifts or recovers (own clock); whether the
+    /// alarm was raised; the alarm delay and the recovery time.
+    /// Reason: operators need one alarm for a drift that lasts and none for a short one. A process
+    /// that alternates between drift and no drift must not raise an alarm each time.
     /// Source: docs/policy-design.md.
     fn update(&mut self, now: Timestamp, tracked: &TrackedProcess, timing: Timing) -> AlarmDecision {
         self.trend = self.trend.after(now, tracked);
--- a/crates/drift/src/alarm/tests.rs
+++ b/crates/drift/src/alarm/tests.rs
@@ -5,7 +5,7 @@
     BTreeMap::from([("Orgs".to_owned(), digest)])
 }
 
-/// One process that reports every 100 ms, and a leader that raises what is due.
+/// One process that reports every 100 ms, and a leader that raises each alarm that is due.
 struct Fixture {
     detector: DriftDetector,
     alarms: Alarms,
@@ -21,7 +21,8 @@
         Fixture { detector, alarms: Alarms::new(Timing::default()), sequence: 0, raised: 0 }
     }
 
-    /// The process reports this digest for a while; how many alarms were raised since the start.
+    /// Reports this digest every 100 ms from `from` to before `until`, both in ms. Returns the
+    /// number of alarms that were raised since the start.
     fn report(&mut self, from: u64, until: u64, digest: u64) -> usize {
         for millis in (from..until).step_by(100) {
             self.sequence += 1;
@@ -36,7 +37,7 @@
             self.detector.record_report(now, ProcessKey { name: "a".to_owned(), start: 1 }, report);
             for alarm in self.alarms.due(now, &self.detector) {
                 let due_again = self.alarms.due(now, &self.detector);
-                assert_eq!(due_again.len(), 1, "it stays due until it was raised");
+                assert_eq!(due_again.len(), 1, "an alarm stays due until it is marked as raised");
                 self.alarms.mark_raised(alarm.process);
                 self.raised += 1;
             }
@@ -49,11 +50,11 @@
 fn lasting_drift_is_one_alarm_and_alternating_drift_no_second_one() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.report(1000, 5000, 1), 0);
-    assert_eq!(fixture.report(5000, 5400, 2), 0, "a short drift is no alarm");
+    assert_eq!(fixture.report(5000, 5400, 2), 0, "drift below the alarm delay raises no alarm");
     assert_eq!(fixture.report(5400, 6000, 1), 0);
     assert_eq!(fixture.report(6000, 8000, 2), 1);
     assert_eq!(fixture.report(8000, 9000, 1), 1);
-    assert_eq!(fixture.report(9000, 12_000, 2), 1, "it did not recover for long enough");
+    assert_eq!(fixture.report(9000, 12_000, 2), 1, "the process recovered for less than the recovery time");
     assert_eq!(fixture.report(12_000, 18_000, 1), 1);
     assert_eq!(fixture.report(18_000, 19_000, 2), 2);
 }
--- a/crates/drift/src/detector.rs
+++ b/crates/drift/src/detector.rs
@@ -1,32 +1,32 @@
-//! [`DriftDetector`]: the state of each process, by its last report and by the age of that. The rule
-//! is [`ProcessRecord::state_at`].
+//! [`DriftDetector`] determines the drift state of each process from its last report and the age of
+//! that report. The rule is [`ProcessRecord::state_at`].
 
 use crate::{PartDigests, ProcessKey, ProcessStatus, Report, Timestamp, Timing};
 use std::cmp::Ordering;
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 
-/// How what a process has active compares with what was approved.
+/// How the active policy of a process compares with the approved one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DriftState {
-    /// It has what was approved active.
+    /// The process has the approved policy active.
     Same,
-    /// A change is under way, or was just committed.
+    /// The process is catching up, or a change of the policy is under way or was just committed.
     Changing,
-    /// It has an earlier version.
+    /// The process has an earlier version than the approved one active.
     Behind,
-    /// It has a later version than is known here.
+    /// The process has a later version active than the approved one known here.
     Ahead,
-    /// It has something else under the approved version's number.
+    /// The process has the number of the approved version active, but with other digests.
     Differs,
-    /// It admits nothing: its admission lease has ended.
+    /// The process admits no requests because its admission lease has ended.
     Fenced,
-    /// Its last report is too old: what it has active is not known.
+    /// The last report of the process is too old, so that its active policy is not known.
     Silent,
 }
 
 impl DriftState {
-    /// The word by which operators see it, on `/control/drift`.
+    /// Returns the name of the state in the response of `/control/drift`.
     pub fn as_str(self) -> &'static str {
         match self {
             DriftState::Same => "same",
@@ -39,65 +39,65 @@
         }
     }
 
-    /// Whether it is drift, and so may become an alarm.
+    /// Returns whether the state is drift, which raises an alarm if it lasts.
     pub fn is_drift(self) -> bool {
         matches!(self, DriftState::Behind | DriftState::Ahead | DriftState::Differs)
     }
 }
 
-/// What was approved.
+/// The approved version of the policy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ApprovedPolicy {
-    /// Its version.
+    /// The number of the version.
     pub version: u64,
-    /// Its digests, as this process would have it active.
+    /// The digests of the policy's parts that a process has with this version active.
     pub part_digests: PartDigests,
 }
 
-/// A process as the detector sees it.
+/// The drift state of a process and the report that it follows from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrackedProcess {
-    /// Which process it is.
+    /// The process.
     pub process: ProcessKey,
-    /// How it compares with what was approved.
+    /// How its active policy compares with the approved one.
     pub state: DriftState,
-    /// Since when it is in this state.
+    /// Since when the process is in this state.
     pub state_since: Timestamp,
-    /// Its last report.
+    /// The last report of the process.
     pub report: Report,
-    /// When that report arrived.
+    /// When the last report arrived.
     pub last_report_at: Timestamp,
-    /// The parts in which it differs from what was approved, in order.
+    /// The names of the parts that differ from the approved policy, in order.
     pub differing_parts: Vec<String>,
 }
 
-/// The record of a process.
+/// The last report of a process, and the state that follows from it.
 struct ProcessRecord {
     report: Report,
     last_report_at: Timestamp,
     state: DriftState,
     state_since: Timestamp,
-    /// Since when it reports a later version than the approved one.
+    /// Since when the process reports a later version than the approved one; `None` if it does not.
     ahead_since: Option<Timestamp>,
 }
 
-/// Compares the reports of all processes with what was approved.
+/// Compares the reports of all processes with the approved policy.
 #[derive(Default)]
 pub struct DriftDetector {
     timing: Timing,
     approved: ApprovedPolicy,
-    /// When `approved` was set.
+    /// When the approved version last changed.
     approved_at: Timestamp,
     processes: BTreeMap<ProcessKey, ProcessRecord>,
 }
 
 impl DriftDetector {
-    /// A detector to which no process has reported, and for which nothing was approved.
+    /// Creates a detector without reports and without an approved version.
     pub fn new(timing: Timing) -> DriftDetector {
         DriftDetector { timing, ..DriftDetector::default() }
     }
 
-    /// Sets what is approved, as far as this process knows.
+    /// Sets the approved version that this process knows, and updates all states.
     pub fn set_approved(&mut self, now: Timestamp, approved: ApprovedPolicy) {
         if approved != self.approved {
             self.approved = approved;
@@ -106,12 +106,13 @@
         self.refresh(now);
     }
 
-    /// What is approved.
+    /// Returns the approved version that this process knows.
     pub fn approved(&self) -> &ApprovedPolicy {
         &self.approved
     }
 
-    /// Records a report. One that is out of order or duplicated changes nothing.
+    /// Records a report and updates all states. A report that is out of order or duplicated changes
+    /// nothing.
     pub fn record_report(&mut self, now: Timestamp, process: ProcessKey, report: Report) {
         match self.processes.entry(process) {
             Entry::Occupied(mut entry) => {
@@ -135,7 +136,7 @@
         self.refresh(now);
     }
 
-    /// Updates all states to the present time.
+    /// Updates the states of all processes to the present time.
     pub fn refresh(&mut self, now: Timestamp) {
         let baseline =
             Baseline { timing: self.timing, approved: &self.approved, approved_at: self.approved_at };
@@ -149,7 +150,7 @@
         self.processes.retain(|process, _| is_known(process));
     }
 
-    /// All processes, in the order of their keys.
+    /// Returns all processes with their states, in the order of their keys.
     pub fn processes(&self) -> impl Iterator<Item = TrackedProcess> + '_ {
         self.processes.iter().map(|(process, record)| TrackedProcess {
             process: process.clone(),
@@ -162,7 +163,7 @@
     }
 }
 
-/// The values with which reports are compared.
+/// The timeouts and the approved version with which reports are compared.
 struct Baseline<'a> {
     timing: Timing,
     approved: &'a ApprovedPolicy,
@@ -183,14 +184,13 @@
         }
     }
 
-    /// The state of the process now.
+    /// Decides how the active policy of the process compares with the approved one.
     ///
-    /// Decides: how the process compares with the approved policy.
     /// Inputs: the time now and the arrival of the last report (own clock); the status, version and
     /// digests in that report; the approved version and digests; the silence timeout and the
     /// settling time.
-    /// Reason: what a process has active differs for a moment in every change, and an old report
-    /// must not pass for the present state.
+    /// Reason: during every change the active policy of a process differs briefly from the approved
+    /// one, which is no drift, and an old report must not be taken for the present state.
     /// Source: docs/policy-design.md.
     fn state_at(&self, now: Timestamp, baseline: &Baseline<'_>) -> DriftState {
         let age = now.saturating_duration_since(self.last_report_at);
@@ -204,13 +204,13 @@
         }
     }
 
-    /// The state of a process that admits requests.
+    /// Returns the state of a process that admits requests.
     fn compare_version(&self, now: Timestamp, baseline: &Baseline<'_>) -> DriftState {
         let settling_time = baseline.timing.settling_time;
         let is_settling = now.saturating_duration_since(baseline.approved_at) < settling_time;
         match self.report.version.cmp(&baseline.approved.version) {
             Ordering::Greater => {
-                // A report of a version may arrive before its approval is known here.
+                // A report of a new version may arrive before this process knows the approval.
                 let ahead_since = self.ahead_since.unwrap_or(now);
                 if now.saturating_duration_since(ahead_since) < settling_time {
                     DriftState::Changing
@@ -227,7 +227,8 @@
     }
 }
 
-/// The names of the parts that only one of the two has, or that have different digests.
+/// Returns the names of the parts that are missing from the report or from the approved policy, or
+/// whose digests differ.
 fn differing_parts(report: &Report, approved: &ApprovedPolicy) -> Vec<String> {
     let names = report.part_digests.keys().chain(approved.part_digests.keys());
     let is_different = |name: &&String| report.part_digests.get(*name) != approved.part_digests.get(*name);
--- a/crates/drift/src/detector/tests.rs
+++ b/crates/drift/src/detector/tests.rs
@@ -17,7 +17,7 @@
     Report { sequence, version, status: ProcessStatus::Admitting, part_digests, raised_alarms: vec![] }
 }
 
-/// Version 1 was approved at 0 ms.
+/// Returns a detector for which version 1 was approved at 0 ms.
 fn detector() -> DriftDetector {
     let mut detector = DriftDetector::new(Timing::default());
     detector.set_approved(at(0), ApprovedPolicy { version: 1, part_digests: digests(5) });
@@ -45,7 +45,7 @@
     assert_eq!(only_process(&detector).differing_parts, vec!["Grades".to_owned()]);
 
     detector.record_report(at(2600), process(), report(1, 1, 5));
-    assert_eq!(state(&detector), DriftState::Differs, "a late report changes nothing");
+    assert_eq!(state(&detector), DriftState::Differs, "a report that arrives out of order changes nothing");
 }
 
 #[test]
@@ -76,11 +76,11 @@
     assert_eq!(state(&detector), DriftState::Behind);
 
     detector.record_report(at(3200), process(), report(3, 3, 9));
-    assert_eq!(state(&detector), DriftState::Changing, "its approval may not be known here yet");
+    assert_eq!(state(&detector), DriftState::Changing, "the approval of version 3 may not have arrived yet");
     detector.record_report(at(4300), process(), report(4, 3, 9));
     assert_eq!(state(&detector), DriftState::Ahead);
     detector.refresh(at(4800));
-    assert_eq!(state(&detector), DriftState::Ahead, "and stays so");
+    assert_eq!(state(&detector), DriftState::Ahead, "the state stays while the process is ahead");
 
     let fenced = Report { status: ProcessStatus::Fenced, ..report(5, 1, 5) };
     detector.record_report(at(5000), process(), fenced);
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -1,8 +1,9 @@
-//! Drift: processes of a fleet that do not have the approved policy active. Read [`DriftDetector`]
-//! first: it takes the reports of processes, which may be late, duplicated or out of order, and
-//! keeps the [`DriftState`] of each process. [`Alarms`] decides when drift is an alarm.
+//! Detection of drift: processes of a fleet that do not have the approved policy active. Read
+//! [`DriftDetector`] first: it takes the reports of processes, which may be late, duplicated or out
+//! of order, and keeps the [`DriftState`] of each process. [`Alarms`] decides when drift raises an
+//! alarm.
 //!
-//! Nothing here waits, sends or reads a clock: the caller passes the time in, and raises the alarms
+//! This crate does no I/O and reads no clock: the caller passes the time in and raises the alarms
 //! that are due.
 
 mod alarm;
--- a/crates/drift/src/report.rs
+++ b/crates/drift/src/report.rs
@@ -1,50 +1,51 @@
-//! [`DriftMessage`]: the messages between processes, with the [`Report`] in it.
+//! [`DriftMessage`]: the messages between processes about drift, among them the [`Report`].
 //!
-//! Invariant: the order of fields and variants of all types here is the format (postcard) and must
-//! not change.
+//! Invariant: the order of the fields and variants of all types in this module is the format on the
+//! wire (postcard) and must not change.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A digest for each part of a policy, by the part's name.
+/// The digest of each part of a policy, by the name of the part.
 pub type PartDigests = BTreeMap<String, u64>;
 
-/// Identifies a process. Its name alone does not, since a restart keeps it.
+/// Identifies a process. The name alone does not identify it, since a restarted process has the
+/// same name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProcessKey {
-    /// The proxy's name.
+    /// The name of the proxy that the process belongs to.
     pub name: String,
-    /// When this process of it started, in Unix microseconds.
+    /// When the process started, in Unix microseconds.
     pub start: u64,
 }
 
 /// Whether a process admits requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessStatus {
-    /// It does, under the policy that it has active.
+    /// The process admits requests under its active policy.
     Admitting,
-    /// It does not: its admission lease has ended.
+    /// The process admits no requests because its admission lease has ended.
     Fenced,
-    /// It does not yet: it is catching up.
+    /// The process admits no requests yet because it is catching up with the policy.
     CatchingUp,
 }
 
-/// The report of a process about itself.
+/// The report of a process about its active policy.
 ///
-/// Invariant: the digests are computed from the live objects for each report, since a value that was
-/// once set may not be the one in use.
+/// Invariant: the digests are computed for each report from the objects in use, since these may not
+/// have the values that were set.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Counts the reports of a process.
+    /// The sequence number of the report among the reports of the process.
     pub sequence: u64,
-    /// The version that it has active, by its own account.
+    /// The version that the process states to have active.
     pub version: u64,
-    /// Whether it admits requests.
+    /// Whether the process admits requests.
     pub status: ProcessStatus,
-    /// The digests of the policy that it has active.
+    /// The digests of the parts of the active policy.
     pub part_digests: PartDigests,
-    /// The processes about which an alarm was raised, as far as it knows: a process that has just
-    /// started learns them from the reports of the others.
+    /// The processes about which an alarm was raised, as far as the sender knows. A process that
+    /// has just started learns of raised alarms from the reports of the others.
     pub raised_alarms: Vec<ProcessKey>,
 }
 
@@ -58,13 +59,14 @@
 }
 
 impl DriftMessage {
-    /// The message as bytes.
+    /// Encodes the message by postcard.
     pub fn encode(&self) -> Vec<u8> {
-        // Postcard encodes all of the types above without failure.
+        // Postcard cannot fail on the types above.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// The message that [`DriftMessage::encode`] wrote; none if the bytes are not a message.
+    /// Decodes a message that [`DriftMessage::encode`] wrote. Returns `None` if the bytes are not
+    /// exactly one message.
     pub fn decode(bytes: &[u8]) -> Option<DriftMessage> {
         match postcard::take_from_bytes(bytes) {
             Ok((message, [])) => Some(message),
--- a/crates/drift/src/timing.rs
+++ b/crates/drift/src/timing.rs
@@ -1,19 +1,19 @@
-//! [`Timing`]: the timeouts of the detector and of alarms.
+//! [`Timing`]: the timeouts of drift detection and of alarms.
 
 use std::time::Duration;
 
-/// The timeouts of the detector and of alarms.
+/// The timeouts of drift detection and of alarms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// A process without a report for this long is silent. Default: 1.6 s.
+    /// The time without a report after which a process is silent. Default: 1.6 s.
     pub silence_timeout: Duration,
-    /// After an approval every process must have the version active within this time; until then
-    /// another version is a change under way, and no drift. Default: 1 s.
+    /// The time after an approval within which every process must have the version active. Until
+    /// then another version is a change under way and no drift. Default: 1 s.
     pub settling_time: Duration,
-    /// Drift that lasts this long is an alarm. Default: 500 ms.
+    /// The time for which drift must last to raise an alarm. Default: 500 ms.
     pub alarm_delay: Duration,
-    /// After an alarm a process must be without drift for this long before it can raise another.
-    /// Default: 5 s.
+    /// The time for which a process must be without drift after an alarm before another alarm about
+    /// it can be raised. Default: 5 s.
     pub recovery_time: Duration,
 }
 
--- a/crates/drift/tests/golden_bytes.rs
+++ b/crates/drift/tests/golden_bytes.rs
@@ -1,7 +1,6 @@
-//! The bytes of messages between processes about drift, recorded from the program before names in
-//! it were changed. They must not change: processes of different versions talk to each other, so a
-//! new version must write what an old one reads, and read what an old one writes. A test that fails
-//! here says that the program has changed its format; the recorded bytes are not to be adapted.
+//! Guards against a change of the format of messages about drift. Processes of different versions
+//! exchange these messages, so that a new version must write what an old one reads, and read what
+//! an old one writes. If a test here fails, the program is to be corrected, not the recorded bytes.
 
 use pinetrail_drift::{DriftMessage, ProcessKey, ProcessStatus, Report};
 use std::collections::BTreeMap;
@@ -15,7 +14,8 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// The value is written as the recorded bytes, and the recorded bytes are read as the value.
+/// Asserts that the message is encoded as the recorded bytes and that these are decoded as the
+/// message.
 fn assert_recorded(value: &DriftMessage, recorded: &str) {
     assert_eq!(hex(&value.encode()), recorded, "encoding of {value:?}");
     assert_eq!(DriftMessage::decode(&bytes(recorded)).as_ref(), Some(value), "decoding of {recorded}");
@@ -25,7 +25,8 @@
     ProcessKey { name: name.to_owned(), start }
 }
 
-/// A report in which every field has a value that appears nowhere else in it.
+/// Returns a report in which each field has a value that appears nowhere else in the report, so
+/// that swapped fields change the bytes.
 fn report(status: ProcessStatus) -> Report {
     Report {
         sequence: 300,
@@ -39,7 +40,8 @@
     }
 }
 
-/// The recorded bytes for each variant. A new variant does not compile until it has some.
+/// Returns the recorded bytes of the report with this status. The `match` does not compile until a
+/// new variant has recorded bytes.
 fn recorded_report(status: ProcessStatus) -> &'static str {
     match status {
         ProcessStatus::Admitting => {
@@ -76,7 +78,7 @@
     assert_recorded(&DriftMessage::Report(empty), "000000020000");
 }
 
-/// Does not compile when a kind of message is added, until its bytes are recorded as well.
+/// The `match` does not compile until a new kind of message has recorded bytes.
 #[test]
 fn every_kind_of_message_has_recorded_bytes() {
     let recorded = |message: &DriftMessage| match message {
