--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -1,27 +1,27 @@
-//! What a member counts: [`MembershipCounters`].
+//! [`MembershipCounters`]: the counters of a member.
 
-/// What a member has counted since it started. `stats` lists each field under a name of its own.
+/// The counters of a member since it started. `stats` lists each field under another name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MembershipCounters {
     /// Probes sent to members directly.
     pub probes: u64,
-    /// Probes that other members were asked to make.
+    /// Probes that other members were asked to send.
     pub probes_indirect: u64,
-    /// Probes without a response, directly and indirectly.
+    /// Probes that got neither a direct nor an indirect response.
     pub probes_failed: u64,
-    /// Members found failed.
+    /// Members declared failed.
     pub failed: u64,
     /// Members that announced that they leave.
     pub left: u64,
-    /// Times that others took this member for failed and it rejoined.
+    /// Times that this member rejoined after others had declared it failed.
     pub rejoined: u64,
     /// Suspicions of this member that it refuted.
     pub refuted: u64,
-    /// Times that this process did not run when a timer was due.
+    /// Pauses of this process, detected by timers that were handled late.
     pub pauses: u64,
-    /// Members named in datagrams sent.
+    /// Members named in the datagrams sent.
     pub updates_sent: u64,
-    /// Members named in datagrams received.
+    /// Members named in the datagrams received.
     pub updates_received: u64,
     /// Datagrams sent.
     pub datagrams_sent: u64,
@@ -31,14 +31,14 @@
     pub datagrams_received: u64,
     /// Bytes of the datagrams received.
     pub bytes_received: u64,
-    /// Datagrams dropped: not of this protocol.
+    /// Datagrams dropped because they are not of this protocol.
     pub dropped_unknown_protocol: u64,
-    /// Datagrams dropped: of a newer version of the format.
+    /// Datagrams dropped because their format is newer than this program.
     pub dropped_unsupported_version: u64,
-    /// Datagrams dropped: damaged, or with content that cannot be true.
+    /// Datagrams dropped because they are damaged or have invalid content.
     pub dropped_corrupt: u64,
-    /// Datagrams dropped: of another fleet.
+    /// Datagrams dropped because they are of another fleet.
     pub dropped_other_fleet: u64,
-    /// Members rejected because the fleet has its full size.
+    /// Members rejected because the fleet has reached its configured size.
     pub dropped_fleet_full: u64,
 }
--- a/crates/membership/src/events.rs
+++ b/crates/membership/src/events.rs
@@ -1,4 +1,4 @@
-//! The events for the rest of the program: [`MembershipEvent`].
+//! [`MembershipEvent`]: the events that a member reports to the rest of the program.
 
 use crate::record::{MemberRecord, MemberState, PartitionSide};
 use std::net::SocketAddr;
@@ -10,43 +10,43 @@
 pub enum MembershipEvent {
     /// The state of a member has changed, or another process has taken its name.
     MemberChanged {
-        /// The member, as it is believed to be now.
+        /// The member in its new state.
         record: MemberRecord,
-        /// The start of the process that had the name before (in Unix microseconds) and its state;
-        /// none if the name is new.
+        /// The start, in Unix microseconds, and the state of the process that had the name before;
+        /// `None` if the name is new.
         previous: Option<(u64, MemberState)>,
     },
-    /// The record of a member that had failed or left was removed.
+    /// The record of the member of this name, which had failed or left, was removed.
     Forgotten(Arc<str>),
-    /// This member is on another side of a partition, or the partition has healed.
+    /// The side of a partition that this member is on has changed, or the partition has healed.
     PartitionSide(PartitionSide),
     /// Another process has this member's name.
     NameConflict(NameConflict),
     /// The other process of this member's name has ended.
     NameConflictEnded,
-    /// The member at this address has reached its configured size, which is this many members, and
-    /// rejects this one.
+    /// The member at this address rejects this one because the fleet has reached the size that is
+    /// configured there, which is this number of members.
     FleetFull(SocketAddr, usize),
-    /// Others had taken this member for failed; it has rejoined.
+    /// This member has rejoined after others had declared it failed.
     Rejoined,
     /// This process did not run for this long.
     Paused(Duration),
 }
 
-/// Two processes with one name: this one, and another.
+/// A conflict between this process and another one with the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NameConflict {
     /// The address of the other process.
     pub other: SocketAddr,
-    /// Which of the two counts in the fleet.
+    /// The process that counts in the fleet.
     pub holder: NameHolder,
 }
 
-/// Which of two processes with one name counts in the fleet: the one that started later.
+/// The process that counts in the fleet, of two with one name: the one that started later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameHolder {
-    /// This process does.
+    /// This process counts in the fleet.
     ThisProcess,
-    /// The other one does, and this one is out of the fleet.
+    /// The other process counts in the fleet, so that this one is out of it.
     OtherProcess,
 }
--- a/crates/membership/src/golden_tests.rs
+++ b/crates/membership/src/golden_tests.rs
@@ -1,8 +1,7 @@
-//! The datagrams of members, recorded from the program before names in it were changed: each kind,
-//! the identity of a member, and SWIM as the library writes it. They must not change: processes of different
-//! versions talk to each other, so a new version must write what an old one reads, and read what
-//! an old one writes. A test that fails here says that the program has changed its format; the
-//! recorded bytes are not to be adapted.
+//! Guards against a change of the format of datagrams: of each kind, of the identity of a member,
+//! and of the messages of SWIM as the library encodes them. Processes of different versions
+//! exchange these datagrams, so that a new version must write what an old one reads, and read what
+//! an old one writes. If a test here fails, the program is to be corrected, not the recorded bytes.
 
 use crate::wire::{
     decode_body, decode_datagram, decode_member_id, encode_body, encode_datagram, DatagramKind,
@@ -27,7 +26,8 @@
     SocketAddr::from(([10, 0, 0, host], 7946))
 }
 
-/// The recorded datagram of each kind. A new kind does not compile until it has some.
+/// Returns the recorded datagram of this kind. The `match` does not compile until a new kind has a
+/// recorded datagram.
 fn recorded(kind: DatagramKind) -> &'static str {
     match kind {
         DatagramKind::Swim => "70740100d6503d43066764796e6961626f6479",
@@ -90,13 +90,13 @@
         timing: Timing::default(),
     };
     let (start, seed) = (1_700_000_000_000_000 + u64::from(host), u64::from(host));
-    Membership::new(settings, start, seed, Timestamp::ZERO).expect("good settings")
+    Membership::new(settings, start, seed, Timestamp::ZERO).expect("the settings are valid")
 }
 
 const LEAVES_AT_MS: u64 = 450;
 
-/// What two members send to each other until both have probed and one has left. Their third peer
-/// never answers; what goes to it is not recorded.
+/// The datagrams that two members exchange until both have sent a probe and one has left. The third
+/// configured peer never responds, and the datagrams to it are not recorded.
 const RECORDED_DATAGRAMS: &[&str] = &[
     "707401017db6f863066764796e6961026e318180f9c0c1c4820300000a0000018a3e",
     "70740101644d3c02066764796e6961026e328280f9c0c1c4820300000a0000028a3e",
@@ -159,8 +159,8 @@
      8180f9c0c1c48203ffffffff0f000a0000018a3e0a",
 ];
 
-/// The datagrams of SWIM among them are as the library encodes them: a request to join and its
-/// reply, probes and their replies, updates, the message that a member has left.
+/// Guards against a change of the encoding of SWIM's messages by the library: a request to join and
+/// its response, probes and their responses, updates, and the message that a member has left.
 #[test]
 fn two_members_join_probe_and_leave_by_the_recorded_datagrams() {
     let mut members = [member(1), member(2)];
@@ -189,7 +189,7 @@
             let Some(to) = to else { continue };
             let recorded = recorded.next().expect("no more is sent than was recorded");
             assert_eq!(hex(&datagram), *recorded, "to n{} at {now_ms} ms", to + 1);
-            // What the other one receives is what was recorded.
+            // The receiver decodes the recorded bytes, not the ones just written.
             in_flight.push((to, bytes(recorded)));
         }
     }
--- a/crates/membership/src/join_admission.rs
+++ b/crates/membership/src/join_admission.rs
@@ -1,59 +1,61 @@
-//! Which processes SWIM may learn of: [`JoinAdmission`]. The codec asks it about each member that a
-//! datagram names, before SWIM sees it. The rule is [`AdmissionState::admit`].
+//! [`JoinAdmission`] decides which processes SWIM may learn of. The codec checks each member that a
+//! datagram names before SWIM gets it. The rule is [`AdmissionState::admit`].
 
 use crate::identity::MemberId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A process that still sends although a later one has its name.
+/// A process that still sends messages of SWIM although a later process has its name.
 #[derive(Debug)]
 pub(crate) struct SupersededSender {
-    /// The address that it sends from.
+    /// The address of the sender.
     pub address: SocketAddr,
-    /// The later process.
+    /// The later process of the name.
     pub successor: MemberId,
 }
 
 /// Whether SWIM may learn of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionDecision {
-    /// It may.
+    /// SWIM may learn of the process.
     Admitted,
-    /// It may not: the fleet has its full size.
+    /// SWIM may not learn of the process because the fleet has reached its configured size.
     FleetFull,
 }
 
-/// What the codec and the membership share.
+/// The state that the codec and the membership share.
 #[derive(Debug)]
 pub(crate) struct AdmissionState {
-    /// This member.
+    /// The identity of this member.
     pub local_id: MemberId,
-    /// The most members, this one included.
+    /// The maximum number of members, this one included.
     pub max_members: usize,
-    /// The admitted members, by the hashes of their names; of each name the latest process.
+    /// The latest process of each admitted name, by the hash of the name.
     pub admitted: BTreeMap<u128, MemberId>,
-    /// Another process of this member's name that was named since this was last taken.
+    /// Another process of this member's name that a message of SWIM named. The membership takes it
+    /// after each message.
     pub conflicting: Option<MemberId>,
-    /// A superseded process that has sent something since this was last taken.
+    /// A superseded process that has sent a message of SWIM. The membership takes it after each
+    /// message.
     pub superseded: Option<SupersededSender>,
-    /// Members rejected because the fleet has its full size.
+    /// The number of rejections because the fleet has reached its configured size.
     pub rejected_full: u64,
-    /// Members that received datagrams named.
+    /// The number of members that received datagrams named.
     pub members_received: u64,
-    /// Bytes of the SWIM header that was encoded last.
+    /// The length of the SWIM header that was encoded last, in bytes.
     pub header_length: usize,
 }
 
-/// Admission of members; clones share one state.
+/// A handle to the admission of members; clones share one state.
 ///
-/// The lock guards the whole state. It is never held while SWIM runs, nor contended: one thread at
-/// a time drives a member.
+/// One lock guards the whole state. It is never held while SWIM runs, and never contended, since
+/// one thread at a time drives a member.
 #[derive(Clone, Debug)]
 pub(crate) struct JoinAdmission(Arc<Mutex<AdmissionState>>);
 
 impl JoinAdmission {
-    /// An admission that knows only this member.
+    /// Creates an admission without other members. `max_members` includes this member.
     pub(crate) fn new(local_id: MemberId, max_members: usize) -> JoinAdmission {
         JoinAdmission(Arc::new(Mutex::new(AdmissionState {
             local_id,
@@ -74,11 +76,11 @@
 }
 
 impl AdmissionState {
-    /// Admits a process if there is capacity for it.
+    /// Decides whether SWIM may learn of a process, and admits the process if so.
     ///
-    /// Decides: whether SWIM may learn of a process.
-    /// Inputs: its name and start; the admitted members; the most members, this one included.
-    /// Reason: a sender of datagrams could otherwise fill the memory with names.
+    /// Inputs: the name and start of the process; the admitted members; the maximum number of
+    /// members, this one included.
+    /// Reason: without a limit, a sender of datagrams could fill the memory with names.
     /// Source: none in SWIM; `fleet.size` in docs/fleet.md.
     pub(crate) fn admit(&mut self, id: &MemberId) -> AdmissionDecision {
         if id.name == self.local_id.name {
@@ -97,7 +99,8 @@
         decision
     }
 
-    /// Checks whether a process is admitted or can be, without admitting it; counts a rejection.
+    /// Checks whether a process is admitted or can be admitted, without admitting it. A rejection
+    /// is counted.
     pub(crate) fn check_capacity(&mut self, id: &MemberId) -> AdmissionDecision {
         let is_admitted = self.admitted.contains_key(&id.name_hash());
         if is_admitted || self.admitted.len() + 1 < self.max_members {
@@ -108,8 +111,8 @@
         }
     }
 
-    /// Records a sender if a later process of its name is admitted. This member then notifies the
-    /// sender, since no other process does.
+    /// Records the sender of a datagram if a later process of its name is admitted. This member
+    /// then notifies the sender, since no other process does.
     pub(crate) fn record_if_superseded(&mut self, sender: &MemberId) {
         let admitted = self.admitted.get(&sender.name_hash());
         if let Some(successor) = admitted.filter(|admitted| admitted.start > sender.start) {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Whether a process has this member's name and is not this process.
+    /// Returns whether another process has this member's name.
     pub(crate) fn conflicts_with(&self, id: &MemberId) -> bool {
         id.name == self.local_id.name && id.start != self.local_id.start
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,10 @@
-//! The membership of a fleet of proxies: which processes belong to it, which respond, and which have
-//! failed, by SWIM (Das, Gupta and Motivala, 2002). No I/O: datagrams and the time go in; datagrams
-//! and events come out. Equal inputs in the same order give equal outputs.
+//! The membership of a fleet of proxies: which processes belong to the fleet, which respond, and
+//! which have failed, by SWIM (Das, Gupta and Motivala, 2002). This crate does no I/O: the caller
+//! passes in datagrams and the time, and gets datagrams and events. Equal inputs in the same order
+//! give equal outputs.
 //!
-//! Read [`Membership`] first, then [`Output`]. SWIM itself (probes, suspicion, incarnations, gossip)
-//! is the library `foca`; here is what it lacks:
+//! Read [`Membership`] first, then [`Output`]. The library `foca` implements SWIM itself: probes,
+//! suspicion, incarnations and gossip. This crate adds what `foca` lacks:
 //!
 //! | concern | module |
 //! | --- | --- |
@@ -11,14 +12,14 @@
 //! | which processes may join | `join_admission` |
 //! | two processes with one name | `membership::name_conflict` |
 //! | states, [`MemberRecord`], and partitions, [`PartitionSide`] | `record`, `roster` |
-//! | finding peers at first, and again after a partition | `membership::discovery` |
+//! | contacting peers at the start, and again after a partition | `membership::discovery` |
 //! | suspicion and refutation | `swim::config`, `swim::runtime` |
-//! | the end of a suspicion that another member began | `suspicions`, `membership::suspicion_end` |
+//! | ending a suspicion that another member began | `suspicions`, `membership::suspicion_end` |
 //! | local health, pauses of this process | `health`, `membership::process_pause` |
 //! | the format of datagrams | `wire`, `swim::codec` |
 //!
-//! Invariant: no guarantee of the program may depend on this crate, which detects failures fast and
-//! may be wrong.
+//! Invariant: no guarantee of the program may depend on this crate, since its failure detection is
+//! fast and may be wrong.
 
 mod counters;
 mod events;
