--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -33,7 +33,7 @@
     pub bytes_received: u64,
     /// Datagrams dropped because they are not of this protocol.
     pub dropped_unknown_protocol: u64,
-    /// Datagrams dropped because their format is newer than this program.
+    /// Datagrams dropped because their format or kind is newer than this program.
     pub dropped_unsupported_version: u64,
     /// Datagrams dropped because they are damaged or have invalid content.
     pub dropped_corrupt: u64,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,13 +1,13 @@
-//! One member of a fleet. [`Membership`] owns all state of a member and its public interface; the
-//! modules below hold one concern of it each:
+//! One member of a fleet. [`Membership`] owns the whole state of a member; each module below
+//! handles one concern of it:
 //!
 //! - `datagrams`: receiving and sending;
-//! - `discovery`: finding the configured peers;
+//! - `discovery`: contacting the configured peers;
 //! - `name_conflict`: two processes with one name;
 //! - `process_pause`: time in which this process did not run;
 //! - `swim_effects`: the outputs of SWIM, and the changes that they cause;
 //! - `suspicion_end`: the end of each suspicion;
-//! - `departure`: leaving the fleet by request.
+//! - `departure`: leaving the fleet on request.
 
 mod datagrams;
 mod departure;
@@ -35,48 +35,48 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the roster is compared with SWIM when no event reports a change: suspicions that other
-/// members gossip come without an event.
+/// The interval at which the roster is compared with the state of SWIM even if no event reports a
+/// change, since SWIM reports no event for a suspicion that other members gossip.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// What the driver has to do.
+/// An action that the driver has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram to this address.
     Send(SocketAddr, Vec<u8>),
     /// Notify the rest of the program of an event.
     MembershipEvent(MembershipEvent),
-    /// Pass on a message about quota that another member sent.
+    /// Pass a quota message of another member to the quota driver.
     QuotaMessage(Vec<u8>),
-    /// Pass on a message of the peer directory that the member at this address sent.
+    /// Pass a message from the member at this address to the peer directory.
     DirectoryMessage(SocketAddr, Vec<u8>),
 }
 
 /// The purpose of a timer.
 enum TimerKind {
-    /// SWIM set it.
+    /// Passes a timer that SWIM has set back to SWIM.
     Swim(foca::Timer<MemberId>),
-    /// Contact the configured peers.
+    /// Contacts the configured peers.
     Discover,
-    /// Compare the roster with SWIM.
+    /// Compares the roster with the state of SWIM.
     Refresh,
-    /// Send to the other process of this name.
+    /// Sends to the other process of this name.
     NameConflict,
-    /// Tell a member that it is suspected.
+    /// Notifies a member that it is suspected.
     NotifySuspect(Suspicion),
-    /// Declare a suspected member failed.
+    /// Declares a suspected member failed.
     EndSuspicion(Suspicion),
 }
 
 /// The membership of a fleet as one of its members sees it.
 ///
-/// It does no I/O and reads no clock. Timestamps are of the driver's clock. The driver calls
-/// [`Membership::handle_datagram`] for each datagram and [`Membership::handle_timeout`] at
-/// [`Membership::next_timeout`], and carries out each [`Output`].
+/// A `Membership` does no I/O and reads no clock: all timestamps are of the driver's clock. The
+/// driver calls [`Membership::handle_datagram`] for each datagram and
+/// [`Membership::handle_timeout`] at [`Membership::next_timeout`], and carries out each [`Output`].
 pub struct Membership {
     settings: Settings,
     local_id: MemberId,
-    /// Seeds SWIM; changes each time that SWIM starts anew.
+    /// The seed of SWIM's random numbers. It changes each time that SWIM is replaced.
     seed: u64,
     admission: JoinAdmission,
     swim: Swim,
@@ -88,20 +88,19 @@
     local_state: LocalState,
     started_at: Timestamp,
     now: Timestamp,
-    /// Configured peers that were never seen.
+    /// The configured peers that were never seen as members.
     unseen_peers: Vec<SocketAddr>,
-    /// What was counted here, and by a SWIM that was replaced.
+    /// The counters of this module, and those of a SWIM that was replaced.
     counters: MembershipCounters,
 }
 
 impl Membership {
-    /// A member that knows no other member yet. `start` is when its process started, in Unix
-    /// microseconds.
-    /// Equal seeds and inputs give equal outputs.
+    /// Creates a member that knows no other member yet. `start` is the time at which its process
+    /// started, in Unix microseconds. Equal seeds and inputs give equal outputs.
     ///
     /// # Errors
     ///
-    /// The settings are invalid; see [`Settings::check`].
+    /// [`SettingsError`] if the settings are invalid; see [`Settings::check`].
     pub fn new(
         settings: Settings,
         start: u64,
@@ -142,13 +141,13 @@
         })
     }
 
-    /// When [`Membership::handle_timeout`] is to be called at the latest; none after this member
-    /// has left.
+    /// Returns when the driver has to call [`Membership::handle_timeout`] at the latest; `None`
+    /// after this member has left.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         self.timers.next()
     }
 
-    /// Does what is due by now.
+    /// Handles all timers that are due by `now`.
     pub fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.advance_clock(now, out);
         while let Some(timer) = self.timers.pop_due(now) {
@@ -156,7 +155,7 @@
                 TimerKind::Swim(timer) => self.handle_swim_timer(timer, out),
                 TimerKind::Discover => self.discover_peers(out),
                 TimerKind::Refresh => {
-                    // Names admitted with a message that SWIM then rejected are removed again.
+                    // Removes the names that were admitted from a message that SWIM then rejected.
                     self.swim.prune_admission();
                     self.refresh_roster(out);
                     self.timers.set(now + REFRESH_INTERVAL, TimerKind::Refresh);
@@ -168,11 +167,12 @@
         }
     }
 
-    /// Replaces the configured peers, and contacts the new ones at once.
+    /// Replaces the configured peers and contacts the new ones at once.
     ///
     /// # Errors
     ///
-    /// The settings would be invalid with these peers; nothing has changed then.
+    /// [`SettingsError`] if the settings are invalid with these peers; nothing changes in that
+    /// case.
     pub fn set_peers(
         &mut self,
         now: Timestamp,
@@ -190,17 +190,17 @@
         Ok(())
     }
 
-    /// This process, as others know it.
+    /// Returns the identity under which other members know this process.
     pub fn local_id(&self) -> &MemberId {
         &self.local_id
     }
 
-    /// Which side of a partition this member is on.
+    /// Returns the side of a partition that this member is on.
     pub fn side(&self) -> PartitionSide {
         self.side
     }
 
-    /// All members, this one included, in the order of their names.
+    /// Returns the records of all members, this one included, in the order of their names.
     pub fn members(&self) -> Vec<MemberRecord> {
         let has_left = self.local_state == LocalState::Left;
         let local = MemberRecord {
@@ -217,13 +217,13 @@
         members
     }
 
-    /// The other members that are alive or suspected: their addresses, and when they started, in
-    /// Unix microseconds.
+    /// Returns the address and the start, in Unix microseconds, of each other member that is alive
+    /// or suspected.
     pub fn live_peers(&self) -> impl Iterator<Item = (SocketAddr, u64)> + '_ {
         self.active_members().map(|id| (id.address, id.start))
     }
 
-    /// What was counted since this member started.
+    /// Returns the counters since this member started.
     pub fn counters(&self) -> MembershipCounters {
         let swim = self.swim.output.counters;
         let admission = self.admission.state();
--- a/crates/membership/src/membership/datagrams.rs
+++ b/crates/membership/src/membership/datagrams.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Sends a message about quota to a member, unless this process is out of the fleet.
+    /// Sends a quota message to a member, unless this process is out of the fleet.
     pub fn send_quota_message(&mut self, to: SocketAddr, body: &[u8], out: &mut Vec<Output>) {
         if self.is_name_holder() {
             self.send(DatagramKind::Quota, to, body, out);
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    /// Handles a message in which a member states its identity.
+    /// Handles a message whose body is the identity of a member.
     fn handle_member_message(
         &mut self,
         kind: DatagramKind,
@@ -155,7 +155,8 @@
             Err(foca::Error::Decode(_) | foca::Error::MalformedPacket | foca::Error::DataTooBig) => {
                 Err(DropReason::Corrupt)
             }
-            // A message for another member, or of this one, is no fault of the datagram.
+            // The datagram of a message that is for another member, or sent by this one, is not
+            // corrupt.
             Err(_) => Ok(()),
         }
     }
--- a/crates/membership/src/membership/departure.rs
+++ b/crates/membership/src/membership/departure.rs
@@ -1,4 +1,4 @@
-//! Leaving the fleet by request: [`Membership::leave`].
+//! Leaving the fleet on request: [`Membership::leave`].
 
 use super::{LocalState, Membership, Output};
 use crate::identity::LEAVE_GENERATION;
@@ -6,11 +6,11 @@
 use pinetrail_clock::Timestamp;
 use std::net::SocketAddr;
 
-/// A leaving member notifies this many others directly; they gossip it to the rest.
+/// The number of members that a leaving member notifies directly; gossip reaches the others.
 const LEAVE_FANOUT: usize = 16;
 
 impl Membership {
-    /// Leaves the fleet. From then on datagrams are counted and nothing else.
+    /// Leaves the fleet. Datagrams that arrive later are counted and otherwise ignored.
     pub fn leave(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.advance_clock(now, out);
         if self.is_name_holder() {
--- a/crates/membership/src/membership/discovery.rs
+++ b/crates/membership/src/membership/discovery.rs
@@ -1,5 +1,5 @@
-//! Contacting the configured peers, at the start and after a partition. See
-//! [`Membership::discover_peers`].
+//! Contacting the configured peers, at the start and after a partition. Read
+//! [`Membership::discover_peers`] first.
 
 use super::{Membership, Output, TimerKind};
 use crate::wire::{self, DatagramKind};
@@ -7,13 +7,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// For this long after its start a member also asks a live member for the members that it knows,
-/// each time that it contacts peers.
+/// The time after the start of a member during which it also asks a live member for the members
+/// that that one knows, each time that it contacts peers.
 const INITIAL_SYNC_PERIOD: Duration = Duration::from_secs(30);
 
 impl Membership {
-    /// Contacts the configured peers that are not among the live members, and does so again after
-    /// [`crate::Timing::discovery_interval`].
+    /// Contacts the configured peers that are not among the live members, and sets the timer to
+    /// repeat this after [`crate::Timing::discovery_interval`].
     pub(super) fn discover_peers(&mut self, out: &mut Vec<Output>) {
         if self.is_name_holder() {
             self.send_to_missing_peers(out);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Asks the live members in turn for the members that they know, one at each call.
+    /// Asks one live member, the next in turn at each call, for the members that it knows.
     fn sync_with_live_member(&mut self, out: &mut Vec<Output>) {
         let interval_ms = whole_millis(self.settings.timing.discovery_interval).max(1);
         let round = (self.now.as_millis() / interval_ms) as usize;
--- a/crates/membership/src/membership/name_conflict.rs
+++ b/crates/membership/src/membership/name_conflict.rs
@@ -1,5 +1,5 @@
-//! Two processes with one name. Both log the conflict for as long as both run, and only the one
-//! that started later counts in the fleet. Read [`LocalState`] first.
+//! Conflicts between two processes with one name. Both report the conflict while both run, and only
+//! the one that started later counts in the fleet. Read [`LocalState`] first.
 
 use super::{Membership, Output, TimerKind};
 use crate::events::{MembershipEvent, NameConflict, NameHolder};
@@ -9,38 +9,38 @@
 use pinetrail_clock::Timestamp;
 use std::time::Duration;
 
-/// How often each of the two processes sends to the other.
+/// The interval at which each of the two processes announces itself to the other.
 const CONFLICT_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1000);
-/// A conflict ends this long after the last message of the other process.
+/// The time after the last message of the other process at which a conflict ends.
 const CONFLICT_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// Which process holds this member's name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum LocalState {
-    /// This one, and it is the only process of the name.
+    /// This process holds the name, and no other process has it.
     SoleHolder,
-    /// This one; an earlier process of the name still runs.
+    /// This process holds the name, and an earlier process of the name still runs.
     Superseding {
         /// The earlier process.
         earlier: MemberId,
-        /// When its last message was received.
+        /// When the last message of the earlier process was received.
         last_seen: Timestamp,
     },
-    /// A later process: this one is out of the fleet while that one runs.
+    /// A later process holds the name, and this process is out of the fleet while that one runs.
     Superseded {
         /// The later process.
         later: MemberId,
-        /// When its last message was received.
+        /// When the last message of the later process was received.
         last_seen: Timestamp,
     },
-    /// None: this process has left the fleet.
+    /// This process does not hold the name because it has left the fleet.
     Left,
 }
 
 impl LocalState {
-    /// The state after a message of another process of this name.
+    /// Decides which of two processes with one name counts in the fleet, and returns the state
+    /// after a message of the other process.
     ///
-    /// Decides: which of two processes of one name counts in the fleet.
     /// Inputs: the starts of both processes, in Unix microseconds; the time now (own clock).
     /// Reason: the process that started later is the one that operators intend to run.
     /// Source: none in SWIM; docs/fleet.md.
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The conflict with another process, if there is one.
+    /// Returns the conflict with another process, if there is one.
     fn conflict(&self) -> Option<NameConflict> {
         match self {
             LocalState::Superseding { earlier, .. } => {
@@ -65,12 +65,12 @@
         }
     }
 
-    /// The other process of this name, if there is one, and whether the conflict with it is over.
+    /// Decides whether a name conflict has expired, and returns the other process of this name, if
+    /// there is one.
     ///
-    /// Decides: when a name conflict expires.
     /// Inputs: the time now and when the last message of the other process was received (own
     /// clock).
-    /// Reason: a process that has ended cannot announce it, so a timeout decides.
+    /// Reason: a process that has ended cannot announce its end, so that only a timeout shows it.
     /// Source: none in SWIM; docs/fleet.md.
     fn other_process(&self, now: Timestamp) -> Option<OtherProcess> {
         let (id, last_seen) = match self {
@@ -85,27 +85,28 @@
 /// The other process of this member's name.
 struct OtherProcess {
     id: MemberId,
-    /// Whether it was silent for so long that it must have ended.
+    /// Whether the process has been silent for [`CONFLICT_TIMEOUT`] and therefore counts as ended.
     has_ended: bool,
 }
 
 impl Membership {
-    /// The conflict with another process that has this member's name, if there is one.
+    /// Returns the conflict with another process that has this member's name, if there is one.
     pub fn name_conflict(&self) -> Option<NameConflict> {
         self.local_state.conflict()
     }
 
-    /// Whether this process counts in the fleet under its name.
+    /// Returns whether this process counts in the fleet under its name.
     pub fn is_name_holder(&self) -> bool {
         matches!(self.local_state, LocalState::SoleHolder | LocalState::Superseding { .. })
     }
 
-    /// Whether a later process has this one's name.
+    /// Returns whether a later process has this member's name.
     pub(super) fn is_superseded(&self) -> bool {
         matches!(self.local_state, LocalState::Superseded { .. })
     }
 
-    /// Records that another process of this name runs.
+    /// Records that another process with this member's name runs, and reports the conflict if it is
+    /// new.
     pub(super) fn record_name_conflict(&mut self, other: MemberId, out: &mut Vec<Output>) {
         let was_superseded = self.is_superseded();
         let before = self.local_state.conflict();
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Sends to the other process of this name, or ends the conflict if that one has ended.
+    /// Announces this process to the other one of its name, or ends the conflict if that one has
+    /// ended.
     pub(super) fn handle_name_conflict_timer(&mut self, out: &mut Vec<Output>) {
         let Some(other) = self.local_state.other_process(self.now) else { return };
         if !other.has_ended {
@@ -142,8 +144,8 @@
         self.refresh_roster(out);
     }
 
-    /// Rejoins as a process that started after that one: members that knew that one would ignore an
-    /// earlier one.
+    /// Rejoins with a start after that of the later process. Members that knew the later process
+    /// would ignore one with an earlier start.
     fn rejoin_as_successor_of(&mut self, later: &MemberId, out: &mut Vec<Output>) {
         self.local_id = self.local_id.with_start(later.start + 1);
         self.admission.state().local_id = self.local_id.clone();
--- a/crates/membership/src/membership/process_pause.rs
+++ b/crates/membership/src/membership/process_pause.rs
@@ -1,26 +1,31 @@
-//! Time in which this process did not run. See [`Membership::advance_clock`].
+//! Detection of pauses, in which this process did not run. Read [`Membership::advance_clock`]
+//! first.
 
 use super::{Membership, Output, TimerKind};
 use crate::events::MembershipEvent;
 use pinetrail_clock::Timestamp;
 use std::time::Duration;
 
-/// A timer that is handled later than this after it was due shows that this process did not run.
+/// The maximum delay with which a timer is handled while this process runs. A longer delay shows
+/// that the process did not run when the timer was due.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(20);
-/// A process that did not run for this long has paused.
+/// The time without running from which on the process has paused: local health worsens, and the
+/// pause is reported.
 const MIN_PAUSE: Duration = Duration::from_millis(200);
-/// A pause worsens local health by one, and by one more for each second up to this many.
+/// The maximum extra penalty of a pause: a pause worsens local health by one, and by one more for
+/// each second up to this number.
 const MAX_EXTRA_HEALTH_PENALTY: u64 = 2;
-/// After a pause, a suspected member has this fraction of the suspicion timeout to refute.
+/// The divisor of the suspicion timeout that gives the minimum time that a suspected member has to
+/// refute after a pause of this process.
 const REFUTATION_TIME_DIVISOR: u32 = 2;
 
 impl Membership {
-    /// Sets the clock, and postpones all timers by the time in which this process did not run.
+    /// Sets the clock, and decides when timers that were due during a pause of this process fire:
+    /// all timers are postponed by the time in which the process did not run.
     ///
-    /// Decides: when timers that were due during a pause of this process fire.
     /// Inputs: the time now and when the first timer was due (own clock); the suspicion timeout.
-    /// Reason: without it, this process would suspect others whose responses it has not read yet,
-    /// and suspicions would expire before they could be refuted.
+    /// Reason: otherwise this process would suspect others whose responses it has not read yet, and
+    /// suspicions would expire before they could be refuted.
     /// Source: Lifeguard (Dadgar, Phillips, Currey, 2018) for the effect on local health.
     pub(super) fn advance_clock(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
--- a/crates/membership/src/membership/suspicion_end.rs
+++ b/crates/membership/src/membership/suspicion_end.rs
@@ -1,25 +1,25 @@
-//! The end of each suspicion that this member holds, whoever began it: see
-//! [`Membership::track_suspicions`].
+//! Ending each suspicion that this member holds, whichever member began it. Read
+//! [`Membership::track_suspicions`] first.
 
 use super::{Membership, Output, TimerKind};
 use crate::suspicions::Suspicion;
 use std::time::Duration;
 
-/// A suspected member is told of a suspicion that has lasted for this many suspicion timeouts, and
-/// again after each further one.
+/// The number of suspicion timeouts after which a suspected member is notified of the suspicion,
+/// and between repeated notifications.
 const NOTIFY_AFTER_TIMEOUTS: u32 = 1;
-/// A member that has been suspected for this many suspicion timeouts has failed.
+/// The number of suspicion timeouts after which a suspected member is declared failed.
 const END_AFTER_TIMEOUTS: u32 = 3;
 
 impl Membership {
-    /// Sets the timers of suspicions that are new.
+    /// Sets the timers of new suspicions, which decide when a suspicion ends that no other member
+    /// ends.
     ///
-    /// Decides: when a suspicion ends that no other member ends.
     /// Inputs: the suspicion timeout of a fleet of this size; local health.
-    /// Reason: the member that began it may have failed or rejoined, and gossip may have ended
-    /// before it reached the suspected member.
+    /// Reason: the member that began the suspicion may have failed or rejoined, and its gossip may
+    /// have ended before it reached the suspected member.
     /// Source: SWIM (Das, Gupta and Motivala, 2002), section 4.2: each member that learns of a
-    /// suspicion ends it by its own timer; Lifeguard (Dadgar, Phillips, Currey, 2018) for telling
+    /// suspicion ends it by its own timer; Lifeguard (Dadgar, Phillips, Currey, 2018) for notifying
     /// the suspected member.
     pub(super) fn track_suspicions(&mut self) {
         let new = self.suspicions.update(self.swim.members());
@@ -36,7 +36,7 @@
         self.timers.set(notify_at, TimerKind::NotifySuspect(suspicion));
     }
 
-    /// Tells a member that it is suspected, so that it can refute the suspicion.
+    /// Notifies a member that it is suspected, so that it can refute the suspicion.
     pub(super) fn notify_suspect(&mut self, suspicion: Suspicion, out: &mut Vec<Output>) {
         self.refresh_roster(out);
         if !self.suspicions.holds(&suspicion) {
@@ -47,7 +47,7 @@
         self.set_notify_timer(self.swim.suspicion_timeout(), suspicion);
     }
 
-    /// Declares a member failed that has not refuted a suspicion.
+    /// Declares a member failed if it has not refuted the suspicion.
     pub(super) fn end_suspicion(&mut self, suspicion: Suspicion, out: &mut Vec<Output>) {
         self.refresh_roster(out);
         if !self.suspicions.holds(&suspicion) {
--- a/crates/membership/src/membership/swim_effects.rs
+++ b/crates/membership/src/membership/swim_effects.rs
@@ -9,7 +9,8 @@
 use crate::wire::DatagramKind;
 
 impl Membership {
-    /// Handles a timer that SWIM has set.
+    /// Passes a due timer back to SWIM, carries out the outputs, and removes the members that SWIM
+    /// no longer remembers from the roster.
     pub(super) fn handle_swim_timer(&mut self, timer: foca::Timer<MemberId>, out: &mut Vec<Output>) {
         let removes_member = matches!(timer, foca::Timer::RemoveDown(_));
         self.swim.handle_timer(timer);
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Carries out the outputs of SWIM.
+    /// Carries out the collected outputs of SWIM: messages, events and timers.
     pub(super) fn apply_swim_output(&mut self, out: &mut Vec<Output>) {
         for message in std::mem::take(&mut self.swim.output.messages) {
             self.send(DatagramKind::Swim, message.to.address, &message.bytes, out);
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Compares the roster with the state of SWIM now, and reports the changes.
+    /// Updates the roster to the present state of SWIM, and reports each change and the side of a
+    /// partition.
     pub(super) fn refresh_roster(&mut self, out: &mut Vec<Output>) {
         self.track_suspicions();
         let events = self.roster.update(self.now, self.swim.members());
@@ -93,7 +95,7 @@
         self.unseen_peers.retain(|peer| *peer != record.address);
     }
 
-    /// Sets a timer; one that waits for other members is longer if this member is slow itself.
+    /// Sets a timer of SWIM. A timer that waits for other members is scaled by local health.
     fn set_swim_timer(&mut self, SwimTimer { timer, after }: SwimTimer) {
         use foca::Timer::{ChangeSuspectToDown, ProbeRandomMember, SendIndirectProbe};
         let waits_for_others =
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,51 +1,53 @@
-//! [`MemberRecord`]: the state of one member as this one sees it; and [`PartitionSide`].
+//! [`MemberRecord`]: what this member knows about another one; and [`PartitionSide`].
 
 use pinetrail_clock::Timestamp;
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The state of a member, as this one sees it.
+/// The state of a member as this one sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It responds to probes.
+    /// The member responds to probes.
     Alive,
-    /// It responded neither to a direct nor to an indirect probe, and may still refute the
+    /// The member responded neither to a direct nor to an indirect probe, and may still refute the
     /// suspicion.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Failed,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
-/// Which side of a partition this member is on.
+/// The side of a partition that this member is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionSide {
-    /// There is no partition: all members are alive, as far as this one knows.
+    /// This member sees no partition: no member has failed, as far as it knows, and all configured
+    /// peers have been seen.
     Whole,
-    /// It sees more than half of the members.
+    /// This member sees more than half of the members, itself included.
     Majority,
-    /// It sees others, but at most half of the members.
+    /// This member sees others, but at most half of the members, itself included.
     Minority,
-    /// It sees no other member.
+    /// This member sees no other member.
     Alone,
 }
 
-/// One member.
+/// The record of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Its name.
+    /// The name of the member.
     pub name: Arc<str>,
-    /// When its process started, in Unix microseconds: this distinguishes processes of one name.
+    /// When the member's process started, in Unix microseconds. The start distinguishes processes
+    /// with one name.
     pub start: u64,
-    /// Its address.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Its state.
+    /// The state of the member.
     pub state: MemberState,
-    /// How often it refuted a suspicion since it joined or rejoined.
+    /// The number of suspicions that the member refuted since it joined or rejoined.
     pub incarnation: u16,
-    /// Since when it is in this state, by the clock of the member that keeps this record.
+    /// Since when the member is in this state, by the clock of the member that keeps this record.
     pub since: Timestamp,
 }
 
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,5 +1,5 @@
-//! [`Roster`]: the records of all other members, updated from the state of SWIM, and the side of a
-//! partition that follows from them.
+//! [`Roster`]: the records of all other members, which are updated from the state of SWIM and
+//! determine the side of a partition.
 
 use crate::events::MembershipEvent;
 use crate::identity::{MemberId, LEAVE_GENERATION};
@@ -8,15 +8,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// All members but this one.
+/// The records of all members except this one.
 #[derive(Debug, Default)]
 pub(crate) struct Roster {
-    /// By the hashes of their names.
+    /// The records by the hash of the member's name.
     records: BTreeMap<u128, MemberRecord>,
 }
 
 impl Roster {
-    /// Takes over the state of SWIM; returns an event for each change.
+    /// Updates the records from the state of SWIM and returns an event for each change.
     pub(crate) fn update<'a>(
         &mut self,
         now: Timestamp,
@@ -47,8 +47,8 @@
         Some(MembershipEvent::MemberChanged { record, previous })
     }
 
-    /// Removes all members but those with these hashes of names; returns an event for each removed
-    /// one, in the order of their names.
+    /// Removes all members except those with these hashes of names. Returns an event for each
+    /// removed member, in the order of their names.
     pub(crate) fn retain_members(&mut self, name_hashes: &BTreeSet<u128>) -> Vec<MembershipEvent> {
         let mut removed = Vec::new();
         self.records.retain(|name_hash, record| {
@@ -62,19 +62,18 @@
         removed.into_iter().map(MembershipEvent::Forgotten).collect()
     }
 
-    /// The members, in the order of the hashes of their names.
+    /// Returns the records in the order of the hashes of the members' names.
     pub(crate) fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values()
     }
 
-    /// The side of a partition that this member is on.
-    ///
-    /// Decides: whether this member sees all of its fleet, a majority, a minority, or no other
+    /// Decides whether this member sees its whole fleet, a majority, a minority, or no other
     /// member.
+    ///
     /// Inputs: the state of each member; the number of configured peers that were never seen, which
     /// belong to the fleet as well.
-    /// Reason: a process that has just started and reaches no peer must not pass for a complete
-    /// fleet; and exactly half is no majority, or both halves could be one.
+    /// Reason: a process that has just started and reaches no peer must not take itself for the
+    /// whole fleet. Exactly half is no majority, since otherwise both halves could be one.
     /// Source: none in SWIM; docs/fleet.md.
     pub(crate) fn side(&self, unseen_peers: usize) -> PartitionSide {
         let live = self.records().filter(|record| record.state <= MemberState::Suspect).count() + 1;
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,4 +1,4 @@
-//! [`Settings`]: what a member is configured with, and the checks of it.
+//! [`Settings`]: the configuration of a member, and its checks.
 
 use crate::identity::MAX_NAME_BYTES;
 use pinetrail_clock::whole_millis;
@@ -7,14 +7,14 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The largest size that a fleet can be configured with.
+/// The maximum of the configured size of a fleet, in members.
 const MAX_FLEET_SIZE: usize = 1024;
-/// The least size that a fleet can be configured with.
+/// The minimum of the configured size of a fleet, in members.
 const MIN_FLEET_SIZE: usize = 2;
 
 const PROBE_PERIOD_RANGE_MS: RangeInclusive<u64> = 50..=60_000;
 const MIN_PROBE_TIMEOUT_MS: u64 = 10;
-/// An indirect probe needs the rest of the probe period.
+/// The rest of the probe period is left for indirect probes.
 const MAX_PROBE_TIMEOUT_PERCENT_OF_PERIOD: u64 = 80;
 const MAX_SUSPICION_TIMEOUT_MS: u64 = 600_000;
 const GOSSIP_INTERVAL_RANGE_MS: RangeInclusive<u64> = 20..=60_000;
@@ -23,42 +23,44 @@
 const MIN_RETENTION_IN_SUSPICION_TIMEOUTS: u64 = 2;
 const MAX_RETENTION_MS: u64 = 86_400_000;
 
-/// What a member is configured with.
+/// The configuration of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The fleet's name: datagrams of other fleets are dropped.
+    /// The name of the fleet. Datagrams of other fleets are dropped.
     pub fleet: String,
-    /// This member's name.
+    /// The name of this member.
     pub name: String,
-    /// The address at which others reach it.
+    /// The address at which other members reach this one.
     pub advertise: SocketAddr,
-    /// The addresses to contact at first, and again while they are not among the live members.
+    /// The addresses of the peers that this member contacts while they are not among the live
+    /// members.
     pub peers: Vec<SocketAddr>,
-    /// The most members, this one included, that are remembered.
+    /// The maximum number of members, this one included, that are remembered.
     pub size: usize,
-    /// Periods and timeouts.
+    /// The periods and timeouts.
     pub timing: Timing,
 }
 
-/// Periods and timeouts. Durations count in whole milliseconds.
+/// The periods and timeouts of a member. Fractions of a millisecond do not count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// One member is probed in each period. Default: 400 ms.
+    /// The period in which one member is probed. Default: 400 ms.
     pub probe_period: Duration,
-    /// A probe without a response for this long is repeated by way of other members. Default:
-    /// 160 ms.
+    /// The time without a response after which other members are asked to probe indirectly.
+    /// Default: 160 ms.
     pub probe_timeout: Duration,
-    /// A suspected member that does not refute the suspicion for this long has failed. In a fleet
-    /// of more than ten it is longer, by the logarithm of the number of members. Default: 1 s.
+    /// The time within which a suspected member must refute the suspicion before it is declared
+    /// failed. In a fleet of more than ten members it is multiplied by the decimal logarithm of
+    /// their number. Default: 1 s.
     pub suspicion_timeout: Duration,
-    /// How often updates are gossiped. Default: 100 ms.
+    /// The interval at which updates are gossiped. Default: 100 ms.
     pub gossip_interval: Duration,
-    /// How often some of the failed members are contacted again, which heals a partition. Default:
-    /// 1 s.
+    /// The interval at which some of the failed members are contacted again, so that a partition
+    /// heals. Default: 1 s.
     pub reconnect_interval: Duration,
-    /// How often peers that are not among the live members are contacted. Default: 1 s.
+    /// The interval at which peers that are not among the live members are contacted. Default: 1 s.
     pub discovery_interval: Duration,
-    /// How long a member that has failed or left is remembered. Default: 10 min.
+    /// The time for which a member that has failed or left is remembered. Default: 10 min.
     pub retention: Duration,
 }
 
@@ -76,47 +78,47 @@
     }
 }
 
-/// Why settings are invalid. The texts name the configuration's keys.
+/// The reason why settings are invalid. The error texts name the keys of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// A name is empty, too long, or has characters that would make log lines ambiguous.
-    #[error("{field} {value:?} is not 1 to {MAX_NAME_BYTES} of letters, digits, '.', '_' and '-'")]
+    #[error("{field} {value:?} does not have 1 to {MAX_NAME_BYTES} letters, digits, '.', '_' and '-'")]
     InvalidName {
-        /// The key.
+        /// The key of the name in the configuration.
         field: &'static str,
-        /// Its value.
+        /// The configured name.
         value: String,
     },
-    /// No other process can send to the advertised address.
-    #[error("advertise {0} is no address that others reach (set advertise where bind is unspecified)")]
+    /// Other processes cannot send to the advertised address because it is unspecified.
+    #[error("advertise {0} cannot be reached by others: set advertise if bind is unspecified")]
     UnreachableAdvertise(SocketAddr),
-    /// A peer is this member itself.
-    #[error("peers: {0} is this member itself")]
+    /// A peer has the address of this member itself.
+    #[error("peers: {0} is the address of this member itself")]
     PeerIsSelf(SocketAddr),
     /// This member cannot send to the address of a peer.
-    #[error("peers: {0} is no address that can be asked")]
+    #[error("peers: {0} cannot be contacted: the address is unspecified or the port is 0")]
     UnreachablePeer(SocketAddr),
-    /// A peer is named twice.
-    #[error("peers: {0} is named twice")]
+    /// A peer is listed twice.
+    #[error("peers: {0} is listed twice")]
     DuplicatePeer(SocketAddr),
-    /// The size does not hold this member and its peers, or is too large.
-    #[error("size {size} is not {min} to {MAX_FLEET_SIZE}: itself and its peers")]
+    /// The size of the fleet is too small for this member and its peers, or too large.
+    #[error("size {size} is not {min} to {MAX_FLEET_SIZE}: it includes this member and its peers")]
     SizeOutOfRange {
         /// The configured size.
         size: usize,
-        /// The least size that holds this member and its peers.
+        /// The minimum size that includes this member and its peers.
         min: usize,
     },
     /// A duration is out of its range.
     #[error("{field} {value} is not {min} to {max}, in ms")]
     TimeOutOfRange {
-        /// The key.
+        /// The key of the duration in the configuration.
         field: &'static str,
-        /// Its value, in ms.
+        /// The configured duration, in ms.
         value: u64,
-        /// The least value, in ms.
+        /// The minimum, in ms.
         min: u64,
-        /// The greatest value, in ms.
+        /// The maximum, in ms.
         max: u64,
     },
 }
@@ -126,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first setting that is invalid.
+    /// [`SettingsError`] for the first setting that is invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_name("fleet.name", &self.fleet)?;
         check_name("name", &self.name)?;
--- a/crates/membership/src/suspicions.rs
+++ b/crates/membership/src/suspicions.rs
@@ -1,5 +1,5 @@
-//! The suspicions that this member holds: [`Suspicions`]. SWIM's library keeps a timer only for
-//! those that this member has found itself, and forgets it when this member rejoins.
+//! [`Suspicions`]: the suspicions that this member holds. The library `foca` keeps a timer only for
+//! suspicions that this member began itself, and drops that timer when this member rejoins.
 
 use crate::identity::MemberId;
 use std::collections::BTreeMap;
@@ -9,19 +9,19 @@
 pub(crate) struct Suspicion {
     /// The suspected process.
     pub id: MemberId,
-    /// Its incarnation: it refutes by taking a higher one.
+    /// The suspected incarnation. The process refutes the suspicion by taking a higher one.
     pub incarnation: u16,
 }
 
 /// All suspicions that this member holds.
 #[derive(Debug, Default)]
 pub(crate) struct Suspicions {
-    /// By the hashes of the names.
+    /// The suspicions by the hash of the member's name.
     held: BTreeMap<u128, Suspicion>,
 }
 
 impl Suspicions {
-    /// Takes over the state of SWIM; returns the suspicions that are new.
+    /// Updates the suspicions from the state of SWIM and returns the new ones.
     pub(crate) fn update<'a>(
         &mut self,
         members: impl Iterator<Item = &'a foca::Member<MemberId>>,
@@ -34,7 +34,7 @@
         self.held.iter().filter(is_new).map(|(_, suspicion)| suspicion.clone()).collect()
     }
 
-    /// Whether this suspicion has not ended.
+    /// Returns whether this member still holds the suspicion.
     pub(crate) fn holds(&self, suspicion: &Suspicion) -> bool {
         self.held.get(&suspicion.id.name_hash()) == Some(suspicion)
     }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -1,6 +1,6 @@
-//! SWIM by the library `foca`: [`Swim`] drives it and collects its outputs in [`SwimOutput`], which
-//! the caller takes. `config` holds the suspicion timeout, `runtime` the refutation of suspicions,
-//! `codec` the format.
+//! SWIM by the library `foca`: [`Swim`] drives the library and collects its outputs in
+//! [`SwimOutput`], which the caller takes. `config` has the suspicion timeout, `runtime` the
+//! refutation of suspicions, and `codec` the format of messages.
 
 mod codec;
 mod config;
@@ -19,17 +19,17 @@
 use rand::SeedableRng;
 use std::time::Duration;
 
-/// What [`Swim`] needs to start.
+/// The parameters of [`Swim::new`].
 pub(crate) struct SwimParameters {
-    /// This member.
+    /// The identity of this member.
     pub local_id: MemberId,
-    /// The processes that it may learn of.
+    /// The admission of the processes that SWIM may learn of.
     pub admission: JoinAdmission,
-    /// Periods and timeouts.
+    /// The periods and timeouts.
     pub timing: Timing,
-    /// The most bytes of a message of SWIM.
+    /// The maximum length of a message of SWIM, in bytes.
     pub max_message_bytes: usize,
-    /// Equal seeds and inputs give equal outputs.
+    /// The seed of the random numbers. Equal seeds and inputs give equal outputs.
     pub seed: u64,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl Swim {
-    /// A member that knows no other member.
+    /// Creates a member that knows no other member.
     pub(crate) fn new(parameters: SwimParameters) -> Swim {
         let SwimParameters { local_id, admission, timing, max_message_bytes, seed } = parameters;
         let config = config::for_members(&timing, max_message_bytes, 1);
@@ -58,28 +58,28 @@
     ///
     /// # Errors
     ///
-    /// The message is malformed, or not for this member.
+    /// [`foca::Error`] if the message is malformed or not for this member.
     pub(crate) fn handle_data(&mut self, message: &[u8]) -> Result<(), foca::Error> {
         self.foca.handle_data(message, &mut self.output)
     }
 
     /// Handles a timer that is due.
     pub(crate) fn handle_timer(&mut self, timer: Timer<MemberId>) {
-        // The library restarts an interrupted probe by itself, and its error reports nothing else.
+        // The only error reports an interrupted probe, which the library restarts by itself.
         let _ = self.foca.handle_timer(timer, &mut self.output);
     }
 
-    /// Asks a member to let this one join, and for the members that it knows.
+    /// Asks a member to let this one join and to send the members that it knows.
     pub(crate) fn announce(&mut self, to: MemberId) {
         let _ = self.foca.announce(to, &mut self.output);
     }
 
-    /// Applies an update that a member sent about itself.
+    /// Applies an update about a member and gossips it.
     pub(crate) fn apply(&mut self, member: foca::Member<MemberId>) {
         let _ = self.foca.apply_many(std::iter::once(member), true, &mut self.output);
     }
 
-    /// Sends a member the suspicion of it. If it has not refuted it yet, it does so.
+    /// Sends a suspicion to the suspected member, which refutes it if it has not done so yet.
     pub(crate) fn notify_suspect(&mut self, suspicion: &Suspicion) {
         let header = foca::Header {
             src: self.foca.identity().clone(),
@@ -88,34 +88,34 @@
             message: foca::Message::Gossip,
         };
         let update = foca::Member::new(suspicion.id.clone(), suspicion.incarnation, foca::State::Suspect);
-        // Two members fit into each datagram: a fleet's name and its members' names are bounded.
+        // Two members fit into each datagram, since the names of fleets and members are bounded.
         if let Ok(bytes) = codec::encode_gossip(&header, &update) {
             self.output.messages.push(SwimMessage { to: suspicion.id.clone(), bytes });
         }
     }
 
-    /// How long a suspected member has to refute, in a fleet of the present size.
+    /// Returns the time that a suspected member has to refute in a fleet of the present size.
     pub(crate) fn suspicion_timeout(&self) -> Duration {
         config::suspicion_timeout(&self.timing, self.active_count() + 1)
     }
 
-    /// Announces that this member leaves, under its last identity.
+    /// Announces under its last identity that this member leaves.
     pub(crate) fn leave(&mut self, last_id: MemberId) {
         let _ = self.foca.change_identity(last_id, &mut self.output);
         let _ = self.foca.leave_cluster(&mut self.output);
     }
 
-    /// All members that are remembered.
+    /// Returns all members that are remembered.
     pub(crate) fn members(&self) -> impl Iterator<Item = &foca::Member<MemberId>> {
         self.foca.iter_membership_state()
     }
 
-    /// How many members are alive or suspected.
+    /// Returns the number of other members that are alive or suspected.
     pub(crate) fn active_count(&self) -> usize {
         self.foca.num_members()
     }
 
-    /// How often this member refuted a suspicion in this generation.
+    /// Returns the number of suspicions that this member refuted in this generation.
     pub(crate) fn incarnation(&self) -> u16 {
         self.output.incarnation()
     }
@@ -124,16 +124,16 @@
     pub(crate) fn adapt_to_size(&mut self) {
         let members = self.active_count() + 1;
         let config = config::for_members(&self.timing, self.max_message_bytes, members);
-        // The library rejects changes of some fields, which never change here.
+        // The library rejects only changes of some fields, which never change here.
         let _ = self.foca.set_config(config);
     }
 
-    /// Removes the members from the admission that SWIM does not remember.
+    /// Removes the members that SWIM does not remember from the admission.
     pub(crate) fn prune_admission(&self) {
         let mut admission = self.admission.state();
         let local = admission.local_id.name_hash();
         let remembered = || self.members().map(foca::Member::id).filter(|id| id.name_hash() != local);
-        // All remembered members were admitted: if there are as many, they are the same.
+        // All remembered members were admitted, so that equal numbers mean the same members.
         if admission.admitted.len() > remembered().count() {
             admission.admitted = remembered().map(|id| (id.name_hash(), id.clone())).collect();
         }
--- a/crates/membership/src/swim/codec.rs
+++ b/crates/membership/src/swim/codec.rs
@@ -1,5 +1,5 @@
-//! The messages of SWIM in `postcard`: [`SwimCodec`]. Each member that a received message names
-//! must pass [`JoinAdmission`].
+//! [`SwimCodec`] encodes the messages of SWIM by `postcard`. Each member that a received message
+//! names must pass [`JoinAdmission`].
 
 use crate::identity::MemberId;
 use crate::join_admission::{AdmissionDecision, JoinAdmission};
@@ -7,25 +7,25 @@
 use foca::{Codec, Header};
 use thiserror::Error;
 
-/// Why a message of SWIM is not encoded or not accepted.
+/// The reason why a message of SWIM is not encoded or not accepted.
 #[derive(Debug, Error)]
 pub(crate) enum SwimCodecError {
-    /// It cannot be decoded.
-    #[error("not a message of SWIM")]
+    /// The message cannot be decoded.
+    #[error("malformed SWIM message")]
     Malformed(#[source] postcard::Error),
-    /// It names a process that cannot exist.
-    #[error("{0:?} cannot be a member")]
+    /// The message names a process that cannot exist.
+    #[error("{0:?} is not the identity of a member")]
     InvalidMember(MemberId),
-    /// It does not fit into a datagram.
-    #[error("{length} bytes do not fit into {capacity}")]
+    /// A value does not fit into the datagram.
+    #[error("a value of {length} bytes does not fit into the {capacity} bytes left in the datagram")]
     TooLong {
-        /// Bytes that it takes.
+        /// The length of the encoded value, in bytes.
         length: usize,
-        /// Bytes of the datagram that are free.
+        /// The free space in the datagram, in bytes.
         capacity: usize,
     },
-    /// Its sender is not admitted.
-    #[error("the sender is not admitted")]
+    /// The sender of the message is not admitted.
+    #[error("the sender is not admitted to the fleet")]
     NotAdmitted,
 }
 
@@ -35,13 +35,13 @@
 }
 
 impl SwimCodec {
-    /// A codec that asks this admission.
+    /// Creates a codec that checks members against this admission.
     pub(super) fn new(admission: JoinAdmission) -> SwimCodec {
         SwimCodec { admission }
     }
 }
 
-/// Appends a value to a buffer; returns its length in bytes.
+/// Appends a value to a buffer and returns the length of the encoded value, in bytes.
 fn encode(value: &impl serde::Serialize, mut buffer: impl bytes::BufMut) -> Result<usize, SwimCodecError> {
     let bytes = wire::encode_body(value);
     let (length, capacity) = (bytes.len(), buffer.remaining_mut());
@@ -52,7 +52,7 @@
     Ok(length)
 }
 
-/// Reads a value from the beginning of a buffer and advances it.
+/// Decodes a value from the beginning of a buffer and advances the buffer past the value.
 fn decode<T: serde::de::DeserializeOwned>(mut buffer: impl bytes::Buf) -> Result<T, SwimCodecError> {
     let (value, rest) = postcard::take_from_bytes(buffer.chunk()).map_err(SwimCodecError::Malformed)?;
     let used = buffer.remaining() - rest.len();
@@ -60,12 +60,12 @@
     Ok(value)
 }
 
-/// Encodes a message of gossip with one update, as the library does: the header, the number of
+/// Encodes a gossip message with one update in the library's format: the header, the number of
 /// updates, the updates.
 ///
 /// # Errors
 ///
-/// If it does not fit.
+/// [`SwimCodecError::TooLong`] if the message does not fit.
 pub(super) fn encode_gossip(
     header: &Header<MemberId>,
     update: &foca::Member<MemberId>,
@@ -124,12 +124,12 @@
         }
         let mut admission = self.admission.state();
         admission.members_received += 1;
-        // An update by which this member is alive has no effect on SWIM, and replaces an update that
-        // SWIM must not receive.
+        // An update that states this member to be alive has no effect on SWIM. It replaces an
+        // update that SWIM must not get.
         let no_effect = foca::Member::alive(admission.local_id.clone());
         if admission.conflicts_with(member.id()) {
-            // An earlier process of the name was superseded by this one; a later one is a conflict
-            // unless it has ended.
+            // This process has superseded an earlier one of its name. A later one is a conflict
+            // unless it has failed or left.
             if member.id().start > admission.local_id.start {
                 if member.state() != foca::State::Down {
                     admission.conflicting = Some(member.id().clone());
--- a/crates/membership/src/swim/config.rs
+++ b/crates/membership/src/swim/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of `foca`, which depends on the number of members: [`for_members`]. The
-//! suspicion timeout is [`suspicion_timeout`].
+//! The configuration of `foca`, which depends on the number of members. Read [`for_members`] first,
+//! then [`suspicion_timeout`].
 
 use crate::settings::Timing;
 use foca::{Config, PeriodicParams};
@@ -7,24 +7,25 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Members that are asked to probe one that does not respond.
+/// The number of members that are asked to probe one that does not respond.
 const INDIRECT_PROBES: usize = 3;
-/// Members to which updates are gossiped at a time.
+/// The number of members that get updates in each gossip interval.
 const GOSSIP_FANOUT: usize = 3;
-/// How often a member is asked for all members that it knows, which repairs missed gossip.
+/// The interval at which a member is asked for all members that it knows, which repairs missed
+/// gossip.
 const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(2);
-/// Members that are asked for all members at a time.
+/// The number of members that are asked for all members in each full sync interval.
 const FULL_SYNC_FANOUT: usize = 1;
-/// Failed members that are contacted again at a time.
+/// The number of failed members that are contacted in each reconnect interval.
 const RECONNECT_FANOUT: usize = 2;
-/// Times that an update is sent, for each factor of ten in the number of members.
+/// The number of transmissions of an update for each factor of ten in the number of members.
 const TRANSMISSIONS_PER_DIGIT: f64 = 6.0;
 const MIN_TRANSMISSIONS: f64 = 12.0;
 const MAX_TRANSMISSIONS: f64 = 30.0;
-/// The suspicion timeout is never below the configured one.
+/// The minimum factor of the suspicion timeout, so that it is never below the configured one.
 const MIN_SUSPICION_FACTOR: f64 = 1.0;
 
-/// The configuration for a fleet of so many members, this one included. `max_message_bytes` is in bytes.
+/// Returns the configuration for a fleet of this many members, this one included.
 pub(super) fn for_members(timing: &Timing, max_message_bytes: usize, members: usize) -> Config {
     Config {
         probe_period: timing.probe_period,
@@ -41,9 +42,9 @@
     }
 }
 
-/// How long a suspected member has to refute the suspicion.
+/// Decides when a suspected member has failed: returns the time that it has to refute the
+/// suspicion.
 ///
-/// Decides: when a suspected member has failed.
 /// Inputs: the configured timeout; the number of members, this one included.
 /// Reason: gossip takes longer in a larger fleet, and the suspicion and its refutation must reach
 /// all members in time.
@@ -54,8 +55,8 @@
     Duration::from_millis(millis as u64)
 }
 
-/// How often an update is sent: it reaches all members if that number grows with the logarithm of
-/// the number of members (SWIM, section 4.1).
+/// Returns the number of transmissions of each update. An update reaches all members if this number
+/// grows with the logarithm of the number of members (SWIM, section 4.1).
 fn max_transmissions(members: usize) -> NonZeroU8 {
     let digits = ((members + 1) as f64).log10();
     let transmissions = (digits * TRANSMISSIONS_PER_DIGIT).ceil();
--- a/crates/membership/src/swim/runtime.rs
+++ b/crates/membership/src/swim/runtime.rs
@@ -1,4 +1,4 @@
-//! The outputs of `foca`, collected for the caller: [`SwimOutput`].
+//! [`SwimOutput`] collects the outputs of `foca` for the caller.
 
 use crate::counters::MembershipCounters;
 use crate::identity::MemberId;
@@ -10,11 +10,11 @@
 /// An event of SWIM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum SwimEvent {
-    /// The members, or the state of one, may have changed.
+    /// The members, or the state of one of them, may have changed.
     Changed,
-    /// Others had taken this member for failed: it continues under this identity.
+    /// This member continues under this identity after others had declared it failed.
     Rejoined(MemberId),
-    /// A probe had no response.
+    /// A probe got no response.
     ProbeFailed,
     /// This member has sent a probe.
     Probed,
@@ -32,28 +32,28 @@
 
 /// A timer that SWIM sets.
 pub(crate) struct SwimTimer {
-    /// What is passed back to SWIM when it is due.
+    /// The value that is passed back to SWIM when the timer is due.
     pub timer: Timer<MemberId>,
-    /// After how long it is due.
+    /// The time after which the timer is due.
     pub after: Duration,
 }
 
-/// The outputs of SWIM.
+/// The outputs of SWIM since the caller took them last, and the counters.
 pub(crate) struct SwimOutput {
-    /// Messages to send.
+    /// The messages to send.
     pub messages: Vec<SwimMessage>,
-    /// Timers to set.
+    /// The timers to set.
     pub timers: Vec<SwimTimer>,
-    /// Events.
+    /// The events that have occurred.
     pub events: Vec<SwimEvent>,
-    /// Counters since this SWIM began.
+    /// The counters since this SWIM was created.
     pub counters: MembershipCounters,
     incarnation: u16,
     admission: JoinAdmission,
 }
 
 impl SwimOutput {
-    /// No outputs yet.
+    /// Creates the outputs of a SWIM that has just been created.
     pub(super) fn new(admission: JoinAdmission) -> SwimOutput {
         SwimOutput {
             messages: Vec::new(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The incarnation that this member sent last.
+    /// Returns the incarnation that this member sent last.
     pub(super) fn incarnation(&self) -> u16 {
         self.incarnation
     }
@@ -85,9 +85,9 @@
         }
     }
 
-    /// Whether a message that this member sends is its first refutation of a suspicion.
+    /// Decides whether a message that this member sends is its first refutation of a suspicion,
+    /// which is counted and worsens local health.
     ///
-    /// Decides: when this member counts a refutation and takes itself for slow.
     /// Inputs: the incarnation in the header, and the highest one that was sent before.
     /// Reason: a member raises its incarnation only to refute a suspicion.
     /// Source: SWIM (Das, Gupta and Motivala, 2002), section 4.2.
@@ -115,7 +115,7 @@
     }
 
     fn send_to(&mut self, to: MemberId, data: &[u8]) {
-        // The number of members that a message names follows its header, big-endian.
+        // The header is followed by the number of members that the message names, big-endian.
         let header_length = self.admission.state().header_length;
         if let Some([high, low]) = data.get(header_length..header_length + 2) {
             self.counters.updates_sent += u64::from(u16::from_be_bytes([*high, *low]));
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,30 +1,32 @@
-//! Timers of any kind, in the order of their time and then of being set: [`Timers`].
+//! [`Timers`]: timers of any kind, ordered by due time and then by the order in which they were
+//! set.
 
 use pinetrail_clock::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Timers that are set.
+/// The timers that are set.
 #[derive(Debug)]
 pub(crate) struct Timers<T> {
-    /// By time, and by a serial number that keeps those of one time in the order of setting.
+    /// The timers by due time and serial number. The serial number keeps timers with the same due
+    /// time in the order in which they were set.
     pending: BTreeMap<(Timestamp, u64), T>,
     set_count: u64,
 }
 
 impl<T> Timers<T> {
-    /// No timer is set.
+    /// Creates an empty set of timers.
     pub(crate) fn new() -> Timers<T> {
         Timers { pending: BTreeMap::new(), set_count: 0 }
     }
 
-    /// Sets a timer.
+    /// Sets a timer that is due at this time.
     pub(crate) fn set(&mut self, at: Timestamp, timer: T) {
         self.set_count += 1;
         self.pending.insert((at, self.set_count), timer);
     }
 
-    /// When the first timer is due.
+    /// Returns when the first timer is due; `None` if no timer is set.
     pub(crate) fn next(&self) -> Option<Timestamp> {
         self.pending.keys().next().map(|(at, _)| *at)
     }
@@ -35,14 +37,14 @@
         Some(first.remove())
     }
 
-    /// Moves every timer to a later time.
+    /// Postpones all timers by this duration.
     pub(crate) fn postpone_all(&mut self, by: Duration) {
         let before = std::mem::take(&mut self.pending);
         let later = before.into_iter().map(|((at, serial), timer)| ((at + by, serial), timer));
         self.pending = later.collect();
     }
 
-    /// Moves those of the selected timers that are due before `at` to that time.
+    /// Postpones the selected timers that are due before `at` to that time.
     pub(crate) fn postpone_until(&mut self, at: Timestamp, is_selected: impl Fn(&T) -> bool) {
         let earlier = self.pending.range(..(at, 0));
         let keys: Vec<(Timestamp, u64)> =
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Removes all timers but these.
+    /// Removes all timers for which `stays` is false.
     pub(crate) fn retain(&mut self, stays: impl Fn(&T) -> bool) {
         self.pending.retain(|_, timer| stays(timer));
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,5 +1,5 @@
-//! The format of datagrams: the header around messages of SWIM, and the messages that are not
-//! SWIM's. Read [`DatagramKind`] first. Decoding is strict and bounded, and never panics.
+//! The format of datagrams: their header, and the messages that are not SWIM's. Read
+//! [`DatagramKind`] first. Decoding is strict and bounded, and never panics.
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -7,41 +7,44 @@
 //! | 1 | version of this format |
 //! | 1 | kind |
 //! | 4 | CRC-32C of the two bytes before and of all that follows, big-endian |
-//! | 1, then as many | the fleet's name |
+//! | 1 | length of the fleet's name, in bytes |
+//! | that many | the fleet's name |
 //! | the rest | the body of this kind, by `postcard` |
 
 use crate::identity::MemberId;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The longest datagram, in bytes: it passes every usual link in one piece.
+/// The maximum length of a datagram, small enough that no usual link fragments it.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 const MAGIC: [u8; 2] = *b"pt";
 const VERSION: u8 = 1;
-/// Bytes before the fleet's name.
+/// The length of the header before the fleet's name.
 const HEADER_BYTES: usize = 9;
 
 /// The kind of a datagram.
 ///
-/// Invariant: the order of the variants is the format and must not change, since their numbers are
-/// sent.
+/// Invariant: the order of the variants must not change, since datagrams contain their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
     /// A message of SWIM.
     Swim,
-    /// Asks for a [`DatagramKind::DiscoverReply`]: the [`MemberId`] of the sender.
+    /// A request for a [`DatagramKind::DiscoverReply`]. The body is the [`MemberId`] of the sender.
     Discover,
-    /// The reply to [`DatagramKind::Discover`]: the [`MemberId`] of the sender.
+    /// The response to [`DatagramKind::Discover`]. The body is the [`MemberId`] of the sender.
     DiscoverReply,
-    /// Another process has the receiver's name: the [`MemberId`] of that process.
+    /// The notice that another process has the receiver's name. The body is the [`MemberId`] of
+    /// that process.
     NameConflict,
-    /// The receiver is not admitted: the size of the fleet, as a `u64`.
+    /// The notice that the receiver is not admitted. The body is the size of the fleet, as a `u64`.
     FleetFull,
-    /// The sender leaves: its [`MemberId`] in the last generation.
+    /// The notice that the sender leaves. The body is the sender's [`MemberId`] in its last
+    /// generation.
     Leave,
-    /// A message about quota.
+    /// A quota message.
     Quota,
-    /// A message of the peer directory: where a process accepts connections of its peers.
+    /// A message of the peer directory: the address at which a process accepts connections of
+    /// peers.
     Directory,
 }
 
@@ -56,32 +59,32 @@
     DatagramKind::Directory,
 ];
 
-/// Why a datagram is dropped.
+/// The reason why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DropReason {
-    /// It is not of this protocol.
-    #[error("not a datagram of a fleet")]
+    /// The datagram is not of this protocol.
+    #[error("the datagram is not of this protocol")]
     UnknownProtocol,
-    /// Its format is newer than this program.
-    #[error("of a newer version of the format")]
+    /// The format or the kind of the datagram is newer than this program.
+    #[error("the format or the kind of the datagram is newer than this program")]
     UnsupportedVersion,
-    /// It is damaged, or its content cannot be true.
-    #[error("corrupt")]
+    /// The datagram is damaged or has invalid content.
+    #[error("the datagram is corrupt")]
     Corrupt,
-    /// It is of another fleet.
-    #[error("of another fleet")]
+    /// The datagram is of another fleet.
+    #[error("the datagram is of another fleet")]
     OtherFleet,
-    /// Its sender cannot be admitted: the fleet has its full size.
-    #[error("of a member that the fleet has no capacity for")]
+    /// The sender cannot be admitted because the fleet has reached its configured size.
+    #[error("the sender is not admitted because the fleet has reached its configured size")]
     FleetFull,
 }
 
-/// The bytes of a datagram of this fleet that the body may have.
+/// Returns the maximum length of the body of a datagram of this fleet, in bytes.
 pub(crate) fn body_capacity(fleet: &str) -> usize {
     MAX_DATAGRAM_BYTES - HEADER_BYTES - fleet.len()
 }
 
-/// A datagram of this fleet.
+/// Encodes a datagram of this fleet.
 pub(crate) fn encode_datagram(kind: DatagramKind, fleet: &str, body: &[u8]) -> Vec<u8> {
     let mut datagram = Vec::with_capacity(HEADER_BYTES + fleet.len() + body.len());
     datagram.extend_from_slice(&MAGIC);
@@ -97,11 +100,11 @@
     crc32c::crc32c_append(crc32c::crc32c(&datagram[2..4]), &datagram[8..])
 }
 
-/// The kind and the body of a datagram of this fleet.
+/// Returns the kind and the body of a datagram of this fleet.
 ///
 /// # Errors
 ///
-/// Why the datagram is to be dropped.
+/// The [`DropReason`] if the datagram is to be dropped.
 pub fn decode_datagram<'a>(fleet: &str, datagram: &'a [u8]) -> Result<(DatagramKind, &'a [u8]), DropReason> {
     if datagram.len() < HEADER_BYTES || datagram[..2] != MAGIC {
         return Err(DropReason::UnknownProtocol);
@@ -123,17 +126,17 @@
     Ok((kind, &datagram[body_start..]))
 }
 
-/// Encodes the body of a kind that is not SWIM's, or a part of a message of SWIM.
+/// Encodes the body of a datagram that is not SWIM's, or a part of a message of SWIM.
 pub(crate) fn encode_body(value: &impl Serialize) -> Vec<u8> {
-    // Postcard encodes identities and numbers without failure.
+    // Postcard cannot fail on identities and numbers.
     postcard::to_allocvec(value).unwrap_or_default()
 }
 
-/// Decodes a body, which must end with the value.
+/// Decodes a body that consists of exactly one value.
 ///
 /// # Errors
 ///
-/// [`DropReason::Corrupt`] if the body is not such a value.
+/// [`DropReason::Corrupt`] if the body is not one value of this type.
 pub(crate) fn decode_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, DropReason> {
     match postcard::take_from_bytes(body) {
         Ok((value, [])) => Ok(value),
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -8,13 +8,13 @@
     let reason_with = |index: usize, byte: u8| {
         let mut bytes = good.clone();
         bytes[index] = byte;
-        decode_datagram("gdynia", &bytes).expect_err("it is damaged")
+        decode_datagram("gdynia", &bytes).expect_err("the datagram is damaged")
     };
     assert_eq!(
         (reason_with(0, b'x'), reason_with(2, 9)),
         (DropReason::UnknownProtocol, DropReason::UnsupportedVersion)
     );
-    // The checksum covers every other byte.
+    // The checksum detects a change of any byte after the magic and the version.
     for (index, byte) in good.iter().enumerate().skip(3) {
         assert_eq!(reason_with(index, byte ^ 0x10), DropReason::Corrupt, "{index}");
     }
@@ -32,7 +32,7 @@
     assert_eq!(
         decode_datagram("g", &encode_datagram(DatagramKind::Swim, "g", &[0; MAX_DATAGRAM_BYTES])),
         Err(DropReason::Corrupt),
-        "too long"
+        "the datagram is longer than the maximum"
     );
     assert_eq!(decode_member_id(&encode_body(&7u32)), Err(DropReason::Corrupt));
 }
