--- a/crates/membership/tests/hard_cases/admission.rs
+++ b/crates/membership/tests/hard_cases/admission.rs
@@ -1,4 +1,4 @@
-//! Unadmitted senders: too many of them, and corrupt datagrams; in simulated time with fixed seeds.
+//! Members beyond the size of a fleet, and corrupt datagrams; in simulated time with fixed seeds.
 
 use crate::{datagrams, five_members, ALL};
 use pinetrail_membership::{Membership, MembershipEvent, Timestamp};
@@ -7,10 +7,10 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// The time between two timeouts of a member whose datagrams are recorded.
+/// The time between two calls to `handle_timeout` of a member whose datagrams are recorded.
 const STEP: Duration = Duration::from_millis(10);
 
-/// Guards against a sender of datagrams that fills the memory with names.
+/// Guards against a sender of datagrams that fills the memory of other members with names.
 #[test]
 fn a_member_beyond_the_size_of_the_fleet_is_rejected_and_learns_why() {
     let mut fleet: Fleet<Membership> = Fleet::new(5, 9);
@@ -27,8 +27,8 @@
     assert!(fleet.false_failures() == 0, "admitted members are not affected");
 }
 
-/// Guards against capacity that is taken by names which never joined: a restart without end, or a
-/// flood of discovery.
+/// Guards against names that take capacity without ever joining: from a process that restarts in a
+/// loop, or from a flood of discovery datagrams.
 #[test]
 fn discovery_by_many_names_takes_no_capacity_for_long() {
     let mut fleet: Fleet<Membership> = Fleet::new(4, 9);
@@ -58,12 +58,13 @@
         }
     }
     assert_eq!(fleet.counts(0).dropped_fleet_full, 0, "discovery takes no capacity");
-    // Messages of SWIM for another member: this one's SWIM does not accept them.
+    // Member 0 gets messages of SWIM that are for another member: its SWIM rejects them, but their
+    // names take capacity until they are pruned.
     assert_eq!(to_another.len(), 200);
     for bytes in &to_another {
         fleet.act(0, |member, now, out| member.handle_datagram(now, host_address(3), bytes, out));
     }
-    assert!(fleet.counts(0).dropped_fleet_full > 0, "for a moment");
+    assert!(fleet.counts(0).dropped_fleet_full > 0, "the names take capacity until they are pruned");
     fleet.run(2_000);
     for host in [2, 3] {
         fleet.start_member(host, 4, &[0, 1]);
@@ -71,7 +72,7 @@
     assert!(fleet.run_until(8_000, |fleet| fleet.all_agree(&[0, 1, 2, 3])));
 }
 
-/// Guards against panics and beliefs that corrupt datagrams cause.
+/// Guards against corrupt datagrams that cause a panic or change the state of a member.
 #[test]
 fn a_flood_of_corrupt_datagrams_changes_nothing() {
     let mut fleet = five_members(4);
--- a/crates/membership/tests/hard_cases/failure_detection.rs
+++ b/crates/membership/tests/hard_cases/failure_detection.rs
@@ -1,11 +1,11 @@
-//! Which members are taken for failed, and which must not be; in simulated time with fixed seeds.
+//! Which members must be declared failed, and which must not; in simulated time with fixed seeds.
 
 use crate::{five_members, ALL};
 use pinetrail_membership::{MemberState, Membership, PartitionSide};
 use pinetrail_simulation::fleet::{Fleet, BRIEF_PAUSES};
 
-/// After how many ms all the others know that a host has failed; none if they do not within
-/// `at_most`.
+/// Returns the time in ms until all other members know that the host `dead` has failed; `None` if
+/// they do not within `at_most` ms.
 fn time_until_known(fleet: &mut Fleet<Membership>, dead: usize, at_most: u64) -> Option<u64> {
     let start = fleet.now();
     let others: Vec<usize> = ALL.into_iter().filter(|host| *host != dead).collect();
@@ -20,10 +20,10 @@
     for seed in 0..20 {
         let mut fleet = five_members(seed);
         fleet.kill(2);
-        let elapsed = time_until_known(&mut fleet, 2, 10_000).expect("all know");
+        let elapsed = time_until_known(&mut fleet, 2, 10_000).expect("all members know of the failure");
         assert!(elapsed <= 3_000, "seed {seed}: {elapsed} ms");
         assert_eq!(fleet.side(0), Some(PartitionSide::Majority));
-        // It returns with only the list of its peers, under its name.
+        // The member returns under its name and knows only its configured peers.
         fleet.start_member(2, 5, &ALL);
         assert!(fleet.run_until(5_000, |fleet| fleet.all_agree(&ALL)), "seed {seed}");
         assert_eq!(fleet.side(0), Some(PartitionSide::Whole));
--- a/crates/membership/tests/hard_cases/joining.rs
+++ b/crates/membership/tests/hard_cases/joining.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Guards against a fleet that depends on the one peer that all members are configured with.
+/// Guards against a fleet that depends on the only peer that all members are configured with.
 #[test]
 fn members_join_although_the_one_configured_peer_is_dead() {
     for seed in 0..10 {
@@ -28,19 +28,19 @@
         fleet.kill(0);
         fleet.run(10_000);
         assert!(fleet.all_agree(&[1, 2, 3, 4]), "seed {seed}");
-        // A member that starts now reaches no other by itself: those that took it for failed
-        // contact it.
+        // A member that starts now reaches no other by itself, since its only peer is dead. The
+        // members that declared it failed contact it.
         fleet.kill(4);
         fleet.run(6_000);
         fleet.start_member(4, 5, &[0]);
         assert!(fleet.run_until(8_000, |fleet| fleet.all_agree(&[1, 2, 3, 4])), "seed {seed}");
-        assert_eq!(fleet.side(4), Some(PartitionSide::Majority), "its peer is missing");
+        assert_eq!(fleet.side(4), Some(PartitionSide::Majority), "the configured peer was never seen");
         fleet.start_member(0, 5, &[1]);
         assert!(fleet.run_until(8_000, |fleet| fleet.all_agree(&ALL)), "seed {seed}");
     }
 }
 
-/// Guards against a member that keeps joining by its former peers after they were replaced.
+/// Guards against a member that still joins by its former peers after they were replaced.
 #[test]
 fn new_peers_are_contacted_at_once_while_joining() {
     let mut fleet: Fleet<Membership> = Fleet::new(6, 2);
@@ -53,14 +53,17 @@
     fleet.run(1_500);
     assert_eq!(fleet.side(5), Some(PartitionSide::Alone));
     fleet.act(5, |member, now, out| member.set_peers(now, vec![host_address(1)], out).unwrap());
-    // Its usual time to contact peers would come in half a second.
+    // The timer for contacting peers would fire only after half a second.
     assert!(fleet.run_until(300, |fleet| fleet.state_seen_by(5, 1) == Some(MemberState::Alive)));
     assert!(fleet.run_until(3_000, |fleet| fleet.all_agree(&[0, 1, 2, 3, 4, 5])));
     let now = Timestamp::from_millis(fleet.now());
     let mut out = Vec::new();
     assert!(!fleet.record_seen_by(5, "n0001").unwrap().name.is_empty());
     fleet.act(5, |member, _, _| {
-        assert!(member.set_peers(now, vec![host_address(5)], &mut out).is_err(), "itself");
+        assert!(
+            member.set_peers(now, vec![host_address(5)], &mut out).is_err(),
+            "a peer is the member itself"
+        );
     });
     assert!(out.is_empty(), "invalid peers change nothing");
 }
@@ -77,7 +80,7 @@
         };
         assert!(fleet.run_until(3_000, left), "seed {seed}");
         assert_eq!(fleet.false_failures(), 0);
-        assert_eq!(fleet.side(0), Some(PartitionSide::Whole), "a fleet of four now");
+        assert_eq!(fleet.side(0), Some(PartitionSide::Whole), "the fleet has four members now");
         fleet.network.loss = 0.0;
         fleet.start_member(3, 5, &ALL);
         assert!(fleet.run_until(5_000, |fleet| fleet.all_agree(&ALL)), "seed {seed}: it may join again");
--- a/crates/membership/tests/hard_cases/main.rs
+++ b/crates/membership/tests/hard_cases/main.rs
@@ -1,4 +1,4 @@
-//! Faults that a membership must handle, each in simulated time with fixed seeds.
+//! Faults that a member must handle, each in simulated time with fixed seeds.
 
 mod admission;
 mod failure_detection;
@@ -14,16 +14,16 @@
 /// The hosts of [`five_members`].
 const ALL: [usize; 5] = [0, 1, 2, 3, 4];
 
-/// Five members that know each other.
+/// Starts five members and waits until they know each other.
 fn five_members(seed: u64) -> Fleet<Membership> {
     let mut fleet = Fleet::with_members(5, seed, &ALL);
-    assert!(fleet.run_until(5_000, |fleet| fleet.all_agree(&ALL)), "they meet");
+    assert!(fleet.run_until(5_000, |fleet| fleet.all_agree(&ALL)), "all members know each other");
     assert!(ALL.iter().all(|host| fleet.side(*host) == Some(PartitionSide::Whole)));
     fleet.observed.clear();
     fleet
 }
 
-/// The datagrams among these outputs.
+/// Returns the datagrams among these outputs.
 fn datagrams(outputs: &[Output]) -> Vec<Vec<u8>> {
     let datagrams = outputs.iter().filter_map(|output| match output {
         Output::Send(_, bytes) => Some(bytes.clone()),
--- a/crates/membership/tests/hard_cases/names.rs
+++ b/crates/membership/tests/hard_cases/names.rs
@@ -1,4 +1,5 @@
-//! A name that moves to another address, returns, or is used by two processes; in simulated time with fixed seeds.
+//! A name that moves to another address, returns, or is used by two processes; in simulated time
+//! with fixed seeds.
 
 use crate::{datagrams, five_members, ALL};
 use pinetrail_membership::{
@@ -7,10 +8,10 @@
 use pinetrail_simulation::fleet::{host_address, member_settings, Fleet, ObservedEvent};
 use std::time::Duration;
 
-/// The time between two timeouts of a member whose datagrams are recorded.
+/// The time between two calls to `handle_timeout` of a member whose datagrams are recorded.
 const STEP: Duration = Duration::from_millis(10);
 
-/// Guards against members that send to the former address of a member.
+/// Guards against members that keep sending to the former address of a member.
 #[test]
 fn a_member_may_return_at_another_address() {
     let mut fleet: Fleet<Membership> = Fleet::new(6, 3);
@@ -31,10 +32,11 @@
     assert!(fleet.run_until(5_000, is_at_new_address));
     fleet.run(20_000);
     assert!(is_at_new_address(&fleet));
-    assert_eq!(fleet.side(0), Some(PartitionSide::Whole), "the address that it had counts no longer");
+    assert_eq!(fleet.side(0), Some(PartitionSide::Whole), "the former address does not count as a member");
 }
 
-/// Guards against acceptance of datagrams of a process that has ended and whose name another has.
+/// Guards against accepting late datagrams of a process that has ended and whose name another
+/// process has.
 #[test]
 fn late_datagrams_of_an_earlier_process_of_the_name_change_nothing() {
     let mut fleet = five_members(11);
@@ -65,8 +67,8 @@
     assert!(fleet.observed.is_empty(), "{:?}", fleet.observed);
 }
 
-/// Guards against two processes that alternate under one name, and against a conflict that is not
-/// reported.
+/// Guards against two processes that alternate as the holder of one name, and against a name
+/// conflict that is not reported.
 #[test]
 fn two_processes_of_one_name_both_report_it_and_no_member_changes_state() {
     let mut fleet: Fleet<Membership> = Fleet::new(6, 5);
@@ -80,12 +82,12 @@
     assert_eq!(
         fleet.member(2).unwrap().name_conflict(),
         Some(NameConflict { other: host_address(5), holder: NameHolder::OtherProcess }),
-        "the earlier one reports it"
+        "the earlier process reports the conflict"
     );
     assert_eq!(
         fleet.member(5).unwrap().name_conflict(),
         Some(NameConflict { other: host_address(2), holder: NameHolder::ThisProcess }),
-        "so does the later one"
+        "the later process reports the conflict"
     );
     assert_eq!(fleet.side(2), Some(PartitionSide::Alone));
     fleet.observed.clear();
@@ -93,7 +95,7 @@
     let is_about_member =
         |observed: &&ObservedEvent| matches!(observed.event, MembershipEvent::MemberChanged { .. });
     assert_eq!(fleet.observed.iter().filter(is_about_member).count(), 0, "{:?}", fleet.observed);
-    // Once the later process has ended the earlier one rejoins.
+    // Once the later process has ended, the earlier one rejoins.
     fleet.kill(5);
     let is_back = |fleet: &Fleet<Membership>| {
         let address_at = |host: &usize| fleet.record_seen_by(*host, "n0002").unwrap().address;
--- a/crates/membership/tests/hard_cases/partitions.rs
+++ b/crates/membership/tests/hard_cases/partitions.rs
@@ -1,13 +1,13 @@
-//! Partitions of the network: which side sees what, and how they heal; in simulated time with fixed
-//! seeds.
+//! Partitions of the network: which members each side sees, and how a partition heals; in simulated
+//! time with fixed seeds.
 
 use crate::{five_members, ALL};
 use pinetrail_membership::{Membership, MembershipEvent, PartitionSide};
 use pinetrail_simulation::fleet::{member_settings, Fleet};
 use std::time::Duration;
 
-/// Guards against two sides that never find each other again, and against lists that differ after
-/// the network has healed.
+/// Guards against two sides that never find each other again, and against member lists that differ
+/// after the network has healed.
 #[test]
 fn both_sides_of_a_partition_see_it_and_it_heals_without_a_restart() {
     for seed in 0..10 {
@@ -20,14 +20,16 @@
         let sides: Vec<Option<PartitionSide>> = ALL.iter().map(|host| fleet.side(*host)).collect();
         let (majority, minority) = (Some(PartitionSide::Majority), Some(PartitionSide::Minority));
         assert_eq!(sides, [majority, majority, majority, minority, minority]);
-        // One of each side restarts meanwhile, and knows its peers only.
+        // One member of each side restarts during the partition and knows only its configured
+        // peers.
         for host in [0, 4] {
             fleet.kill(host);
             fleet.run(500);
             fleet.start_member(host, 5, &ALL);
         }
         fleet.run(20_000);
-        // It counts its configured peers from the start: it must not pass for a whole fleet.
+        // A restarted member counts its configured peers from the start, so that it does not take
+        // its side for the whole fleet.
         assert_eq!((fleet.side(0), fleet.side(4)), (majority, minority), "seed {seed}");
         fleet.network.heal();
         assert!(fleet.run_until(10_000, |fleet| fleet.all_agree(&ALL)), "seed {seed}");
@@ -35,7 +37,8 @@
     }
 }
 
-/// Guards against a partition that lasts until both sides have forgotten each other.
+/// Guards against two sides that never find each other again because the partition lasted until
+/// each side had removed the other's members.
 #[test]
 fn a_partition_that_outlasts_all_memory_heals_by_the_configured_peers() {
     let mut fleet: Fleet<Membership> = Fleet::new(4, 7);
@@ -54,7 +57,7 @@
     assert!(fleet.run_until(10_000, |fleet| fleet.all_agree(&[0, 1, 2, 3])));
 }
 
-/// Guards against two halves that both believe that they are the fleet.
+/// Guards against two halves that each take themselves for the majority.
 #[test]
 fn neither_half_of_a_fleet_of_four_is_a_majority() {
     let mut fleet = Fleet::with_members(4, 1, &[0, 1, 2, 3]);
@@ -65,7 +68,7 @@
     assert!(fleet.run_until(10_000, minority));
 }
 
-/// Guards against two that lose each other and both believe that they are the fleet.
+/// Guards against two members that lose each other and each take themselves for the majority.
 #[test]
 fn neither_of_two_that_lose_each_other_is_a_majority() {
     let mut fleet = Fleet::with_members(2, 1, &[0, 1]);
--- a/crates/membership/tests/hard_cases/pauses.rs
+++ b/crates/membership/tests/hard_cases/pauses.rs
@@ -1,4 +1,4 @@
-//! Processes that do not run for a time; in simulated time with fixed seeds.
+//! Processes that pause; in simulated time with fixed seeds.
 
 use crate::{five_members, ALL};
 use pinetrail_membership::{MemberState, Membership, MembershipEvent};
@@ -7,18 +7,18 @@
 /// The host whose process pauses.
 const PAUSED: usize = 1;
 
-/// Whether the member that pauses believes that some member is in this state.
+/// Returns whether the paused member sees any member in this state.
 fn sees_any(fleet: &Fleet<Membership>, state: MemberState) -> bool {
     ALL.iter().any(|other| fleet.state_seen_by(PAUSED, *other) == Some(state))
 }
 
-/// The first event that says that the member that pauses took another to be in this state.
+/// Returns the first event by which the paused member reported another member in this state.
 fn believed_by_paused(fleet: &Fleet<Membership>, state: MemberState) -> Option<&ObservedEvent> {
     let is_match = |event: &&ObservedEvent| event.host == PAUSED && event.is_about(state);
     fleet.observed.iter().find(is_match)
 }
 
-/// Guards against taking a member for failed whose process pauses a little.
+/// Guards against declaring a member failed whose process pauses briefly.
 #[test]
 fn a_member_that_pauses_for_450_ms_again_and_again_is_never_taken_for_failed() {
     for seed in 0..10 {
@@ -33,13 +33,14 @@
     }
 }
 
-/// Guards against a process that resumes, finds all of its timers due, and takes all the others
-/// for failed.
+/// Guards against a process that resumes, finds all its timers due, and declares all other members
+/// failed.
 #[test]
 fn a_member_paused_for_10_s_takes_no_other_for_failed_and_rejoins() {
     for seed in 0..10 {
         let mut fleet = five_members(seed);
-        // It has just begun to suspect a member: the time to refute passes while it is paused.
+        // The member has just begun to suspect another, whose time to refute passes during the
+        // pause.
         fleet.network.cut_into(&[&[1], &[0, 2, 3, 4]]);
         assert!(fleet.run_until(4_000, |fleet| sees_any(fleet, MemberState::Suspect)));
         fleet.pause(PAUSED);
@@ -57,7 +58,7 @@
     }
 }
 
-/// Guards against a process that resumes and suspects others for the time of its own pause.
+/// Guards against a process that resumes and suspects others because of its own pause.
 #[test]
 fn a_member_suspects_no_other_for_the_time_of_its_own_pause() {
     for after in 0..100 {
@@ -68,12 +69,16 @@
         fleet.observed.clear();
         fleet.resume(PAUSED);
         fleet.run(1_500);
-        assert_eq!(believed_by_paused(&fleet, MemberState::Suspect), None, "paused after {after}");
+        assert_eq!(
+            believed_by_paused(&fleet, MemberState::Suspect),
+            None,
+            "paused after {after} steps of 7 ms"
+        );
     }
 }
 
-/// Guards against a suspicion that expires in the moment in which its holder resumes: it could not
-/// have been refuted.
+/// Guards against a suspicion that expires at the moment at which its holder resumes, so that the
+/// suspected member had no time to refute it.
 #[test]
 fn a_pause_at_any_moment_leaves_suspected_members_time_to_refute() {
     let mut pauses = 0;
@@ -96,5 +101,5 @@
         fleet.run(4_000);
         assert_eq!(believed_by_paused(&fleet, MemberState::Failed), None, "paused after {after} ms");
     }
-    assert!(pauses > 50, "up to the end of the suspicion: {pauses}");
+    assert!(pauses > 50, "only {pauses} pauses before the end of the suspicion");
 }
--- a/crates/membership/tests/hard_cases/suspicions.rs
+++ b/crates/membership/tests/hard_cases/suspicions.rs
@@ -1,5 +1,5 @@
-//! Every suspicion ends once the network is whole: faults from seeds, several within the time of
-//! one suspicion.
+//! Every suspicion ends once all faults have ended. The faults are random with fixed seeds, several
+//! within the duration of one suspicion.
 
 use crate::{five_members, ALL};
 use pinetrail_membership::{MemberState, Membership};
@@ -7,15 +7,16 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Each plays other faults.
+/// The number of seeds, each of which gives other faults.
 const SEED_COUNT: u64 = 2_000;
-/// The faults of one seed.
+/// The number of faults of one seed.
 const FAULTS_PER_SEED: usize = 12;
-/// The longest time between two faults, in ms: less than a suspicion lasts.
+/// The maximum time between two faults, which is shorter than a suspicion.
 const MAX_FAULT_INTERVAL_MS: u64 = 700;
-/// How long a suspicion may last once the network is whole and all members run, in ms.
+/// The maximum duration of a suspicion once the network has healed and all members run.
 const SUSPICION_BOUND_MS: u64 = 5_000;
-/// By then all members must agree, in ms: one that had failed must rejoin too.
+/// The maximum time after the end of the faults until all members agree. It includes the time in
+/// which a member that was declared failed rejoins.
 const RECOVERY_BOUND_MS: u64 = 15_000;
 
 fn inject_fault(fleet: &mut Fleet<Membership>, random: &mut StdRng) {
@@ -55,8 +56,8 @@
     ALL.iter().any(|observer| suspects(*observer))
 }
 
-/// Guards against a member that others suspect for ever: each of them waits for another to end the
-/// suspicion, and the suspected member never hears of it.
+/// Guards against a member that others suspect forever: each of them waits for another to end the
+/// suspicion, and the suspected member never learns of it.
 #[test]
 fn every_suspicion_ends_once_the_network_is_whole() {
     let mut unended = Vec::new();
@@ -76,6 +77,6 @@
             diverged.push(seed);
         }
     }
-    assert!(unended.is_empty(), "suspicions that last in {} seeds: {unended:?}", unended.len());
-    assert!(diverged.is_empty(), "members that do not agree in {} seeds: {diverged:?}", diverged.len());
+    assert!(unended.is_empty(), "suspicions do not end in {} seeds: {unended:?}", unended.len());
+    assert!(diverged.is_empty(), "members do not agree in {} seeds: {diverged:?}", diverged.len());
 }
