--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -60,7 +60,7 @@
     Discover,
     /// Compares the roster with the state of SWIM.
     Refresh,
-    /// Sends to the other process of this name.
+    /// Announces this process to the other one of its name.
     NameConflict,
     /// Notifies a member that it is suspected.
     NotifySuspect(Suspicion),
--- a/crates/membership/tests/hard_cases/joining.rs
+++ b/crates/membership/tests/hard_cases/joining.rs
@@ -34,7 +34,7 @@
         fleet.run(6_000);
         fleet.start_member(4, 5, &[0]);
         assert!(fleet.run_until(8_000, |fleet| fleet.all_agree(&[1, 2, 3, 4])), "seed {seed}");
-        assert_eq!(fleet.side(4), Some(PartitionSide::Majority), "the configured peer was never seen");
+        assert_eq!(fleet.side(4), Some(PartitionSide::Majority), "the configured peer is missing");
         fleet.start_member(0, 5, &[1]);
         assert!(fleet.run_until(8_000, |fleet| fleet.all_agree(&ALL)), "seed {seed}");
     }
