--- a/crates/experiments/src/cost/mod.rs
+++ b/crates/experiments/src/cost/mod.rs
@@ -9,7 +9,7 @@
 use clap::Args;
 use hdrhistogram::Histogram;
 use pinetrail_test_harness::fleet::{Fleet, Options as FleetOptions};
-use pinetrail_test_harness::{http_200, opaque, program, StubAction, StubServer};
+use pinetrail_test_harness::{http_200, opaque, set_program, StubAction, StubServer};
 use std::thread::sleep;
 use std::time::Duration;
 
@@ -77,7 +77,7 @@
 /// Measures and prints.
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
     let own = std::env::current_exe().map_err(ExperimentError::OwnPath)?;
-    program(own, &["proxy"]);
+    set_program(own, &["proxy"]);
     let mut rows = Vec::new();
     for round in 0..options.rounds {
         for fleet_kind in [FleetKind::WithFleet, FleetKind::WithoutFleet] {
@@ -138,7 +138,7 @@
 /// Starts the proxies of a round, and waits until all have joined if they are a fleet.
 fn start(members: usize, fleet_kind: FleetKind, seed: u64) -> Result<Fleet, ExperimentError> {
     let node = || StubServer::node(|line| StubAction::Reply(format!("VA 1 {}\r\nv\r\n", opaque(line))));
-    let fleet_options = FleetOptions { seed, ..FleetOptions::of(members) };
+    let fleet_options = FleetOptions { seed, ..FleetOptions::with_members(members) };
     let origin = StubServer::origin(|_| http_200("v"));
     let mut fleet = Fleet::new(fleet_options, vec![node(), node()], origin);
     for member in 0..members {
@@ -158,7 +158,7 @@
 
 /// Kills the last member; returns when the first and the last of the others knew of it.
 fn measure_death(fleet: &mut Fleet, members: usize) -> Known {
-    let died = fleet.timeline.now();
+    let died = fleet.timeline.elapsed_ms();
     let dead = members - 1;
     fleet.kill(dead);
     let text = format!("fleet: {} at ", Fleet::name(dead));
@@ -193,5 +193,5 @@
         // After the state, which is not a number, user and system time are the 11th and 12th field.
         fields.get(10).copied().unwrap_or(0) + fields.get(11).copied().unwrap_or(0)
     };
-    (0..fleet.options.members).filter(|member| fleet.runs(*member)).map(of).sum()
+    (0..fleet.options.members).filter(|member| fleet.is_running(*member)).map(of).sum()
 }
--- a/crates/experiments/src/demo/figures.rs
+++ b/crates/experiments/src/demo/figures.rs
@@ -12,7 +12,7 @@
 
 /// All figures of a run.
 pub(super) fn collect(options: &Options, done: &Done, notices: &[Notice]) -> Value {
-    let broken: Vec<String> = match check(&Recorder::own().history()) {
+    let broken: Vec<String> = match check(&Recorder::current().history()) {
         Ok(violations) => violations.iter().map(ToString::to_string).collect(),
         Err(error) => vec![format!("not checked: {error:?}")],
     };
--- a/crates/experiments/src/demo/mod.rs
+++ b/crates/experiments/src/demo/mod.rs
@@ -9,9 +9,9 @@
 use crate::output::{progress_bar, write_json};
 use clap::Args;
 use pinetrail_test_harness::fleet::{Fleet, Options as FleetOptions};
-use pinetrail_test_harness::program;
 use pinetrail_test_harness::recorder::Recorder;
 use pinetrail_test_harness::script::{Fault, Script, ScriptStep};
+use pinetrail_test_harness::set_program;
 use serde_json::json;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::path::PathBuf;
@@ -49,7 +49,7 @@
 /// violated.
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
     let own = std::env::current_exe().map_err(ExperimentError::OwnPath)?;
-    program(own, &["proxy"]);
+    set_program(own, &["proxy"]);
     let stopped = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
         signal_hook::flag::register(signal, Arc::clone(&stopped)).map_err(ExperimentError::SignalHandler)?;
@@ -59,13 +59,13 @@
         options.seconds
     );
     let nodes = (0..NODES).map(|_| servers::node()).collect();
-    let fleet_options = FleetOptions { seed: options.seed, ..FleetOptions::of(PROXIES) };
+    let fleet_options = FleetOptions { seed: options.seed, ..FleetOptions::with_members(PROXIES) };
     let mut fleet = Fleet::start_all(fleet_options, nodes, servers::origin());
     let all: Vec<usize> = (0..PROXIES).collect();
     fleet.wait_until("the proxies meet", |fleet| fleet.all_agree(&all));
     record_config(&fleet);
     let script = script(options.seconds);
-    let start = fleet.timeline.now();
+    let start = fleet.timeline.elapsed_ms();
     let addresses = all.iter().map(|proxy| fleet.process(*proxy).client_address).collect();
     let load = Load::start(addresses, options.rate, Duration::from_secs(options.seconds), options.seed);
     let is_complete = play(&mut fleet, &script, options.seconds, &stopped)?;
@@ -96,12 +96,12 @@
             entry["hostPort"] = json!(node.address.to_string());
         }
     }
-    Recorder::own().record_active_config(&config.to_string());
+    Recorder::current().record_active_config(&config.to_string());
 }
 
 /// One proxy crashes and restarts, one path is cut and heals, one cache node is down for a moment.
 fn script(seconds: u64) -> Script {
-    let step = |tenths: u64, fault| ScriptStep { at: seconds * 100 * tenths, fault };
+    let step = |tenths: u64, fault| ScriptStep { at_ms: seconds * 100 * tenths, fault };
     let steps = vec![
         step(1, Fault::Kill(2)),
         step(2, Fault::Cut(0, 1)),
@@ -129,7 +129,7 @@
             return Ok(false);
         }
         let now = begun.elapsed().as_millis();
-        while let Some(ScriptStep { fault, .. }) = faults.next_if(|step| u128::from(step.at) <= now) {
+        while let Some(ScriptStep { fault, .. }) = faults.next_if(|step| u128::from(step.at_ms) <= now) {
             bar.set_message(fault.to_string());
             fleet.inject(fault);
         }
--- a/crates/experiments/src/demo/notices.rs
+++ b/crates/experiments/src/demo/notices.rs
@@ -20,7 +20,7 @@
 /// script began, in ms of the timeline.
 pub(super) fn find(fleet: &Fleet, script: &Script, start: u128) -> Vec<Notice> {
     let mut notices = Vec::new();
-    for ScriptStep { at, fault } in &script.steps {
+    for ScriptStep { at_ms: at, fault } in &script.steps {
         let (of, what, text, suffix) = match fault {
             Fault::Kill(member) => {
                 (*member, "dead", format!("fleet: {} at ", Fleet::name(*member)), "-> failed")
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -81,7 +81,7 @@
             seed,
             begun: Instant::now(),
             next: AtomicU64::new(0),
-            recorder: Recorder::own(),
+            recorder: Recorder::current(),
             done: Mutex::default(),
         });
         let client = |_| {
--- a/crates/experiments/src/membership/script.rs
+++ b/crates/experiments/src/membership/script.rs
@@ -23,7 +23,7 @@
     fleet.observed.clear();
     let start = fleet.now();
     let mut player = Player { fleet, members, size, peers, start, lines: Vec::new() };
-    for ScriptStep { at, fault } in &script.steps {
+    for ScriptStep { at_ms: at, fault } in &script.steps {
         player.run_until(*at);
         player.lines.push(format!("{at:>7} ms  fault  {fault}"));
         player.inject(fault)?;
--- a/crates/experiments/src/policy/mod.rs
+++ b/crates/experiments/src/policy/mod.rs
@@ -9,7 +9,7 @@
 use pinetrail_simulation::policy_consensus::{play, play_seed, Fault, OutcomeCounts, Plan, Run, Verdict};
 use pinetrail_test_harness::fleet::{Fleet, Options as FleetOptions};
 use pinetrail_test_harness::policy::{run_under_faults, run_with_reloads, PolicyRun};
-use pinetrail_test_harness::{http_200, program, StubServer};
+use pinetrail_test_harness::{http_200, set_program, StubServer};
 use rayon::prelude::*;
 use serde::Serialize;
 use std::path::PathBuf;
@@ -154,14 +154,15 @@
         return Ok(true);
     }
     let own = std::env::current_exe().map_err(ExperimentError::OwnPath)?;
-    program(own, &["proxy"]);
+    set_program(own, &["proxy"]);
     let parties = || {
-        (vec![StubServer::full_node("v"), StubServer::full_node("v")], StubServer::origin(|_| http_200("v")))
+        (vec![StubServer::hit_node("v"), StubServer::hit_node("v")], StubServer::origin(|_| http_200("v")))
     };
     let mut all = Vec::new();
     for seed in first..first + seeds {
         let (nodes, origin) = parties();
-        let options = FleetOptions { seed, founders: vec![0, 1, 2], policy: true, ..FleetOptions::of(4) };
+        let options =
+            FleetOptions { seed, founders: vec![0, 1, 2], policy: true, ..FleetOptions::with_members(4) };
         all.push(run_under_faults(Fleet::start_all(options, nodes, origin), seed));
     }
     let wrong: Vec<u64> = all.iter().filter(|one| one.violations > 0).map(|one| one.seed).collect();
@@ -173,7 +174,8 @@
         sum(|one| u64::from(one.version == 2))
     );
     let (nodes, origin) = parties();
-    let base = run_with_reloads(Fleet::start_all(FleetOptions::of(4), nodes, origin), RELOAD_INTERVAL);
+    let base =
+        run_with_reloads(Fleet::start_all(FleetOptions::with_members(4), nodes, origin), RELOAD_INTERVAL);
     println!(
         "baseline, SIGHUP at each of four in turn, {} ms apart: {} requests show two policies, for {:.0} ms",
         RELOAD_INTERVAL.as_millis(),
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -17,7 +17,7 @@
 use clap::{Args, ValueEnum};
 use clients::Client;
 use judge::{LateResponse, Verdict, Violation, DEDUPLICATION_WINDOW};
-use pinetrail_test_harness::{catalog, program, ProxyFixture, StaticDiscovery};
+use pinetrail_test_harness::{endpoint_list_json, set_program, ProxyFixture, StaticDiscovery};
 use plan::{Fault, FaultMix, Plan};
 use record::{Change, Record, Stop};
 use request_logs::RequestLogs;
@@ -76,7 +76,7 @@
         return Err(ExperimentError::EmptySeedRange { first: options.first, last: options.last });
     }
     let own = std::env::current_exe().map_err(ExperimentError::OwnPath)?;
-    program(own, &["proxy"]);
+    set_program(own, &["proxy"]);
     let logs = RequestLogs::keep().map_err(ExperimentError::Soak)?;
     let mut passed = true;
     for seed in options.first..=options.last {
@@ -167,8 +167,8 @@
         let window = format!(r#""RepeatWindow":{}.0"#, DEDUPLICATION_WINDOW.as_millis());
         let changes = [(DEFAULT_WINDOW, window.as_str())];
         let proxies: Vec<ProxyFixture> =
-            (0..plan.proxies).map(|_| ProxyFixture::with_all(&entries, &changes)).collect();
-        let discovery = StaticDiscovery::new(catalog(2, true, &entries));
+            (0..plan.proxies).map(|_| ProxyFixture::with_config_changes(&entries, &changes)).collect();
+        let discovery = StaticDiscovery::new(endpoint_list_json(2, true, &entries));
         for proxy in &proxies {
             proxy.reload(&proxy.discovery.address.to_string(), &discovery.address.to_string());
         }
@@ -260,7 +260,7 @@
         fixture.signal("HUP");
         self.record.note_change(Change::Terminated(proxy));
         fixture.signal("TERM");
-        if !self.proxies[proxy].ends_within(TERM_TO_KILL) {
+        if !self.proxies[proxy].exits_within(TERM_TO_KILL) {
             self.kill(proxy);
             return;
         }
@@ -282,7 +282,7 @@
         let state = |number| if number == node { lifecycle } else { "ready" };
         let entries: Vec<String> = (0..).zip(&self.backends).map(|(n, b)| entry(b, n, state(n))).collect();
         self.record.note_change(change);
-        self.discovery.publish(catalog(self.generation, true, &entries));
+        self.discovery.publish(endpoint_list_json(self.generation, true, &entries));
     }
 
     /// Idle clients that fill a proxy's descriptors for [`CROWD_DURATION`].
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,6 +1,6 @@
 //! Faults of the system, for tests of real processes: preloaded (`LD_PRELOAD`) into a proxy, this
 //! library replaces some functions of the C library. The faults, and the step of the wall clock,
-//! are read from a file that the test changes while the proxy runs. Read [`Control`] first.
+//! are read from a file that the test changes while the proxy runs. Read [`FaultControl`] first.
 //!
 //! Each replacement makes the system call by its number unless it injects a fault. `unsafe` is
 //! needed only for that, and for the file that is mapped into memory.
@@ -13,43 +13,43 @@
 use std::sync::atomic::{AtomicI32, AtomicI64, AtomicPtr, Ordering};
 
 /// The environment variable that names the control file.
-pub const CONTROL_VARIABLE: &str = "PINETRAIL_FAULTS";
+pub const CONTROL_FILE_VARIABLE: &str = "PINETRAIL_FAULTS";
 
-const CONTROL_BYTES: usize = size_of::<Shared>();
+const CONTROL_FILE_BYTES: usize = size_of::<ControlFile>();
 
 /// The content of the control file, which test and proxy share.
 #[repr(C)]
-struct Shared {
+struct ControlFile {
     /// Added to the wall clock, in ms.
-    wall_clock_ms: AtomicI64,
+    wall_clock_offset_ms: AtomicI64,
     /// The error of each call, 0 for none.
     accept_error: AtomicI32,
     connect_error: AtomicI32,
 }
 
 /// The test's end of a control file.
-pub struct Control(&'static Shared);
+pub struct FaultControl(&'static ControlFile);
 
-impl Control {
+impl FaultControl {
     /// Makes a file without faults, and opens it.
     ///
     /// # Errors
     /// Those of the file system.
-    pub fn create(path: &Path) -> std::io::Result<Control> {
-        std::fs::write(path, [0; CONTROL_BYTES])?;
-        map(path).map(Control)
+    pub fn create(path: &Path) -> std::io::Result<FaultControl> {
+        std::fs::write(path, [0; CONTROL_FILE_BYTES])?;
+        map_control_file(path).map(FaultControl)
     }
 
     /// Ends all faults.
-    pub fn end_all(&self) {
-        self.step_wall_clock(0);
+    pub fn clear_faults(&self) {
+        self.set_wall_clock_offset(0);
         self.fail_accept(0);
         self.fail_connect(0);
     }
 
     /// Sets the wall clock of the proxy to `ms` after its true time.
-    pub fn step_wall_clock(&self, ms: i64) {
-        self.0.wall_clock_ms.store(ms, Ordering::SeqCst);
+    pub fn set_wall_clock_offset(&self, ms: i64) {
+        self.0.wall_clock_offset_ms.store(ms, Ordering::SeqCst);
     }
 
     /// Lets each `accept` fail with this error; 0 ends that.
@@ -63,25 +63,32 @@
     }
 }
 
-fn map(path: &Path) -> std::io::Result<&'static Shared> {
+fn map_control_file(path: &Path) -> std::io::Result<&'static ControlFile> {
     let file = std::fs::File::options().read(true).write(true).open(path)?;
-    // SAFETY: the file has the size of `Shared`, whose fields are atomic; it stays mapped.
+    // SAFETY: the file has the size of `ControlFile`, whose fields are atomic; it stays mapped.
     let mapped = unsafe {
         let protection = libc::PROT_READ | libc::PROT_WRITE;
-        libc::mmap(std::ptr::null_mut(), CONTROL_BYTES, protection, libc::MAP_SHARED, file.as_raw_fd(), 0)
+        libc::mmap(
+            std::ptr::null_mut(),
+            CONTROL_FILE_BYTES,
+            protection,
+            libc::MAP_SHARED,
+            file.as_raw_fd(),
+            0,
+        )
     };
     if mapped == libc::MAP_FAILED {
         return Err(std::io::Error::last_os_error());
     }
     // SAFETY: as above; every bit pattern is a value of its fields.
-    Ok(unsafe { &*mapped.cast::<Shared>() })
+    Ok(unsafe { &*mapped.cast::<ControlFile>() })
 }
 
 /// The faults of this process; none if it has no control file.
-fn shared() -> Option<&'static Shared> {
-    static MAPPED: AtomicPtr<Shared> = AtomicPtr::new(std::ptr::null_mut());
-    static NONE: Shared = Shared {
-        wall_clock_ms: AtomicI64::new(0),
+fn active_faults() -> Option<&'static ControlFile> {
+    static MAPPED: AtomicPtr<ControlFile> = AtomicPtr::new(std::ptr::null_mut());
+    static NONE: ControlFile = ControlFile {
+        wall_clock_offset_ms: AtomicI64::new(0),
         accept_error: AtomicI32::new(0),
         connect_error: AtomicI32::new(0),
     };
@@ -89,8 +96,8 @@
     if mapped.is_null() {
         // The calls that map the file meet no fault.
         MAPPED.store(std::ptr::from_ref(&NONE).cast_mut(), Ordering::Release);
-        let path = variable(CONTROL_VARIABLE)?;
-        let found = map(Path::new(&path)).ok()?;
+        let path = env_variable(CONTROL_FILE_VARIABLE)?;
+        let found = map_control_file(Path::new(&path)).ok()?;
         mapped = std::ptr::from_ref(found).cast_mut();
         MAPPED.store(mapped, Ordering::Release);
     }
@@ -99,7 +106,7 @@
 }
 
 /// An environment variable, read without a lock, since any code may call this.
-fn variable(name: &str) -> Option<String> {
+fn env_variable(name: &str) -> Option<String> {
     let name = CString::new(name).ok()?;
     // SAFETY: the name ends with a zero; the value is copied at once.
     let value = unsafe { libc::getenv(name.as_ptr()) };
@@ -112,11 +119,11 @@
 
 /// The error with which a call fails; 0 for none. Every second interruption is left out, since the
 /// standard library repeats an interrupted call at once until it is not interrupted.
-fn injected_error(read: impl Fn(&Shared) -> &AtomicI32) -> c_int {
+fn injected_error(read: impl Fn(&ControlFile) -> &AtomicI32) -> c_int {
     static INTERRUPTIONS: AtomicI32 = AtomicI32::new(0);
-    let error = shared().map_or(0, |shared| read(shared).load(Ordering::SeqCst));
-    let is_over = error == libc::EINTR && INTERRUPTIONS.fetch_add(1, Ordering::SeqCst) % 2 == 1;
-    if is_over {
+    let error = active_faults().map_or(0, |control| read(control).load(Ordering::SeqCst));
+    let is_skipped = error == libc::EINTR && INTERRUPTIONS.fetch_add(1, Ordering::SeqCst) % 2 == 1;
+    if is_skipped {
         0
     } else {
         error
@@ -124,14 +131,14 @@
 }
 
 /// Returns like a system call that failed with this error.
-fn fail(error: c_int) -> c_int {
+fn fail_with(error: c_int) -> c_int {
     // SAFETY: it is the address of this thread's own variable.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
 /// Converts the result of `syscall` to that of the C library's function.
-fn returned(result: c_long) -> c_int {
+fn to_c_int(result: c_long) -> c_int {
     // These calls return descriptors, 0 or -1.
     result as c_int
 }
@@ -145,11 +152,12 @@
     // SAFETY: the arguments are passed on unchanged.
     let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) };
     if result == 0 && clock == libc::CLOCK_REALTIME {
-        let step_ms = shared().map_or(0, |shared| shared.wall_clock_ms.load(Ordering::SeqCst));
+        let offset_ms =
+            active_faults().map_or(0, |control| control.wall_clock_offset_ms.load(Ordering::SeqCst));
         // SAFETY: the system has just written there.
-        unsafe { (*time).tv_sec += step_ms / 1000 };
+        unsafe { (*time).tv_sec += offset_ms / 1000 };
     }
-    returned(result)
+    to_c_int(result)
 }
 
 /// Replaces the function of the C library.
@@ -163,10 +171,10 @@
     length: *mut libc::socklen_t,
     flags: c_int,
 ) -> c_int {
-    match injected_error(|shared| &shared.accept_error) {
+    match injected_error(|control| &control.accept_error) {
         // SAFETY: the arguments are passed on unchanged.
-        0 => returned(unsafe { libc::syscall(libc::SYS_accept4, socket, address, length, flags) }),
-        error => fail(error),
+        0 => to_c_int(unsafe { libc::syscall(libc::SYS_accept4, socket, address, length, flags) }),
+        error => fail_with(error),
     }
 }
 
@@ -180,9 +188,9 @@
     address: *const libc::sockaddr,
     length: libc::socklen_t,
 ) -> c_int {
-    match injected_error(|shared| &shared.connect_error) {
+    match injected_error(|control| &control.connect_error) {
         // SAFETY: the arguments are passed on unchanged.
-        0 => returned(unsafe { libc::syscall(libc::SYS_connect, socket, address, length) }),
-        error => fail(error),
+        0 => to_c_int(unsafe { libc::syscall(libc::SYS_connect, socket, address, length) }),
+        error => fail_with(error),
     }
 }
--- a/crates/fault-shim/tests/system_faults.rs
+++ b/crates/fault-shim/tests/system_faults.rs
@@ -1,6 +1,6 @@
 //! Real proxies whose system calls fail and whose wall clock is set.
 
-use pinetrail_fault_shim::{Control, CONTROL_VARIABLE};
+use pinetrail_fault_shim::{FaultControl, CONTROL_FILE_VARIABLE};
 use pinetrail_test_harness::*;
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
@@ -17,25 +17,25 @@
 
 /// Has proxies started with the library preloaded. All tests of this program share one control
 /// file: they run one after the other.
-fn control() -> MutexGuard<'static, Control> {
-    static CONTROL: OnceLock<Mutex<Control>> = OnceLock::new();
+fn control() -> MutexGuard<'static, FaultControl> {
+    static CONTROL: OnceLock<Mutex<FaultControl>> = OnceLock::new();
     let control = CONTROL.get_or_init(|| {
         let file = std::env::temp_dir().join(format!("pinetrail-faults-{}", std::process::id()));
-        let control = Control::create(&file).unwrap();
+        let control = FaultControl::create(&file).unwrap();
         let test = std::env::current_exe().unwrap();
         let folder = test.parent().and_then(Path::parent).unwrap();
         // Uplifted beside the programs by a build, left among the dependencies by a test.
         let library = test.with_file_name("libpinetrail_fault_shim.so");
         assert!(library.exists(), "{} is built with this test", library.display());
         let preload = format!("LD_PRELOAD={}", library.display());
-        let faults = format!("{CONTROL_VARIABLE}={}", file.display());
+        let faults = format!("{CONTROL_FILE_VARIABLE}={}", file.display());
         let proxy = folder.join("pinetrail").display().to_string();
-        program(PathBuf::from("/usr/bin/env"), &[&preload, &faults, &proxy]);
+        set_program(PathBuf::from("/usr/bin/env"), &[&preload, &faults, &proxy]);
         Mutex::new(control)
     });
     // A failed test may have left its fault active.
     let control = control.lock().unwrap_or_else(PoisonError::into_inner);
-    control.end_all();
+    control.clear_faults();
     control
 }
 
@@ -57,7 +57,7 @@
 fn a_proxy_accepts_again_after_each_error_of_accept() {
     let control = control();
     let origin = StubServer::origin(|_| StubAction::Ignore);
-    let fixture = ProxyFixture::of(&[&StubServer::full_node("v")], &origin);
+    let fixture = ProxyFixture::with_backends(&[&StubServer::hit_node("v")], &origin);
     let mut held = fixture.client();
     assert_eq!(held.request("mn\r\n"), "MN\r\n", "it is accepted");
     for error in [libc::ECONNABORTED, libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::EINTR, libc::EPROTO] {
@@ -77,8 +77,8 @@
 fn requests_are_answered_while_connect_fails_and_served_after_it() {
     let control = control();
     for error in [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EHOSTUNREACH, libc::ETIMEDOUT] {
-        let (node, origin) = (StubServer::full_node("v"), StubServer::origin(|_| StubAction::Ignore));
-        let fixture = ProxyFixture::of(&[&node], &origin);
+        let (node, origin) = (StubServer::hit_node("v"), StubServer::origin(|_| StubAction::Ignore));
+        let fixture = ProxyFixture::with_backends(&[&node], &origin);
         control.fail_connect(error);
         let mut client = fixture.client();
         for number in 0..2 {
@@ -88,7 +88,7 @@
             assert!(begun.elapsed() < ms(2000), "error {error}: {:?}", begun.elapsed());
         }
         control.fail_connect(0);
-        let until = Instant::now() + WAIT;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let mut number = 0;
         while client.get("k", &format!("after{number}"), 900).1 != "v\r\n" {
             number += 1;
@@ -104,17 +104,17 @@
     let control = control();
     let (node, origin) =
         (StubServer::node(|_| StubAction::Ignore), StubServer::origin(|_| StubAction::Ignore));
-    let fixture = ProxyFixture::of(&[&node], &origin);
-    for (number, step) in [-HOUR_MS, -3000, 3000, HOUR_MS].into_iter().enumerate() {
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
+    for (number, offset_ms) in [-HOUR_MS, -3000, 3000, HOUR_MS].into_iter().enumerate() {
         let mut client = fixture.client();
         let begun = Instant::now();
         client.send(&format!("mg k v O{number} Pc=read,t=acme,d=600\r\n"));
         sleep(ms(100));
-        control.step_wall_clock(step);
+        control.set_wall_clock_offset(offset_ms);
         assert!(client.read_line().starts_with("SERVER_ERROR "));
         let took = begun.elapsed();
-        assert!(took >= ms(400) && took < ms(5000), "step {step}: {took:?}");
-        control.step_wall_clock(0);
+        assert!(took >= ms(400) && took < ms(5000), "offset {offset_ms} ms: {took:?}");
+        control.set_wall_clock_offset(0);
     }
     assert_eq!(fixture.counter("overdue"), 0, "no fallback was needed");
 }
@@ -123,27 +123,27 @@
 #[test]
 fn a_node_that_restarts_after_the_clock_was_set_back_is_warming_up() {
     let control = control();
-    let nodes = [StubServer::full_node("v"), StubServer::full_node("v")];
+    let nodes = [StubServer::hit_node("v"), StubServer::hit_node("v")];
     let origin = StubServer::origin(|_| StubAction::Ignore);
-    let fixture = ProxyFixture::of(&[&nodes[0], &nodes[1]], &origin);
-    let (_, updates) = fixture.discovery.watch();
+    let fixture = ProxyFixture::with_backends(&[&nodes[0], &nodes[1]], &origin);
+    let (_, updates) = fixture.discovery.next_watch();
     let mut client = fixture.client();
     for number in 0..100 {
         assert_eq!(client.get(&format!("k{number}"), &format!("warm{number}"), 900).1, "v\r\n");
     }
-    control.step_wall_clock(-HOUR_MS);
+    control.set_wall_clock_offset(-HOUR_MS);
     let unix = std::time::UNIX_EPOCH.elapsed().unwrap().as_millis();
     let started = unix - u128::try_from(HOUR_MS).unwrap();
     let entry = nodes[0].entry("s-0", "c6", "ready");
     let restarted = entry.replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{started}"#));
-    updates.send(catalog(2, false, &[restarted])).unwrap();
-    fixture.until("the list with the restart has arrived", || fixture.counter("lists") == 1);
+    updates.send(endpoint_list_json(2, false, &[restarted])).unwrap();
+    fixture.wait_until("the list with the restart has arrived", || fixture.counter("lists") == 1);
     let before = nodes.each_ref().map(|node| node.received().len());
 
     for number in 0..200 {
         assert_eq!(client.get(&format!("c{number}"), &format!("cold{number}"), 900).1, "v\r\n");
     }
-    control.step_wall_clock(0);
+    control.set_wall_clock_offset(0);
 
     let [cold, warm] = [0, 1].map(|node| nodes[node].received().len() - before[node]);
     assert!(cold * 3 < warm, "the cold node got {cold}, the warm one {warm}");
--- a/crates/test-harness/src/arrival.rs
+++ b/crates/test-harness/src/arrival.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The time that a thread has waited for a processor is in this file.
-const SCHEDULER_STATISTICS: &str = "/proc/thread-self/schedstat";
+const SCHEDSTAT_PATH: &str = "/proc/thread-self/schedstat";
 /// How long the kernel may take to begin recording.
 const START_TIMEOUT: Duration = Duration::from_secs(1);
 /// The most that is discarded by one read.
@@ -28,7 +28,7 @@
     stream: TcpStream,
     last_arrival: Instant,
     /// Whether the kernel told the time of the last arrival.
-    is_stamped: bool,
+    is_timestamped: bool,
 }
 
 /// Has the kernel record arrivals on all connections that a listener accepts, also of bytes that
@@ -40,7 +40,7 @@
     setsockopt(listener, sockopt::ReceiveTimestampns, &true)?;
     let until = Instant::now() + START_TIMEOUT;
     // The kernel begins some time after the first socket has asked for it.
-    while !stamps_arrivals()? {
+    while !timestamps_arrivals()? {
         if Instant::now() > until {
             return Err(io::ErrorKind::TimedOut.into());
         }
@@ -49,13 +49,13 @@
 }
 
 /// Whether the kernel records the arrival of a byte.
-fn stamps_arrivals() -> io::Result<bool> {
+fn timestamps_arrivals() -> io::Result<bool> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let mut writer = TcpStream::connect(listener.local_addr()?)?;
     let mut reader = ArrivalStream::new(listener.accept()?.0)?;
     writer.write_all(&[0])?;
     reader.read_exact(&mut [0])?;
-    Ok(reader.is_stamped)
+    Ok(reader.is_timestamped)
 }
 
 impl ArrivalStream {
@@ -65,7 +65,7 @@
     /// If the kernel does not record arrivals.
     pub fn new(stream: TcpStream) -> io::Result<ArrivalStream> {
         setsockopt(&stream, sockopt::ReceiveTimestampns, &true)?;
-        Ok(ArrivalStream { stream, last_arrival: Instant::now(), is_stamped: false })
+        Ok(ArrivalStream { stream, last_arrival: Instant::now(), is_timestamped: false })
     }
 
     /// When the bytes that the last read returned arrived. If it found the end of the stream or an
@@ -79,12 +79,12 @@
     pub fn wait_for_end(&mut self, time: Duration) -> Option<Instant> {
         let until = Instant::now() + time;
         loop {
-            let waited_before = processor_wait();
+            let waited_before = run_queue_wait();
             let left = until.saturating_duration_since(Instant::now());
             if !self.is_readable_within(left) {
                 return None;
             }
-            let woken_at = Instant::now().checked_sub(processor_wait().saturating_sub(waited_before));
+            let woken_at = Instant::now().checked_sub(run_queue_wait().saturating_sub(waited_before));
             match self.stream.read(&mut [0; DISCARD_SIZE_BYTES]) {
                 Ok(count) if count > 0 => {}
                 _ => return Some(woken_at.unwrap_or_else(Instant::now)),
@@ -121,22 +121,22 @@
 
 impl Read for ArrivalStream {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
-        let waited_before = processor_wait();
+        let waited_before = run_queue_wait();
         let mut control = nix::cmsg_space!(TimeSpec);
         let mut buffers = [IoSliceMut::new(into)];
         let received =
             recvmsg::<()>(self.stream.as_raw_fd(), &mut buffers, Some(&mut control), MsgFlags::empty());
         let now = Instant::now();
-        let waited = processor_wait().saturating_sub(waited_before);
+        let waited = run_queue_wait().saturating_sub(waited_before);
         self.last_arrival = now.checked_sub(waited).unwrap_or(now);
         let message = received?;
         if message.bytes > 0 {
-            let stamped = message.cmsgs()?.find_map(|control| match control {
+            let timestamp = message.cmsgs()?.find_map(|control| match control {
                 ControlMessageOwned::ScmTimestampns(time) => Some(Duration::from(time)),
                 _ => None,
             });
-            self.is_stamped = stamped.is_some();
-            self.last_arrival = stamped.map_or(self.last_arrival, instant_of);
+            self.is_timestamped = timestamp.is_some();
+            self.last_arrival = timestamp.map_or(self.last_arrival, instant_at_unix_time);
         }
         Ok(message.bytes)
     }
@@ -144,15 +144,15 @@
 
 /// How long this thread has waited for a processor since its start; zero if the kernel does not
 /// tell.
-fn processor_wait() -> Duration {
-    let statistics = std::fs::read_to_string(SCHEDULER_STATISTICS).unwrap_or_default();
+fn run_queue_wait() -> Duration {
+    let statistics = std::fs::read_to_string(SCHEDSTAT_PATH).unwrap_or_default();
     let wait_ns = statistics.split_whitespace().nth(1).and_then(|field| field.parse().ok());
     Duration::from_nanos(wait_ns.unwrap_or(0))
 }
 
 /// The moment of a Unix time in the recent past.
 #[allow(clippy::disallowed_methods, reason = "the kernel stamps arrivals by the wall clock")]
-fn instant_of(unix: Duration) -> Instant {
+fn instant_at_unix_time(unix: Duration) -> Instant {
     let readings = (0..CLOCK_READINGS).map(|_| {
         let before = Instant::now();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/test-harness/src/barrier.rs
+++ b/crates/test-harness/src/barrier.rs
@@ -2,7 +2,7 @@
 //! it. [`AcceptBarrier`] accepts connections; [`AcceptedConnection`] is one of them.
 
 use crate::stub_server::read_request;
-use crate::WAIT;
+use crate::WAIT_TIMEOUT;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -63,7 +63,7 @@
 
     /// The next connection that comes in, if one does in time.
     pub fn accept(&self) -> Option<AcceptedConnection> {
-        self.accept_within(WAIT)
+        self.accept_within(WAIT_TIMEOUT)
     }
 
     /// The next connection that comes in within this time.
@@ -73,7 +73,7 @@
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
-                    stream.set_read_timeout(Some(WAIT)).unwrap();
+                    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                     return Some(AcceptedConnection { reader: BufReader::new(stream) });
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
@@ -96,7 +96,7 @@
 
 impl AcceptedConnection {
     /// The next command, or head and body where `http`; none at the end.
-    pub fn request(&mut self, http: bool) -> Option<String> {
+    pub fn read_request(&mut self, http: bool) -> Option<String> {
         read_request(&mut self.reader, http)
     }
 
--- a/crates/test-harness/src/client.rs
+++ b/crates/test-harness/src/client.rs
@@ -1,7 +1,7 @@
 //! The callers of a proxy: [`Client`]s, and operators at its admin endpoint ([`call_admin`]).
 
 use crate::recorder::Recorder;
-use crate::WAIT;
+use crate::WAIT_TIMEOUT;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
@@ -20,21 +20,21 @@
 }
 
 impl Client {
-    /// Connects; reads end after [`WAIT`].
+    /// Connects; reads end after [`WAIT_TIMEOUT`].
     ///
     /// # Panics
     /// If no server listens there.
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(WAIT)).unwrap();
-        Client { reader: BufReader::new(stream), recorder: Recorder::own() }
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        Client { reader: BufReader::new(stream), recorder: Recorder::current() }
     }
 
     /// The same where possibly no server listens; reads on it end after one second.
     pub fn try_connect(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(TRY_READ_TIMEOUT)).ok()?;
-        Some(Client { reader: BufReader::new(stream), recorder: Recorder::own() })
+        Some(Client { reader: BufReader::new(stream), recorder: Recorder::current() })
     }
 
     /// Writes bytes.
@@ -94,13 +94,13 @@
 
     /// Gets a key with a deadline in milliseconds; the response's line, and the value's line if
     /// there is one.
-    pub fn get(&mut self, key: &str, id: &str, ms: u32) -> (String, String) {
-        self.perform(&format!("mg {key} v O{id} Pc=read,t=acme,d={ms}\r\n"))
+    pub fn get(&mut self, key: &str, id: &str, deadline_ms: u32) -> (String, String) {
+        self.perform(&format!("mg {key} v O{id} Pc=read,t=acme,d={deadline_ms}\r\n"))
     }
 
     /// Sets a key with a deadline in milliseconds; the response's line.
-    pub fn set(&mut self, class: &str, key: &str, id: &str, ms: u32) -> String {
-        self.perform(&format!("ms {key} 5 O{id} Pc={class},t=acme,d={ms},k={id}\r\nhello\r\n")).0
+    pub fn set(&mut self, class: &str, key: &str, id: &str, deadline_ms: u32) -> String {
+        self.perform(&format!("ms {key} 5 O{id} Pc={class},t=acme,d={deadline_ms},k={id}\r\nhello\r\n")).0
     }
 
     fn perform(&mut self, command: &str) -> (String, String) {
--- a/crates/test-harness/src/discovery.rs
+++ b/crates/test-harness/src/discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::recorder::Recorder;
 use crate::stub_server::read_request;
-use crate::WAIT;
+use crate::WAIT_TIMEOUT;
 use std::io::{BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Discovery whose watches a test feeds itself, through [`Discovery::watch`]. A watch ends when its
+/// Discovery whose watches a test feeds itself, through [`Discovery::next_watch`]. A watch ends when its
 /// sender is dropped.
 pub struct Discovery {
     /// Where it listens.
@@ -31,7 +31,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (watch_sender, watches) = channel();
-        let recorder = Recorder::own();
+        let recorder = Recorder::current();
         thread::spawn(move || {
             for stream in listener.incoming().filter_map(Result::ok) {
                 let (watch_sender, recorder) = (watch_sender.clone(), recorder.clone());
@@ -68,13 +68,13 @@
     ///
     /// # Panics
     /// If the proxy opens none in time.
-    pub fn watch(&self) -> (String, Sender<String>) {
-        self.watches.recv_timeout(WAIT).expect("the proxy asks for a watch")
+    pub fn next_watch(&self) -> (String, Sender<String>) {
+        self.watches.recv_timeout(WAIT_TIMEOUT).expect("the proxy asks for a watch")
     }
 }
 
 /// A list in the form in which discovery sends it.
-pub fn catalog(generation: u64, reset: bool, entries: &[String]) -> String {
+pub fn endpoint_list_json(generation: u64, reset: bool, entries: &[String]) -> String {
     format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, entries.join(","))
 }
 
--- a/crates/test-harness/src/fault_proxy/datagram.rs
+++ b/crates/test-harness/src/fault_proxy/datagram.rs
@@ -1,4 +1,4 @@
-//! Fault-injecting proxies for datagrams: one in front of each member of a fleet. [`FaultProxies`]
+//! Fault-injecting proxies for datagrams: one in front of each member of a fleet. [`DatagramFaultProxies`]
 //! owns their sockets and threads.
 //!
 //! A member is known to the others by the address of its proxy. The sender's own address identifies
@@ -119,18 +119,18 @@
 }
 
 /// The proxies of one fleet. Their threads end when this is dropped.
-pub struct FaultProxies {
+pub struct DatagramFaultProxies {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl FaultProxies {
+impl DatagramFaultProxies {
     /// Proxies at the advertised addresses, for members whose own sockets are at the others. The
     /// seed decides which datagrams are lost, duplicated, corrupted and delayed.
     ///
     /// # Panics
     /// If an advertised address cannot be bound.
-    pub fn new(advertised: &[SocketAddr], members: &[SocketAddr], seed: u64) -> FaultProxies {
+    pub fn new(advertised: &[SocketAddr], members: &[SocketAddr], seed: u64) -> DatagramFaultProxies {
         let state = State {
             member_addresses: members.to_vec(),
             faults: BTreeMap::new(),
@@ -152,7 +152,7 @@
         }
         let delivering = Arc::clone(&shared);
         threads.push(thread::spawn(move || delivering.deliver()));
-        FaultProxies { shared, threads }
+        DatagramFaultProxies { shared, threads }
     }
 
     /// Changes the faults of the path between two members.
@@ -189,7 +189,7 @@
     }
 }
 
-impl Drop for FaultProxies {
+impl Drop for DatagramFaultProxies {
     fn drop(&mut self) {
         self.shared.stop.store(true, Ordering::Release);
         self.shared.in_flight_changed.notify_all();
--- a/crates/test-harness/src/fault_proxy/mod.rs
+++ b/crates/test-harness/src/fault_proxy/mod.rs
@@ -1,4 +1,4 @@
-//! Fault-injecting proxies, which run inside the test's process. [`FaultProxies`] stand on every
+//! Fault-injecting proxies, which run inside the test's process. [`DatagramFaultProxies`] stand on every
 //! directed path between the members of a fleet and decide the faults of a path ([`PathFaults`]);
 //! the [`PeerFaultProxies`] apply the same faults to the members' TCP connections. A
 //! [`StreamFaultProxy`] stands between one member and one server that it calls.
@@ -8,7 +8,7 @@
 mod peer;
 mod stream;
 
-pub use datagram::FaultProxies;
+pub use datagram::DatagramFaultProxies;
 pub use path::{PathCounts, PathFaults};
 pub use peer::PeerFaultProxies;
 pub use stream::StreamFaultProxy;
--- a/crates/test-harness/src/fault_proxy/path.rs
+++ b/crates/test-harness/src/fault_proxy/path.rs
@@ -33,7 +33,7 @@
     /// connection every read takes this long.
     pub max_delay: Duration,
     /// The most bytes a second that pass on a connection; none for no limit.
-    pub throttle: Option<u64>,
+    pub max_bytes_per_s: Option<u64>,
 }
 
 impl PathFaults {
@@ -45,7 +45,7 @@
         corrupted: 0.0,
         min_delay: Duration::ZERO,
         max_delay: Duration::ZERO,
-        throttle: None,
+        max_bytes_per_s: None,
     };
 }
 
--- a/crates/test-harness/src/fault_proxy/peer.rs
+++ b/crates/test-harness/src/fault_proxy/peer.rs
@@ -117,7 +117,7 @@
     fn run(self, client: TcpStream) {
         client.set_nonblocking(false).unwrap();
         // While the path is partitioned no connection is made, and the dialing member times out.
-        wait_for_passage(&self.paths, self.path);
+        wait_while_partitioned(&self.paths, self.path);
         let Ok(server) = TcpStream::connect(self.target) else { return };
         for stream in [&client, &server] {
             let _ = stream.set_nodelay(true);
@@ -134,7 +134,7 @@
 }
 
 /// Waits until a path passes, or the proxies stop.
-fn wait_for_passage(paths: &PathView, path: Path) {
+fn wait_while_partitioned(paths: &PathView, path: Path) {
     while paths.faults(path).partitioned && !paths.is_stopped() {
         thread::sleep(POLL_INTERVAL);
     }
@@ -144,11 +144,11 @@
 fn copy(mut from: TcpStream, mut to: TcpStream, path: Path, paths: &PathView) {
     let mut buffer = vec![0; COPY_BUFFER_BYTES];
     loop {
-        let is_throttled = paths.faults(path).throttle.is_some();
+        let is_throttled = paths.faults(path).max_bytes_per_s.is_some();
         let most = if is_throttled { THROTTLED_READ_BYTES } else { buffer.len() };
         let length = read_some(&mut from, &mut buffer[..most]);
-        wait_for_passage(paths, path);
-        let wait = passage_time(paths, path, length);
+        wait_while_partitioned(paths, path);
+        let wait = transfer_time(paths, path, length);
         if !wait.is_zero() {
             thread::sleep(wait);
         }
@@ -163,8 +163,8 @@
 }
 
 /// How long this many bytes take on a path.
-fn passage_time(paths: &PathView, path: Path, bytes: usize) -> Duration {
+fn transfer_time(paths: &PathView, path: Path, bytes: usize) -> Duration {
     let faults = paths.faults(path);
-    let throttled_ms = faults.throttle.map_or(0, |limit| bytes as u64 * 1000 / limit.max(1));
+    let throttled_ms = faults.max_bytes_per_s.map_or(0, |limit| bytes as u64 * 1000 / limit.max(1));
     faults.max_delay + Duration::from_millis(throttled_ms)
 }
--- a/crates/test-harness/src/fault_proxy/stream.rs
+++ b/crates/test-harness/src/fault_proxy/stream.rs
@@ -23,7 +23,7 @@
 
 impl Shared {
     /// Waits while nothing passes.
-    fn wait_for_passage(&self) {
+    fn wait_while_partitioned(&self) {
         let mut state = self.state.lock().unwrap();
         while state.partitioned {
             state = self.partition_changed.wait(state).unwrap();
@@ -95,7 +95,7 @@
 
 /// Serves one connection until either end closes it.
 fn serve(client: TcpStream, target: SocketAddr, shared: &Arc<Shared>) {
-    shared.wait_for_passage();
+    shared.wait_while_partitioned();
     // If no server listens the connection breaks, as it would without a proxy.
     let Ok(server) = TcpStream::connect(target) else { return };
     let ends = [client.try_clone(), server.try_clone()];
@@ -111,7 +111,7 @@
     let mut buffer = vec![0; COPY_BUFFER_BYTES];
     loop {
         let length = read_some(&mut from, &mut buffer);
-        shared.wait_for_passage();
+        shared.wait_while_partitioned();
         if !forward(&buffer[..length], &from, &mut to) {
             return;
         }
--- a/crates/test-harness/src/fleet/config.rs
+++ b/crates/test-harness/src/fleet/config.rs
@@ -2,7 +2,7 @@
 
 use super::{Fleet, PEER_PORT};
 use crate::config::config;
-use crate::discovery::catalog;
+use crate::discovery::endpoint_list_json;
 use crate::process::write_config;
 use crate::stub_server::StubServer;
 use serde_json::{json, Value};
@@ -15,9 +15,13 @@
 impl Fleet {
     /// The configuration of a member that contacts these peers first.
     pub fn config(&self, member: usize, peers: &[usize]) -> Value {
-        let discovery = self.streams[member][self.nodes.len() + 1].address.to_string();
-        let text =
-            config("127.0.0.1:0", &discovery, MEMBER_SOCKETS, &catalog(1, true, &self.endpoints(member)));
+        let discovery = self.server_faults[member][self.nodes.len() + 1].address.to_string();
+        let text = config(
+            "127.0.0.1:0",
+            &discovery,
+            MEMBER_SOCKETS,
+            &endpoint_list_json(1, true, &self.endpoints(member)),
+        );
         let mut config: Value = serde_json::from_str(&text).expect("the harness writes JSON");
         // Note: a process that dials a free port of its own source address may connect to itself,
         // and then occupies that port. So members listen at addresses of their own.
@@ -36,15 +40,15 @@
     /// The list of endpoints, with the addresses at which this member's fault proxies accept
     /// connections.
     fn endpoints(&self, member: usize) -> Vec<String> {
-        let relayed = |server: &StubServer, name: &str, kind: &str, stream: usize| {
+        let proxied_entry = |server: &StubServer, name: &str, kind: &str, proxy_index: usize| {
             let entry = server.entry(name, kind, "ready");
-            let relay = self.streams[member][stream].address;
-            entry.replace(&server.address.to_string(), &relay.to_string())
+            let proxy = self.server_faults[member][proxy_index].address;
+            entry.replace(&server.address.to_string(), &proxy.to_string())
         };
         let nodes = self.nodes.iter().enumerate();
         let mut entries: Vec<String> =
-            nodes.map(|(n, server)| relayed(server, &format!("s-{n}"), "c6", n)).collect();
-        entries.push(relayed(&self.origin, "o", "origin", self.nodes.len()));
+            nodes.map(|(n, server)| proxied_entry(server, &format!("s-{n}"), "c6", n)).collect();
+        entries.push(proxied_entry(&self.origin, "o", "origin", self.nodes.len()));
         entries
     }
 
--- a/crates/test-harness/src/fleet/faults.rs
+++ b/crates/test-harness/src/fleet/faults.rs
@@ -8,26 +8,26 @@
 impl Fleet {
     /// Causes a fault, or ends it.
     pub fn inject(&mut self, fault: &Fault) {
-        self.note(&fault.to_string());
+        self.record_action(&fault.to_string());
         match fault {
             Fault::Kill(member) => self.kill(*member),
-            Fault::Start(member) if !self.runs(*member) => self.start(*member),
+            Fault::Start(member) if !self.is_running(*member) => self.start(*member),
             Fault::Start(_) => {}
-            Fault::Stop(member) if self.runs(*member) => self.process(*member).signal("STOP"),
-            Fault::Continue(member) if self.runs(*member) => self.process(*member).signal("CONT"),
+            Fault::Stop(member) if self.is_running(*member) => self.process(*member).signal("STOP"),
+            Fault::Continue(member) if self.is_running(*member) => self.process(*member).signal("CONT"),
             Fault::Stop(_) | Fault::Continue(_) => {}
             Fault::HotRestart(member) => self.hot_restart(*member),
             Fault::Cut(from, to) => {
                 self.datagram_faults.change_path(*from, *to, |path| path.partitioned = true)
             }
             Fault::Partition(sides) => {
-                self.cut_into(&sides.iter().map(|side| &side[..]).collect::<Vec<_>>());
+                self.partition(&sides.iter().map(|side| &side[..]).collect::<Vec<_>>());
             }
             Fault::Heal => self.datagram_faults.change_all_paths(|path| path.partitioned = false),
             Fault::Loss(percent) => {
                 self.datagram_faults.change_all_paths(|path| path.loss = f64::from(*percent) / 100.0);
             }
-            Fault::NodeDown(node) => self.cut_node_off(*node),
+            Fault::NodeDown(node) => self.disconnect_node(*node),
             Fault::NodeUp(node) => self.reconnect_node(*node),
         }
     }
@@ -36,33 +36,33 @@
         let second = self.start_second_process(member);
         let first = self.replace_process(member, second);
         first.signal("TERM");
-        first.end();
+        first.wait_for_exit();
     }
 
-    fn cut_node_off(&self, node: usize) {
-        for streams in &self.streams {
-            streams[node].partition();
-            streams[node].reset();
+    fn disconnect_node(&self, node: usize) {
+        for proxies in &self.server_faults {
+            proxies[node].partition();
+            proxies[node].reset();
         }
     }
 
     fn reconnect_node(&self, node: usize) {
-        for streams in &self.streams {
-            streams[node].heal();
-            streams[node].reset();
+        for proxies in &self.server_faults {
+            proxies[node].heal();
+            proxies[node].reset();
         }
     }
 
     /// Nothing passes between members of different sides.
-    pub fn cut_into(&self, sides: &[&[usize]]) {
+    pub fn partition(&self, sides: &[&[usize]]) {
         for (at, side) in sides.iter().enumerate() {
             for (_, other) in sides.iter().enumerate().filter(|(other, _)| *other != at) {
-                self.cut_from(side, other);
+                self.cut_paths(side, other);
             }
         }
     }
 
-    fn cut_from(&self, from: &[usize], to: &[usize]) {
+    fn cut_paths(&self, from: &[usize], to: &[usize]) {
         for from in from {
             for to in to {
                 self.datagram_faults.change_path(*from, *to, |path| path.partitioned = true);
@@ -71,10 +71,10 @@
     }
 
     /// Plays a script in real time.
-    pub fn play(&mut self, script: &Script) {
+    pub fn run_script(&mut self, script: &Script) {
         let start = Instant::now();
-        for ScriptStep { at, fault } in &script.steps {
-            thread::sleep(Duration::from_millis(*at).saturating_sub(start.elapsed()));
+        for ScriptStep { at_ms, fault } in &script.steps {
+            thread::sleep(Duration::from_millis(*at_ms).saturating_sub(start.elapsed()));
             self.inject(fault);
         }
     }
--- a/crates/test-harness/src/fleet/launch.rs
+++ b/crates/test-harness/src/fleet/launch.rs
@@ -2,8 +2,8 @@
 
 use super::{Fleet, Process, StartingProcess};
 use crate::client::call_admin;
-use crate::process::start_in;
-use crate::WAIT;
+use crate::process::spawn_with_config;
+use crate::WAIT_TIMEOUT;
 use std::io::{BufRead, BufReader};
 use std::process::Child;
 use std::sync::mpsc::{channel, Receiver};
@@ -16,7 +16,7 @@
 impl Fleet {
     /// Starts a member, at the address for clients that it had before, if any.
     pub fn start(&mut self, member: usize) {
-        self.note(&format!("start {member}"));
+        self.record_action(&format!("start {member}"));
         let process = self.launch(member);
         self.keep_client_address(member, process.client_address);
         self.processes[member] = Some(process);
@@ -27,7 +27,7 @@
         let starting: Vec<(usize, StartingProcess)> =
             members.iter().map(|member| (*member, self.start_process(*member))).collect();
         for (member, process) in starting {
-            self.note(&format!("start {member}"));
+            self.record_action(&format!("start {member}"));
             let process = self.wait_until_ready(member, process);
             self.keep_client_address(member, process.client_address);
             self.processes[member] = Some(process);
@@ -36,7 +36,7 @@
 
     /// Starts a process of a member, and does not wait until it is ready.
     pub fn start_process(&self, member: usize) -> StartingProcess {
-        let mut child = start_in(&self.configs[member], &self.temp_dir);
+        let mut child = spawn_with_config(&self.configs[member], &self.temp_dir);
         let lines = self.follow_log(&mut child, member);
         StartingProcess { child: Some(child), lines }
     }
@@ -59,14 +59,14 @@
         let mut client_address = None;
         let mut admin_address = None;
         while client_address.is_none() || admin_address.is_none() {
-            let line = starting.lines.recv_timeout(WAIT).expect("the proxy logs where it listens");
+            let line = starting.lines.recv_timeout(WAIT_TIMEOUT).expect("the proxy logs where it listens");
             let address_after = |words: &str| line.split_once(words).and_then(|(_, at)| at.parse().ok());
             admin_address = admin_address.or(address_after(" call "));
             client_address = client_address.or(address_after(" listens on "));
         }
         process.admin_address = admin_address.unwrap_or(unknown);
         process.client_address = client_address.unwrap_or(unknown);
-        let deadline = Instant::now() + WAIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while call_admin(process.admin_address, "GET", "/control/ready").0 != 200 {
             assert!(Instant::now() < deadline, "member {member} is not ready");
             thread::sleep(POLL_INTERVAL);
@@ -82,7 +82,7 @@
         let (timeline, name) = (self.timeline.clone(), Fleet::name(member));
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                timeline.note(&name, line.trim_start_matches("pinetrail: "));
+                timeline.record(&name, line.trim_start_matches("pinetrail: "));
                 // The receiver is dropped once the process is ready.
                 let _ = sender.send(line);
             }
@@ -95,7 +95,7 @@
 
     /// Kills a member.
     pub fn kill(&mut self, member: usize) {
-        self.note(&format!("kill {member}"));
+        self.record_action(&format!("kill {member}"));
         self.processes[member] = None;
     }
 
@@ -109,7 +109,7 @@
 
     /// Starts a second process of a member beside the first; it is ready when this returns.
     pub fn start_second_process(&self, member: usize) -> Process {
-        self.note(&format!("second process of {member}"));
+        self.record_action(&format!("second process of {member}"));
         self.launch(member)
     }
 
--- a/crates/test-harness/src/fleet/mod.rs
+++ b/crates/test-harness/src/fleet/mod.rs
@@ -15,11 +15,11 @@
 pub use report::{Report, ReportedMember};
 
 use crate::client::{call_admin, Client};
-use crate::discovery::{catalog, StaticDiscovery};
-use crate::fault_proxy::{FaultProxies, PeerFaultProxies, StreamFaultProxy};
+use crate::discovery::{endpoint_list_json, StaticDiscovery};
+use crate::fault_proxy::{DatagramFaultProxies, PeerFaultProxies, StreamFaultProxy};
 use crate::run_folder::run_folder;
 use crate::stub_server::StubServer;
-use crate::{Timeline, WAIT};
+use crate::{Timeline, WAIT_TIMEOUT};
 use slot::FleetSlot;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -50,12 +50,12 @@
     client_addresses: Vec<Option<SocketAddr>>,
     configs: Vec<PathBuf>,
     /// The fault proxies for datagrams between members.
-    pub datagram_faults: FaultProxies,
+    pub datagram_faults: DatagramFaultProxies,
     /// The fault proxies for the connections of the peer transport.
     pub peer_faults: PeerFaultProxies,
     /// The fault proxies from each member to each cache node, the origin and discovery, in this
     /// order.
-    pub streams: Vec<Vec<StreamFaultProxy>>,
+    pub server_faults: Vec<Vec<StreamFaultProxy>>,
     /// The cache nodes.
     pub nodes: Vec<StubServer>,
     /// The origin.
@@ -83,7 +83,7 @@
         let members = options.members;
         let advertised: Vec<_> = (0..members).map(|n| address(network, FIRST_FAULT_PROXY + n)).collect();
         let real: Vec<_> = (0..members).map(|n| address(network, FIRST_MEMBER + n)).collect();
-        let datagram_faults = FaultProxies::new(&advertised, &real, options.seed);
+        let datagram_faults = DatagramFaultProxies::new(&advertised, &real, options.seed);
         let peer_faults = if options.policy {
             PeerFaultProxies::new(
                 &on_peer_port(&advertised),
@@ -93,11 +93,11 @@
         } else {
             PeerFaultProxies::new(&[], &[], &datagram_faults.path_view())
         };
-        let discovery = StaticDiscovery::new(catalog(1, true, &endpoint_entries(&nodes, &origin)));
+        let discovery = StaticDiscovery::new(endpoint_list_json(1, true, &endpoint_entries(&nodes, &origin)));
         let servers = nodes.iter().chain([&origin]).map(|server| server.address);
         let targets: Vec<SocketAddr> = servers.chain([discovery.address]).collect();
-        let streams_of_one = || targets.iter().map(|to| StreamFaultProxy::start(*to)).collect();
-        let streams = (0..members).map(|_| streams_of_one()).collect();
+        let proxies_of_member = || targets.iter().map(|to| StreamFaultProxy::start(*to)).collect();
+        let server_faults = (0..members).map(|_| proxies_of_member()).collect();
         let temp_dir = run_folder().join(format!("fleet-{number}"));
         std::fs::create_dir_all(&temp_dir).expect("a folder for temporary files can be made");
         let mut fleet = Fleet {
@@ -108,7 +108,7 @@
             configs: Vec::new(),
             datagram_faults,
             peer_faults,
-            streams,
+            server_faults,
             nodes,
             origin,
             discovery,
@@ -158,7 +158,7 @@
     }
 
     /// Whether a member runs.
-    pub fn runs(&self, member: usize) -> bool {
+    pub fn is_running(&self, member: usize) -> bool {
         self.processes[member].is_some()
     }
 
@@ -185,8 +185,9 @@
     pub fn all_agree(&self, members: &[usize]) -> bool {
         let names: Vec<String> = members.iter().map(|member| Fleet::name(*member)).collect();
         members.iter().all(|member| {
-            self.report(*member)
-                .is_some_and(|report| report.names("alive") == names && report.names("suspect").is_empty())
+            self.report(*member).is_some_and(|report| {
+                report.names_in_state("alive") == names && report.names_in_state("suspect").is_empty()
+            })
         })
     }
 
@@ -195,7 +196,7 @@
     /// # Panics
     /// If it does not hold in time; the message has the timeline.
     pub fn wait_until(&self, what: &str, holds: impl Fn(&Fleet) -> bool) {
-        let deadline = Instant::now() + WAIT * 2;
+        let deadline = Instant::now() + WAIT_TIMEOUT * 2;
         while !holds(self) {
             assert!(Instant::now() < deadline, "timed out: {what}\n{}", self.timeline);
             thread::sleep(POLL_INTERVAL);
@@ -203,8 +204,8 @@
     }
 
     /// Records an action of the harness in the timeline.
-    fn note(&self, what: &str) {
-        self.timeline.note("harness", what);
+    fn record_action(&self, what: &str) {
+        self.timeline.record("harness", what);
     }
 }
 
--- a/crates/test-harness/src/fleet/options.rs
+++ b/crates/test-harness/src/fleet/options.rs
@@ -21,7 +21,7 @@
 
 impl Options {
     /// This many members, each configured with the addresses of all.
-    pub fn of(members: usize) -> Options {
+    pub fn with_members(members: usize) -> Options {
         Options {
             members,
             peers: (0..members).collect(),
--- a/crates/test-harness/src/fleet/process.rs
+++ b/crates/test-harness/src/fleet/process.rs
@@ -1,7 +1,7 @@
 //! One process of a member, from its start until it is ended.
 
 use crate::process::signal;
-use crate::WAIT;
+use crate::WAIT_TIMEOUT;
 use std::net::SocketAddr;
 use std::process::{Child, ExitStatus};
 use std::sync::mpsc::Receiver;
@@ -23,8 +23,8 @@
 
 impl Process {
     /// Waits for its end by itself.
-    pub fn end(mut self) -> ExitStatus {
-        let until = Instant::now() + WAIT;
+    pub fn wait_for_exit(mut self) -> ExitStatus {
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("it is a child") {
                 self.ended = true;
--- a/crates/test-harness/src/fleet/report.rs
+++ b/crates/test-harness/src/fleet/report.rs
@@ -17,7 +17,7 @@
 
 impl Report {
     /// The names of those in a state.
-    pub fn names(&self, state: &str) -> Vec<&str> {
+    pub fn names_in_state(&self, state: &str) -> Vec<&str> {
         self.members.iter().filter(|(_, member)| member.state == state).map(|(name, _)| &**name).collect()
     }
 }
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -25,8 +25,8 @@
 pub use barrier::{AcceptBarrier, AcceptedConnection};
 pub use client::{call_admin, send_to_admin, Client};
 pub use config::config;
-pub use discovery::{catalog, Discovery, StaticDiscovery};
-pub use process::{end, keep_request_logs, program, signal, start};
+pub use discovery::{endpoint_list_json, Discovery, StaticDiscovery};
+pub use process::{keep_request_logs, set_program, signal, start_proxy, wait_for_exit};
 pub use proxy_fixture::ProxyFixture;
 pub use run_folder::{remove_run_folder, run_folder};
 pub use stub_server::{http_200, opaque, StubAction, StubServer};
@@ -35,4 +35,4 @@
 use std::time::Duration;
 
 /// How long a test waits for an expected event.
-pub const WAIT: Duration = Duration::from_secs(10);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/test-harness/src/policy/clients.rs
+++ b/crates/test-harness/src/policy/clients.rs
@@ -18,7 +18,7 @@
 static REQUESTS: AtomicU64 = AtomicU64::new(0);
 
 /// A time of the clock that all clients read, in ms.
-pub fn now() -> f64 {
+pub fn now_ms() -> f64 {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed().as_secs_f64() * 1000.0
 }
@@ -41,7 +41,7 @@
 impl PolicyClients {
     /// Starts clients of all members that run.
     pub fn start(fleet: &Fleet) -> PolicyClients {
-        let running = (0..fleet.options.members).filter(|member| fleet.runs(*member));
+        let running = (0..fleet.options.members).filter(|member| fleet.is_running(*member));
         let members: Vec<(String, SocketAddr)> =
             running.map(|member| (Fleet::name(member), fleet.process(member).client_address)).collect();
         PolicyClients::start_at(&members)
@@ -66,14 +66,14 @@
         self.shared.rejected.load(Ordering::Acquire)
     }
 
-    /// Whether a version decided a request of this proxy that was sent after a time of [`now`].
+    /// Whether a version decided a request of this proxy that was sent after a time of [`now_ms`].
     ///
     /// # Panics
     /// If a client panicked.
-    pub fn decided_since(&self, proxy: &str, version: u64, since: f64) -> bool {
+    pub fn decided_since(&self, proxy: &str, version: u64, since_ms: f64) -> bool {
         let decisions = self.shared.decisions.lock().unwrap();
         let mut of_proxy = decisions.iter().filter(|decision| decision.proxy == proxy);
-        of_proxy.any(|decision| decision.version == version && decision.sent > since)
+        of_proxy.any(|decision| decision.version == version && decision.sent > since_ms)
     }
 
     /// Stops the clients; the requests that a version decided.
@@ -145,7 +145,7 @@
 fn send_request(client: &mut Client, proxy: &str) -> RequestResult {
     let number = REQUESTS.fetch_add(1, Ordering::AcqRel);
     let class = if number.is_multiple_of(2) { "read" } else { "scan" };
-    let sent = now();
+    let sent = now_ms();
     if !client.try_send(&format!("mg k{} v Op{number} Pc={class},t=acme,d=3000\r\n", number % 8)) {
         return RequestResult::Disconnected;
     }
@@ -154,7 +154,7 @@
     if is_served {
         client.read_line();
     }
-    let answered = now();
+    let answered = now_ms();
     if line.is_empty() {
         return RequestResult::Disconnected;
     }
--- a/crates/test-harness/src/policy/mod.rs
+++ b/crates/test-harness/src/policy/mod.rs
@@ -8,7 +8,7 @@
 mod clients;
 mod run;
 
-pub use clients::{now, PolicyClients};
+pub use clients::{now_ms, PolicyClients};
 pub use run::{run_under_faults, run_with_reloads, PolicyRun};
 
 use crate::client::{call_admin, send_to_admin};
--- a/crates/test-harness/src/policy/run.rs
+++ b/crates/test-harness/src/policy/run.rs
@@ -34,7 +34,7 @@
 
 impl PolicyRun {
     /// Stops the clients, and evaluates what they observed.
-    fn of(seed: u64, clients: PolicyClients, version: u64) -> PolicyRun {
+    fn evaluate(seed: u64, clients: PolicyClients, version: u64) -> PolicyRun {
         let rejected = clients.rejected();
         let decisions = clients.stop();
         let by_version = |version| decisions.iter().filter(move |decision| decision.version == version);
@@ -61,11 +61,11 @@
     let clients = PolicyClients::start(&fleet);
     let script = Script::from_seed(seed, fleet.options.members, FAULTS_PER_SEED, FAULT_PERIOD_MS);
     let proposer = propose_in_background(&fleet, seed);
-    fleet.play(&script);
+    fleet.run_script(&script);
     proposer.join().expect("a panic was caught");
     fleet.wait_until("all agree", have_one_version);
     let version = policy_status(&fleet, 0).0;
-    PolicyRun::of(seed, clients, version)
+    PolicyRun::evaluate(seed, clients, version)
 }
 
 fn have_one_version(fleet: &Fleet) -> bool {
@@ -103,5 +103,5 @@
         thread::sleep(pause);
     }
     thread::sleep(TRAFFIC_MARGIN);
-    PolicyRun::of(0, clients, 0)
+    PolicyRun::evaluate(0, clients, 0)
 }
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -4,7 +4,7 @@
 //! they are dropped.
 
 use crate::run_folder::run_folder;
-use crate::WAIT;
+use crate::WAIT_TIMEOUT;
 use rustix::process::{Pid, Signal};
 use std::fs::File;
 use std::io::{BufRead, BufReader, LineWriter, Write};
@@ -51,13 +51,13 @@
 ///
 /// # Panics
 /// If the configuration cannot be written or the program cannot be started.
-pub fn start(config: &str) -> Child {
-    start_in(&write_config(config), run_folder())
+pub fn start_proxy(config: &str) -> Child {
+    spawn_with_config(&write_config(config), run_folder())
 }
 
 /// Starts all proxies with this command from now on; only the first call counts. The default is the
 /// program beside the running test.
-pub fn program(path: PathBuf, arguments: &[&str]) {
+pub fn set_program(path: PathBuf, arguments: &[&str]) {
     let arguments = arguments.iter().map(|argument| (*argument).to_owned()).collect();
     // A second call is ignored, as documented.
     let _ = PROGRAM.set(Program { path, arguments });
@@ -82,7 +82,7 @@
 }
 
 /// Starts the proxy on the configuration in a file, with this folder for its `$TMPDIR`.
-pub(crate) fn start_in(config: &Path, temp_dir: &Path) -> Child {
+pub(crate) fn spawn_with_config(config: &Path, temp_dir: &Path) -> Child {
     let mut command = command();
     command.env("LB_CONFIG", config);
     command.env("TMPDIR", temp_dir);
@@ -96,7 +96,7 @@
 
 /// Starts the proxy and reads in its log where it listens for operators and for clients.
 pub(crate) fn start_and_find_addresses(config: &Path, temp_dir: &Path) -> StartedProcess {
-    let mut child = start_in(config, temp_dir);
+    let mut child = spawn_with_config(config, temp_dir);
     let log = BufReader::new(child.stderr.take().unwrap());
     let mut log_file = log_file(&child);
     let (sender, addresses) = channel();
@@ -118,8 +118,9 @@
             }
         }
     });
-    let admin_address = addresses.recv_timeout(WAIT).expect("the proxy logs where operators reach it");
-    let client_address = addresses.recv_timeout(WAIT).expect("the proxy logs where it listens");
+    let admin_address =
+        addresses.recv_timeout(WAIT_TIMEOUT).expect("the proxy logs where operators reach it");
+    let client_address = addresses.recv_timeout(WAIT_TIMEOUT).expect("the proxy logs where it listens");
     StartedProcess { child, client_address, admin_address }
 }
 
@@ -156,8 +157,8 @@
 ///
 /// # Panics
 /// If it does not end in time.
-pub fn end(mut child: Child) -> Output {
-    let deadline = Instant::now() + WAIT;
+pub fn wait_for_exit(mut child: Child) -> Output {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while child.try_wait().unwrap().is_none() {
         assert!(Instant::now() < deadline, "the program does not end");
         thread::sleep(POLL_INTERVAL);
--- a/crates/test-harness/src/proxy_fixture.rs
+++ b/crates/test-harness/src/proxy_fixture.rs
@@ -2,11 +2,13 @@
 
 use crate::client::Client;
 use crate::config::config;
-use crate::discovery::{catalog, Discovery};
-use crate::process::{end, signal, start_and_find_addresses, start_in, write_config, StartedProcess};
+use crate::discovery::{endpoint_list_json, Discovery};
+use crate::process::{
+    signal, spawn_with_config, start_and_find_addresses, wait_for_exit, write_config, StartedProcess,
+};
 use crate::recorder::Recorder;
 use crate::stub_server::StubServer;
-use crate::{call_admin, WAIT};
+use crate::{call_admin, WAIT_TIMEOUT};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Output};
@@ -17,7 +19,7 @@
 const DEFAULT_SOCKETS: usize = 256;
 /// Memory limit of a proxy, unless a test sets it.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// How often [`ProxyFixture::until`] checks its condition.
+/// How often [`ProxyFixture::wait_until`] checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running proxy and its discovery. The process is killed when this is dropped.
@@ -51,12 +53,12 @@
     }
 
     /// A proxy whose configuration has some text replaced.
-    pub fn with(entries: &[String], from: &str, to: &str) -> ProxyFixture {
-        ProxyFixture::with_all(entries, &[(from, to)])
+    pub fn with_config_change(entries: &[String], from: &str, to: &str) -> ProxyFixture {
+        ProxyFixture::with_config_changes(entries, &[(from, to)])
     }
 
     /// The same for several texts.
-    pub fn with_all(entries: &[String], changes: &[(&str, &str)]) -> ProxyFixture {
+    pub fn with_config_changes(entries: &[String], changes: &[(&str, &str)]) -> ProxyFixture {
         ProxyFixture::start(entries, DEFAULT_SOCKETS, DEFAULT_MEMORY_MB, changes)
     }
 
@@ -69,12 +71,12 @@
             let unreachable = StubServer::unreachable();
             entries.push(unreachable.entry("o", "origin", "ready"));
         }
-        let known = catalog(1, true, &entries);
+        let known = endpoint_list_json(1, true, &entries);
         let config = config("127.0.0.1:0", &discovery.address.to_string(), sockets, &known);
         let limits = format!(r#""admin":"127.0.0.1:0","limits":{{"cores":1.0,"memory_mb":{memory_mb}"#);
         let config = config.replace(r#""limits":{"cores":1.0,"memory_mb":192"#, &limits);
         let config = changes.iter().fold(config, |config, (from, to)| config.replace(from, to));
-        Recorder::own().record_active_config(&config);
+        Recorder::current().record_active_config(&config);
         let config = write_config(&config);
         let temp_dir = config.with_extension("tmp");
         std::fs::create_dir_all(&temp_dir).unwrap();
@@ -87,7 +89,7 @@
     }
 
     /// A proxy for these cache nodes, `s-0` on, and this origin.
-    pub fn of(nodes: &[&StubServer], origin: &StubServer) -> ProxyFixture {
+    pub fn with_backends(nodes: &[&StubServer], origin: &StubServer) -> ProxyFixture {
         let mut entries: Vec<String> =
             nodes.iter().enumerate().map(|(n, node)| node.entry(&format!("s-{n}"), "c6", "ready")).collect();
         entries.push(origin.entry("o", "origin", "ready"));
@@ -121,8 +123,8 @@
     ///
     /// # Panics
     /// If it does not hold in time.
-    pub fn until(&self, what: &str, holds: impl Fn() -> bool) {
-        let deadline = Instant::now() + WAIT;
+    pub fn wait_until(&self, what: &str, holds: impl Fn() -> bool) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !holds() {
             assert!(Instant::now() < deadline, "timed out: {what}");
             thread::sleep(POLL_INTERVAL);
@@ -156,7 +158,7 @@
         let second = start_and_find_addresses(&self.second_config(), &self.temp_dir);
         assert_eq!(second.client_address, self.client_address);
         let is_ready = || call_admin(second.admin_address, "GET", "/control/ready").0 == 200;
-        self.until("the second process is ready", is_ready);
+        self.wait_until("the second process is ready", is_ready);
         (second.child, second.admin_address)
     }
 
@@ -186,7 +188,7 @@
     ///
     /// # Panics
     /// If it has ended before.
-    pub fn ends_within(&mut self, time: Duration) -> bool {
+    pub fn exits_within(&mut self, time: Duration) -> bool {
         let until = Instant::now() + time;
         let child = self.child.as_mut().expect("it ends once");
         while child.try_wait().unwrap().is_none() {
@@ -209,7 +211,7 @@
     /// A second process on a configuration with some text replaced.
     pub fn start_second_process_with(&self, from: &str, to: &str) -> Child {
         let text = std::fs::read_to_string(self.second_config()).unwrap();
-        start_in(&write_config(&text.replace(from, to)), &self.temp_dir)
+        spawn_with_config(&write_config(&text.replace(from, to)), &self.temp_dir)
     }
 
     /// Puts a second process in the place of the first, which is returned.
@@ -226,8 +228,8 @@
     }
 
     /// Waits for the end of the process, which it was asked for before; what it printed.
-    pub fn end(mut self) -> Output {
-        end(self.child.take().unwrap())
+    pub fn wait_for_exit(mut self) -> Output {
+        wait_for_exit(self.child.take().unwrap())
     }
 }
 
--- a/crates/test-harness/src/recorder.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -36,7 +36,7 @@
 }
 
 thread_local! {
-    static OWN: Recorder = Recorder::new();
+    static CURRENT: Recorder = Recorder::new();
 }
 
 impl Recorder {
@@ -51,8 +51,8 @@
     }
 
     /// The recorder of the test which this thread runs.
-    pub fn own() -> Recorder {
-        OWN.with(Recorder::clone)
+    pub fn current() -> Recorder {
+        CURRENT.with(Recorder::clone)
     }
 
     /// The ms since the recording's start.
--- a/crates/test-harness/src/script.rs
+++ b/crates/test-harness/src/script.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptStep {
     /// In ms from the beginning of the script.
-    pub at: u64,
+    pub at_ms: u64,
     /// The fault.
     pub fault: Fault,
 }
@@ -82,24 +82,24 @@
 
 impl fmt::Display for Script {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for ScriptStep { at, fault } in &self.steps {
-            writeln!(f, "{at} {fault}")?;
+        for ScriptStep { at_ms, fault } in &self.steps {
+            writeln!(f, "{at_ms} {fault}")?;
         }
         Ok(())
     }
 }
 
 impl Script {
-    /// Faults of a seed for this many members. Each ends within `ms`; there are none after that.
-    pub fn from_seed(seed: u64, members: usize, faults: usize, ms: u64) -> Script {
+    /// Faults of a seed for this many members. Each ends within `duration_ms`; there are none after that.
+    pub fn from_seed(seed: u64, members: usize, faults: usize, duration_ms: u64) -> Script {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut script = Script::default();
-        let interval = ms / faults.max(1) as u64;
+        let interval = duration_ms / faults.max(1) as u64;
         for n in 0..faults as u64 {
             let start = n * interval;
             let (fault, end_of_fault) = draw_fault(&mut rng, members);
-            script.steps.push(ScriptStep { at: start, fault });
-            script.steps.push(ScriptStep { at: start + interval * 4 / 5, fault: end_of_fault });
+            script.steps.push(ScriptStep { at_ms: start, fault });
+            script.steps.push(ScriptStep { at_ms: start + interval * 4 / 5, fault: end_of_fault });
         }
         script
     }
--- a/crates/test-harness/src/script/parse.rs
+++ b/crates/test-harness/src/script/parse.rs
@@ -32,15 +32,15 @@
             let no_fault = || ScriptError::NoFault { line: index + 1, text: line.to_owned() };
             script.steps.push(parse_step(&words).ok_or_else(no_fault)?);
         }
-        script.steps.sort_by_key(|step| step.at);
+        script.steps.sort_by_key(|step| step.at_ms);
         Ok(script)
     }
 }
 
 fn parse_step(words: &[&str]) -> Option<ScriptStep> {
-    let [at, name, arguments @ ..] = words else { return None };
-    let at = at.parse().ok()?;
-    Some(ScriptStep { at, fault: parse_fault(name, arguments)? })
+    let [at_ms, name, arguments @ ..] = words else { return None };
+    let at_ms = at_ms.parse().ok()?;
+    Some(ScriptStep { at_ms, fault: parse_fault(name, arguments)? })
 }
 
 fn parse_fault(name: &str, arguments: &[&str]) -> Option<Fault> {
--- a/crates/test-harness/src/stub_server.rs
+++ b/crates/test-harness/src/stub_server.rs
@@ -58,7 +58,7 @@
             protocol,
             address: address.to_string(),
             activity: Arc::clone(&activity),
-            recorder: Recorder::own(),
+            recorder: Recorder::current(),
             act,
         });
         thread::spawn(move || {
@@ -78,14 +78,14 @@
     }
 
     /// A cache node that holds every key; its value names it.
-    pub fn full_node(name: &'static str) -> StubServer {
+    pub fn hit_node(name: &'static str) -> StubServer {
         StubServer::node(move |line| {
             StubAction::Reply(format!("VA {} {} h1\r\n{name}\r\n", name.len(), opaque(line)))
         })
     }
 
     /// A cache node that holds nothing.
-    pub fn empty_node() -> StubServer {
+    pub fn miss_node() -> StubServer {
         StubServer::node(|line| StubAction::Reply(format!("EN {}\r\n", opaque(line))))
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// The most requests that it had in flight at once.
-    pub fn most_at_once(&self) -> usize {
+    pub fn max_in_flight(&self) -> usize {
         self.activity.max_in_flight.load(Ordering::SeqCst)
     }
 
--- a/crates/test-harness/src/timeline.rs
+++ b/crates/test-harness/src/timeline.rs
@@ -8,8 +8,8 @@
 #[derive(Clone)]
 struct Entry {
     /// In ms since the beginning.
-    at: u128,
-    who: String,
+    at_ms: u128,
+    source: String,
     text: String,
 }
 
@@ -31,13 +31,13 @@
     ///
     /// # Panics
     /// If a thread panicked while it added an event.
-    pub fn note(&self, who: &str, text: &str) {
-        let entry = Entry { at: self.now(), who: who.to_owned(), text: text.to_owned() };
+    pub fn record(&self, source: &str, text: &str) {
+        let entry = Entry { at_ms: self.elapsed_ms(), source: source.to_owned(), text: text.to_owned() };
         self.entries.lock().unwrap().push(entry);
     }
 
     /// The ms since its beginning.
-    pub fn now(&self) -> u128 {
+    pub fn elapsed_ms(&self) -> u128 {
         self.start.elapsed().as_millis()
     }
 
@@ -46,27 +46,27 @@
     ///
     /// # Panics
     /// If a thread panicked while it added an event.
-    pub fn first_match(&self, who: &str, text: &str, from: u128) -> Option<u128> {
-        self.first_match_of_both(who, text, "", from)
+    pub fn first_match(&self, source: &str, text: &str, from_ms: u128) -> Option<u128> {
+        self.first_match_of_both(source, text, "", from_ms)
     }
 
     /// The same for an event that contains both texts.
     ///
     /// # Panics
     /// If a thread panicked while it added an event.
-    pub fn first_match_of_both(&self, who: &str, one: &str, other: &str, from: u128) -> Option<u128> {
+    pub fn first_match_of_both(&self, source: &str, one: &str, other: &str, from_ms: u128) -> Option<u128> {
         let entries = self.entries.lock().unwrap();
-        let mut of_them = entries.iter().filter(|entry| entry.at >= from && entry.who == who);
-        of_them.find(|entry| entry.text.contains(one) && entry.text.contains(other)).map(|entry| entry.at)
+        let mut of_them = entries.iter().filter(|entry| entry.at_ms >= from_ms && entry.source == source);
+        of_them.find(|entry| entry.text.contains(one) && entry.text.contains(other)).map(|entry| entry.at_ms)
     }
 
     /// The number of events of this name that contain this text, from a time in ms on.
     ///
     /// # Panics
     /// If a thread panicked while it added an event.
-    pub fn count_matches(&self, who: &str, text: &str, from: u128) -> usize {
+    pub fn count_matches(&self, source: &str, text: &str, from_ms: u128) -> usize {
         let entries = self.entries.lock().unwrap();
-        let of_them = entries.iter().filter(|entry| entry.at >= from && entry.who == who);
+        let of_them = entries.iter().filter(|entry| entry.at_ms >= from_ms && entry.source == source);
         of_them.filter(|entry| entry.text.contains(text)).count()
     }
 }
@@ -80,9 +80,9 @@
 impl fmt::Display for Timeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut entries = self.entries.lock().unwrap().clone();
-        entries.sort_by_key(|entry| entry.at);
-        for Entry { at, who, text } in &entries {
-            writeln!(f, "{at:>7} ms  {who:<5} {text}")?;
+        entries.sort_by_key(|entry| entry.at_ms);
+        for Entry { at_ms, source, text } in &entries {
+            writeln!(f, "{at_ms:>7} ms  {source:<5} {text}")?;
         }
         Ok(())
     }
--- a/tests/fleet/drift.rs
+++ b/tests/fleet/drift.rs
@@ -17,7 +17,7 @@
 }
 
 fn all_report(fleet: &Fleet, member: usize, state: &str) -> bool {
-    (0..4).filter(|by| fleet.runs(*by)).all(|by| reported_state(fleet, by, member).0 == state)
+    (0..4).filter(|by| fleet.is_running(*by)).all(|by| reported_state(fleet, by, member).0 == state)
 }
 
 /// The alarms that members raised about one.
@@ -72,7 +72,7 @@
 #[test]
 fn a_partitioned_member_is_silent_to_others_and_fenced_to_itself() {
     let fleet = fleet_with_local_member();
-    fleet.cut_into(&[&[3], &[0, 1, 2]]);
+    fleet.partition(&[&[3], &[0, 1, 2]]);
     fleet.wait_until("it is silent", |fleet| (0..3).all(|by| reported_state(fleet, by, 3).0 == "silent"));
     fleet.wait_until("it knows", |fleet| {
         reported_state(fleet, 3, 3).0 == "fenced" && reported_state(fleet, 3, 0).0 == "silent"
@@ -87,7 +87,8 @@
     let mut fleet = fleet_with_local_member();
     let leader = |fleet: &Fleet| {
         (0..3).find(|member| {
-            fleet.runs(*member) && fleet.report(*member).is_some_and(|report| report.json["steward"] == true)
+            fleet.is_running(*member)
+                && fleet.report(*member).is_some_and(|report| report.json["steward"] == true)
         })
     };
     fleet.wait_until("there is a leader", |fleet| leader(fleet).is_some());
--- a/tests/fleet/faults.rs
+++ b/tests/fleet/faults.rs
@@ -10,10 +10,11 @@
 
 #[test]
 fn all_members_learn_of_a_death_and_of_the_return() {
-    let mut fleet = joined_fleet(Options::of(5));
+    let mut fleet = joined_fleet(Options::with_members(5));
     assert!(ALL.iter().all(|member| fleet.report(*member).unwrap().side == "whole"));
     fleet.kill(3);
-    let knows = |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names("failed") == ["n3"];
+    let knows =
+        |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names_in_state("failed") == ["n3"];
     fleet.wait_until("all know", |fleet| [0, 1, 2, 4].iter().all(|member| knows(fleet, *member)));
     assert_eq!(fleet.report(0).unwrap().side, "majority");
     fleet.start(3);
@@ -24,8 +25,8 @@
 /// Datagrams on a partitioned path must not arrive by another path.
 #[test]
 fn a_partitioned_path_carries_nothing() {
-    let fleet = joined_fleet(Options::of(3));
-    fleet.cut_into(&[&[0], &[1, 2]]);
+    let fleet = joined_fleet(Options::with_members(3));
+    fleet.partition(&[&[0], &[1, 2]]);
     // Datagrams in flight are lost as well.
     let paths = [(0, 1), (0, 2), (1, 0), (2, 0)];
     let passed = || paths.map(|(from, to)| fleet.datagram_faults.counts(from, to).delivered);
@@ -52,7 +53,7 @@
 
 #[test]
 fn a_member_stopped_for_450_ms_again_and_again_never_fails() {
-    let fleet = joined_fleet(Options::of(5));
+    let fleet = joined_fleet(Options::with_members(5));
     for _ in 0..12 {
         fleet.process(1).signal("STOP");
         sleep(ms(450));
@@ -67,18 +68,19 @@
 /// while it suspects one, and that one's refutation is unread when it resumes.
 #[test]
 fn a_member_stopped_for_10_s_rejoins_and_declares_no_other_failed() {
-    let fleet = joined_fleet(Options::of(5));
-    let begun = fleet.timeline.now();
+    let fleet = joined_fleet(Options::with_members(5));
+    let begun = fleet.timeline.elapsed_ms();
     fleet.process(0).signal("STOP");
     fleet.wait_until("it suspects one", |fleet| {
         fleet.timeline.first_match("n2", "alive -> suspect", begun).is_some()
     });
     fleet.process(2).signal("STOP");
     fleet.process(0).signal("CONT");
-    let knows = |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names("failed") == ["n2"];
+    let knows =
+        |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names_in_state("failed") == ["n2"];
     fleet.wait_until("the others know", |fleet| [0, 1, 3, 4].iter().all(|member| knows(fleet, *member)));
     sleep(ms(7_500));
-    let resumed = fleet.timeline.now();
+    let resumed = fleet.timeline.elapsed_ms();
     fleet.process(2).signal("CONT");
     fleet.wait_until("it is back", |fleet| fleet.all_agree(&ALL));
     assert!(fleet.timeline.first_match("n2", "did not run for", resumed).is_some());
@@ -89,8 +91,8 @@
 /// suspicions at nearly every probe.
 #[test]
 fn a_path_partitioned_in_one_direction_fails_no_member() {
-    let fleet = joined_fleet(Options::of(5));
-    let begun = fleet.timeline.now();
+    let fleet = joined_fleet(Options::with_members(5));
+    let begun = fleet.timeline.elapsed_ms();
     fleet.datagram_faults.change_path(0, 1, |path| path.partitioned = true);
     sleep(ms(10_000));
     assert_eq!(failures(&fleet), 0, "{}", fleet.timeline);
@@ -102,12 +104,12 @@
 /// The sides merge again, and a restart during the partition does not make a side look complete.
 #[test]
 fn both_sides_of_a_partition_report_it_and_heal_without_a_restart() {
-    let mut fleet = joined_fleet(Options::of(5));
-    fleet.cut_into(&[&[0, 1, 2], &[3, 4]]);
+    let mut fleet = joined_fleet(Options::with_members(5));
+    fleet.partition(&[&[0, 1, 2], &[3, 4]]);
     let sides = |fleet: &Fleet| ALL.map(|member| fleet.report(member).unwrap().side);
     let split = ["majority", "majority", "majority", "minority", "minority"];
     let failed = |fleet: &Fleet, member: usize, names: &[&str]| {
-        fleet.report(member).is_some_and(|report| report.names("failed") == names)
+        fleet.report(member).is_some_and(|report| report.names_in_state("failed") == names)
     };
     // With one of two failed it is a majority already.
     fleet.wait_until("both sides know", |fleet| {
@@ -118,7 +120,7 @@
         fleet.start(member);
     }
     fleet.wait_until("both sides are as before", |fleet| sides(fleet) == split);
-    let healed = fleet.timeline.now();
+    let healed = fleet.timeline.elapsed_ms();
     fleet.datagram_faults.change_all_paths(|path| path.partitioned = false);
     fleet.wait_until("they are one again", |fleet| fleet.all_agree(&ALL) && sides(fleet) == ["whole"; 5]);
     assert!(
@@ -129,7 +131,7 @@
 
 #[test]
 fn members_that_restart_together_join_through_their_peers() {
-    let mut fleet = joined_fleet(Options::of(5));
+    let mut fleet = joined_fleet(Options::with_members(5));
     for member in &ALL {
         fleet.kill(*member);
     }
@@ -141,7 +143,7 @@
 
 #[test]
 fn members_join_though_the_only_configured_peer_is_down() {
-    let mut fleet = joined_fleet(Options { peers: vec![0], ..Options::of(4) });
+    let mut fleet = joined_fleet(Options { peers: vec![0], ..Options::with_members(4) });
     fleet.kill(0);
     fleet.wait_until("the others stay together", |fleet| fleet.all_agree(&[1, 2, 3]));
     fleet.kill(3);
@@ -153,7 +155,7 @@
 
 #[test]
 fn five_percent_loss_and_reordering_fail_no_member() {
-    let fleet = joined_fleet(Options::of(5));
+    let fleet = joined_fleet(Options::with_members(5));
     fleet.datagram_faults.change_all_paths(|path| {
         path.loss = 0.05;
         path.duplicated = 0.1;
@@ -167,7 +169,8 @@
 #[test]
 fn a_member_may_return_at_another_address() {
     // The last address is reserved for it.
-    let mut fleet = Fleet::new(Options { peers: vec![0, 1, 2], ..Options::of(4) }, nodes(), origin());
+    let mut fleet =
+        Fleet::new(Options { peers: vec![0, 1, 2], ..Options::with_members(4) }, nodes(), origin());
     for member in 0..3 {
         fleet.start(member);
     }
@@ -192,8 +195,8 @@
 /// A flood neither keeps the worker from clients nor changes the membership.
 #[test]
 fn a_flood_of_malformed_datagrams_delays_no_client() {
-    let fleet = joined_fleet(Options::of(3));
-    let (to, begun) = (fleet.member_address(0), fleet.timeline.now());
+    let fleet = joined_fleet(Options::with_members(3));
+    let (to, begun) = (fleet.member_address(0), fleet.timeline.elapsed_ms());
     let flood = std::thread::spawn(move || {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         for n in 0..60_000u32 {
@@ -225,7 +228,7 @@
 
 #[test]
 fn a_reload_with_other_peers_during_a_join_contacts_them() {
-    let mut fleet = Fleet::new(Options::of(4), nodes(), origin());
+    let mut fleet = Fleet::new(Options::with_members(4), nodes(), origin());
     for member in 0..3 {
         fleet.start(member);
     }
@@ -256,7 +259,7 @@
 /// The membership does not depend on discovery.
 #[test]
 fn members_join_and_notice_a_death_while_discovery_is_down() {
-    let mut fleet = Fleet::new(Options::of(3), nodes(), origin());
+    let mut fleet = Fleet::new(Options::with_members(3), nodes(), origin());
     fleet.discovery.set_down(true);
     for member in 0..3 {
         fleet.start(member);
@@ -271,9 +274,9 @@
 #[test]
 fn all_members_agree_after_seeded_faults() {
     for seed in [1, 2] {
-        let mut fleet = joined_fleet(Options { seed, ..Options::of(5) });
+        let mut fleet = joined_fleet(Options { seed, ..Options::with_members(5) });
         let script = Script::from_seed(seed, 5, 6, 12_000);
-        fleet.play(&script);
+        fleet.run_script(&script);
         fleet.wait_until("all agree", |fleet| fleet.all_agree(&ALL));
     }
 }
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -20,7 +20,7 @@
 }
 
 fn nodes() -> Vec<StubServer> {
-    vec![StubServer::full_node("v"), StubServer::full_node("v")]
+    vec![StubServer::hit_node("v"), StubServer::hit_node("v")]
 }
 
 fn origin() -> StubServer {
--- a/tests/fleet/off.rs
+++ b/tests/fleet/off.rs
@@ -2,7 +2,7 @@
 
 use crate::{nodes, origin};
 use pinetrail_test_harness::fleet::{Fleet, Options};
-use pinetrail_test_harness::{call_admin, end, start};
+use pinetrail_test_harness::{call_admin, start_proxy, wait_for_exit};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
@@ -30,7 +30,7 @@
 /// A proxy without a fleet has none of its resources.
 #[test]
 fn a_proxy_without_a_fleet_has_no_socket_thread_or_counter_for_it() {
-    let mut fleet = Fleet::new(Options::of(2), nodes(), origin());
+    let mut fleet = Fleet::new(Options::with_members(2), nodes(), origin());
     let mut without = fleet.config(0, &[]);
     without.as_object_mut().unwrap().remove("fleet");
     fleet.set_config(0, &without);
@@ -41,7 +41,7 @@
     let settled = |fleet: &Fleet| {
         let counts = [off, on].map(|id| descriptors(id).len());
         std::thread::sleep(crate::ms(100));
-        fleet.runs(0) && counts == [off, on].map(|id| descriptors(id).len())
+        fleet.is_running(0) && counts == [off, on].map(|id| descriptors(id).len())
     };
     fleet.wait_until("connections to discovery and the admin server have settled", settled);
     assert_eq!((datagram_sockets(off), datagram_sockets(on)), (0, 1));
@@ -61,7 +61,7 @@
 /// An invalid fleet is an error at the start, not only when the fleet is needed.
 #[test]
 fn a_start_with_an_invalid_fleet_ends_with_one_line() {
-    let fleet = Fleet::new(Options::of(2), nodes(), origin());
+    let fleet = Fleet::new(Options::with_members(2), nodes(), origin());
     let good = fleet.config(0, &[1]);
     let with = |change: &dyn Fn(&mut Value)| {
         let mut config = good.clone();
@@ -101,14 +101,14 @@
         ),
     ];
     for (config, names) in bad {
-        let output = end(start(&config.to_string()));
+        let output = wait_for_exit(start_proxy(&config.to_string()));
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!((output.status.code(), log.lines().count()), (Some(2), 1), "{log}");
         assert!(log.starts_with("pinetrail: cannot start: ") && log.contains(names), "{names}: {log}");
     }
     // An address in use.
     let taken = std::net::UdpSocket::bind(fleet.member_address(0)).unwrap();
-    let output = end(start(&good.to_string()));
+    let output = wait_for_exit(start_proxy(&good.to_string()));
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("fleet at "));
     drop(taken);
@@ -122,7 +122,7 @@
         include_str!("../../deploy/fleet/n1.json"),
         include_str!("../../deploy/fleet/n2.json"),
     ];
-    let mut fleet = Fleet::new(Options::of(3), nodes(), origin());
+    let mut fleet = Fleet::new(Options::with_members(3), nodes(), origin());
     for (member, text) in examples.into_iter().enumerate() {
         let example: Value = serde_json::from_str(text).expect("it is JSON");
         assert_eq!(example["fleet"]["peers"].as_array().unwrap().len(), 2);
--- a/tests/fleet/operators.rs
+++ b/tests/fleet/operators.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn the_admin_server_lists_every_member_in_the_order_of_names() {
-    let fleet = joined_fleet(Options::of(3));
+    let fleet = joined_fleet(Options::with_members(3));
     let report = fleet.report(1).unwrap();
     assert_eq!((report.json["self"].as_str(), &*report.side), (Some("n1"), "whole"));
     let members = report.json["members"].as_array().unwrap();
@@ -22,14 +22,14 @@
 /// A graceful shutdown is not reported as a failure.
 #[test]
 fn a_member_that_gets_sigterm_leaves_the_fleet() {
-    let mut fleet = joined_fleet(Options::of(3));
+    let mut fleet = joined_fleet(Options::with_members(3));
     let process = fleet.take_process(2);
     process.signal("TERM");
-    assert!(process.end().success());
+    assert!(process.wait_for_exit().success());
     fleet.wait_until("it has left", |fleet| {
         [0, 1].iter().all(|member| {
             let report = fleet.report(*member).unwrap();
-            report.names("left") == ["n2"] && report.side == "whole"
+            report.names_in_state("left") == ["n2"] && report.side == "whole"
         })
     });
     fleet.start(2);
@@ -39,7 +39,7 @@
 /// Of two processes under one name the later one counts, and both log it.
 #[test]
 fn two_processes_under_one_name_both_log_the_conflict() {
-    let mut fleet = Fleet::new(Options { peers: vec![0, 1], ..Options::of(4) }, nodes(), origin());
+    let mut fleet = Fleet::new(Options { peers: vec![0, 1], ..Options::with_members(4) }, nodes(), origin());
     for member in 0..3 {
         fleet.start(member);
     }
@@ -71,7 +71,8 @@
 
 #[test]
 fn a_member_beyond_the_size_is_rejected_and_logs_why() {
-    let mut fleet = Fleet::new(Options { size: 3, peers: vec![0, 1], ..Options::of(4) }, nodes(), origin());
+    let mut fleet =
+        Fleet::new(Options { size: 3, peers: vec![0, 1], ..Options::with_members(4) }, nodes(), origin());
     for member in 0..3 {
         fleet.start(member);
     }
--- a/tests/fleet/policy/configuration.rs
+++ b/tests/fleet/policy/configuration.rs
@@ -21,7 +21,7 @@
 /// Guards against a reload that is lost while a process waits for the policy at its start.
 #[test]
 fn sighup_during_the_catch_up_is_handled_after_it() {
-    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::of(3) };
+    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
     let mut fleet = Fleet::new(options, nodes(), origin());
     let waiting = fleet.start_process(0);
     fleet.wait_until("it has started", |fleet| fleet.timeline.first_match("n0", " call ", 0).is_some());
@@ -40,7 +40,7 @@
 /// An invalid policy section is an error at the start, not only when the policy is needed.
 #[test]
 fn a_start_with_an_invalid_policy_ends_with_one_line() {
-    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::of(3) };
+    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
     let fleet = Fleet::new(options, nodes(), origin());
     let good = fleet.config(0, &[1]);
     let with = |change: &dyn Fn(&mut serde_json::Value)| {
@@ -69,7 +69,8 @@
         (with(&|fleet| fleet["size"] = json!(200)), "limits.sockets"),
     ];
     for (config, names) in bad {
-        let output = pinetrail_test_harness::end(pinetrail_test_harness::start(&config.to_string()));
+        let output =
+            pinetrail_test_harness::wait_for_exit(pinetrail_test_harness::start_proxy(&config.to_string()));
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!((output.status.code(), log.lines().count()), (Some(2), 1), "{log}");
         assert!(log.contains(names), "{names}: {log}");
@@ -78,7 +79,7 @@
 
 #[test]
 fn without_a_policy_a_fleet_has_no_thread_and_no_socket_for_it() {
-    let options = Options { founders: vec![0], policy: true, ..Options::of(2) };
+    let options = Options { founders: vec![0], policy: true, ..Options::with_members(2) };
     let mut fleet = Fleet::new(options, nodes(), origin());
     let mut without = fleet.config(1, &[0]);
     without["fleet"].as_object_mut().unwrap().remove("policy");
@@ -105,7 +106,7 @@
         include_str!("../../../deploy/fleet/policy/n1.json"),
         include_str!("../../../deploy/fleet/policy/n2.json"),
     ];
-    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::of(3) };
+    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
     let mut fleet = Fleet::new(options, nodes(), origin());
     for (member, text) in examples.into_iter().enumerate() {
         let example: serde_json::Value = serde_json::from_str(text).unwrap();
--- a/tests/fleet/policy/mod.rs
+++ b/tests/fleet/policy/mod.rs
@@ -8,7 +8,7 @@
 use pinetrail_test_harness::call_admin;
 use pinetrail_test_harness::fleet::{Fleet, Options};
 use pinetrail_test_harness::policy::{
-    change_outcome, get_json, now, policy_status, propose, run_under_faults, run_with_reloads, settings,
+    change_outcome, get_json, now_ms, policy_status, propose, run_under_faults, run_with_reloads, settings,
     PolicyClients,
 };
 use serde_json::json;
@@ -16,7 +16,8 @@
 
 /// Members with one policy, the first of which are founders.
 pub(crate) fn governed(members: usize, founders: usize) -> Fleet {
-    let options = Options { founders: (0..founders).collect(), policy: true, ..Options::of(members) };
+    let options =
+        Options { founders: (0..founders).collect(), policy: true, ..Options::with_members(members) };
     Fleet::start_all(options, nodes(), origin())
 }
 
@@ -99,10 +100,10 @@
 #[test]
 fn a_partitioned_member_is_fenced_and_catches_up() {
     let (fleet, clients) = under_load(5, 3);
-    fleet.cut_into(&[&[3, 4], &[0, 1, 2]]);
+    fleet.partition(&[&[3, 4], &[0, 1, 2]]);
     propose_second(&fleet, 1);
     ends(&fleet, 1, "taken");
-    let taken = now();
+    let taken = now_ms();
     assert_eq!(policy_status(&fleet, 0), (2, "steady".to_owned()));
     for member in [3, 4] {
         assert_eq!(policy_status(&fleet, member), (1, "fenced".to_owned()), "its admission lease has ended");
@@ -128,7 +129,7 @@
     ends(&fleet, 0, "taken");
     // Its clients go on sending; their requests stay unread.
     std::thread::sleep(ms(600));
-    let woken = now();
+    let woken = now_ms();
     fleet.process(3).signal("CONT");
     fleet.wait_until("it serves by the second", |_| clients.decided_since("n3", 2, woken));
     clients.check();
@@ -136,14 +137,14 @@
 
 #[test]
 fn a_partitioned_member_that_fails_open_serves_on_and_is_named_in_the_outcome() {
-    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::of(4) };
+    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(4) };
     let mut fleet = Fleet::new(options, nodes(), origin());
     let mut config = fleet.config(3, &[0, 1, 2]);
     config["fleet"]["policy"]["when_cut"] = json!("serve");
     fleet.set_config(3, &config);
     fleet.start_together(&[0, 1, 2, 3]);
     fleet.wait_until("all have the first version", |fleet| has(fleet, &[0, 1, 2, 3], 1));
-    fleet.cut_into(&[&[3], &[0, 1, 2]]);
+    fleet.partition(&[&[3], &[0, 1, 2]]);
     propose_second(&fleet, 0);
     ends(&fleet, 0, "taken");
     let change = get_json(fleet.process(0).admin_address, "/control/policy/changes/x");
@@ -161,7 +162,7 @@
 
 #[test]
 fn one_rejection_rejects_a_change_everywhere_and_names_the_key() {
-    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::of(4) };
+    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(4) };
     let mut fleet = Fleet::new(options, nodes(), origin());
     // Member 3 could not allow longer attempts than at present.
     for member in 0..3 {
@@ -216,16 +217,16 @@
 fn a_slow_peer_delays_only_itself() {
     let (fleet, clients) = under_load(4, 3);
     for other in 0..3 {
-        fleet.datagram_faults.change_path(3, other, |path| path.throttle = Some(1000));
-        fleet.datagram_faults.change_path(other, 3, |path| path.throttle = Some(1000));
+        fleet.datagram_faults.change_path(3, other, |path| path.max_bytes_per_s = Some(1000));
+        fleet.datagram_faults.change_path(other, 3, |path| path.max_bytes_per_s = Some(1000));
     }
     propose_second(&fleet, 0);
     ends(&fleet, 0, "taken");
-    let taken = now();
+    let taken = now_ms();
     fleet.wait_until("the others serve", |_| {
         ["n0", "n1", "n2"].iter().all(|name| clients.decided_since(name, 2, taken))
     });
-    fleet.datagram_faults.change_all_paths(|path| path.throttle = None);
+    fleet.datagram_faults.change_all_paths(|path| path.max_bytes_per_s = None);
     fleet.wait_until("so does the slow one", |_| clients.decided_since("n3", 2, taken));
     clients.check();
 }
@@ -270,7 +271,7 @@
         propose_second(&fleet, 1);
         let first = fleet.replace_process(member, second);
         first.signal("TERM");
-        first.end();
+        first.wait_for_exit();
         fleet.wait_until("all have the second version", |fleet| has(fleet, &[0, 1, 2, 3], 2));
         fleet.wait_until("the second process serves by it", |_| {
             clients.decided_since(&Fleet::name(member), 2, 0.0)
@@ -293,6 +294,6 @@
 /// requests at the same time.
 #[test]
 fn reloads_in_turn_show_two_versions_at_once() {
-    let played = run_with_reloads(Fleet::start_all(Options::of(3), nodes(), origin()), ms(150));
+    let played = run_with_reloads(Fleet::start_all(Options::with_members(3), nodes(), origin()), ms(150));
     assert!(played.violations > 0 && played.overlap_ms > 150.0, "{played:?}");
 }
--- a/tests/fleet/policy/storage.rs
+++ b/tests/fleet/policy/storage.rs
@@ -22,7 +22,7 @@
     ends(&fleet, 3, "taken");
     for lost in [true, false] {
         fleet.kill(1);
-        let killed_at = fleet.timeline.now();
+        let killed_at = fleet.timeline.elapsed_ms();
         let file = fleet.state_dir(1).join("rulebook");
         if lost {
             std::fs::remove_dir_all(fleet.state_dir(1)).unwrap()
--- a/tests/fleet/quota.rs
+++ b/tests/fleet/quota.rs
@@ -18,7 +18,7 @@
 
 /// Members with a quota, all of them founders.
 fn all_founders(members: usize) -> Options {
-    Options { founders: (0..members).collect(), size: members + 1, ..Options::of(members) }
+    Options { founders: (0..members).collect(), size: members + 1, ..Options::with_members(members) }
 }
 
 fn reported(fleet: &Fleet, member: usize, field: &str) -> f64 {
@@ -38,7 +38,7 @@
 /// Waits until a condition holds, and records the quotas of these members for the history checker
 /// all the while.
 fn record_until(fleet: &Fleet, members: &[usize], what: &str, holds: impl Fn(&Fleet) -> bool) {
-    let recorder = Recorder::own();
+    let recorder = Recorder::current();
     fleet.wait_until(what, |fleet| {
         for (member, share) in members.iter().zip(quotas(fleet, members)) {
             recorder.record_quota(&Fleet::name(*member), share, MAX_ATTEMPT_MS);
@@ -59,7 +59,7 @@
 fn in_a_partition_the_minority_keeps_its_guaranteed_minimum_and_the_majority_its_leases() {
     let fleet = fleet_with_equal_quotas(5);
     assert!(reported(&fleet, 0, "view") >= 1.0 && reported(&fleet, 0, "lease_ms") > 0.0);
-    fleet.cut_into(&[&[0, 1], &[2, 3, 4]]);
+    fleet.partition(&[&[0, 1], &[2, 3, 4]]);
     let base = reported(&fleet, 0, "base");
     let is_base =
         |fleet: &Fleet| quotas(fleet, &[0, 1]).iter().all(|share| (share - base).abs() < ROUNDING_TOLERANCE);
@@ -75,7 +75,7 @@
 #[test]
 fn members_partitioned_from_each_other_keep_their_guaranteed_minimum_and_recover() {
     let fleet = fleet_with_equal_quotas(3);
-    fleet.cut_into(&[&[0], &[1], &[2]]);
+    fleet.partition(&[&[0], &[1], &[2]]);
     let all = [0, 1, 2];
     record_until(&fleet, &all, "all have their guaranteed minimum", |fleet| {
         all.iter().all(|member| reported(fleet, *member, "share") == reported(fleet, *member, "base"))
@@ -128,7 +128,7 @@
             && have_equal_quotas(fleet, &[0, 2], 3)
     });
     first.signal("TERM");
-    assert!(first.end().success());
+    assert!(first.wait_for_exit().success());
     record_until(&fleet, &[0, 1, 2], "it has the other half too", |fleet| {
         have_equal_quotas(fleet, &[0, 1, 2], 3)
     });
@@ -162,7 +162,7 @@
     };
     let options = Options { node_calls: Some(NODE_ATTEMPT_LIMIT), ..all_founders(5) };
     let mut fleet = Fleet::start_all(options, vec![node()], origin());
-    Recorder::own().record_attempt_limit(&fleet.nodes[0].address.to_string(), NODE_ATTEMPT_LIMIT);
+    Recorder::current().record_attempt_limit(&fleet.nodes[0].address.to_string(), NODE_ATTEMPT_LIMIT);
     fleet.wait_until("all have equal quotas", |fleet| have_equal_quotas(fleet, &ALL, 5));
     let done = AtomicBool::new(false);
     let addresses: Vec<_> = ALL.iter().map(|member| fleet.process(*member).client_address).collect();
@@ -190,7 +190,7 @@
             }
         }
         sleep(ms(1_000));
-        fleet.cut_into(&[&[0, 1], &[2, 3, 4]]);
+        fleet.partition(&[&[0, 1], &[2, 3, 4]]);
         fleet.wait_until("a majority takes over", |fleet| have_equal_quotas(fleet, &[2, 3, 4], 3));
         fleet.process(4).signal("STOP");
         sleep(ms(3_000));
@@ -202,8 +202,8 @@
         sleep(ms(500));
         done.store(true, Ordering::Relaxed);
     });
-    Recorder::own().check_quota();
-    let most = fleet.nodes[0].most_at_once();
+    Recorder::current().check_quota();
+    let most = fleet.nodes[0].max_in_flight();
     assert!(most <= NODE_ATTEMPT_LIMIT, "{most} attempts in flight\n{}", fleet.timeline);
     assert!(most > NODE_ATTEMPT_LIMIT / 2, "{most}: the limit was reached at least by half");
 }
@@ -213,7 +213,7 @@
     for seed in [11, 12] {
         let mut fleet = joined_fleet(Options { seed, ..all_founders(5) });
         let script = Script::from_seed(seed, 5, 5, 10_000);
-        fleet.play(&script);
+        fleet.run_script(&script);
         record_until(&fleet, &ALL, "all have equal quotas", |fleet| have_equal_quotas(fleet, &ALL, 5));
     }
 }
--- a/tests/fleet/upgrades.rs
+++ b/tests/fleet/upgrades.rs
@@ -7,8 +7,8 @@
 /// The other members do not see a failure, and only one of the two processes takes part.
 #[test]
 fn a_hot_restart_passes_the_name_on_and_no_member_is_reported_failed() {
-    let mut fleet = joined_fleet(Options::of(3));
-    let begun = fleet.timeline.now();
+    let mut fleet = joined_fleet(Options::with_members(3));
+    let begun = fleet.timeline.elapsed_ms();
     for _ in 0..2 {
         let second = fleet.start_second_process(1);
         let first = fleet.replace_process(1, second);
@@ -20,7 +20,7 @@
         );
         fleet.wait_until("they agree", |fleet| fleet.all_agree(&[0, 1, 2]));
         first.signal("TERM");
-        assert!(first.end().success());
+        assert!(first.wait_for_exit().success());
         // The end of the first process is not announced as a departure.
         fleet.wait_until("they still agree", |fleet| fleet.all_agree(&[0, 1, 2]));
         assert!(fleet.report(1).unwrap().json.get("rival").is_none());
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_second_process_that_dies_leaves_the_name_to_the_first() {
-    let fleet = joined_fleet(Options::of(3));
+    let fleet = joined_fleet(Options::with_members(3));
     let second = fleet.start_second_process(1);
     fleet.wait_until("the second process is the member", |fleet| fleet.report(1).is_none());
     drop(second);
@@ -46,14 +46,15 @@
 /// The name is not lost although the partition hides the hot restart.
 #[test]
 fn a_hot_restart_during_a_partition_is_known_after_it() {
-    let mut fleet = joined_fleet(Options::of(3));
-    fleet.cut_into(&[&[1], &[0, 2]]);
-    let failed = |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names("failed") == ["n1"];
+    let mut fleet = joined_fleet(Options::with_members(3));
+    fleet.partition(&[&[1], &[0, 2]]);
+    let failed =
+        |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names_in_state("failed") == ["n1"];
     fleet.wait_until("the others know", |fleet| failed(fleet, 0) && failed(fleet, 2));
     let second = fleet.start_second_process(1);
     let first = fleet.replace_process(1, second);
     first.signal("TERM");
-    assert!(first.end().success());
+    assert!(first.wait_for_exit().success());
     fleet.wait_until("the second process is the member", |fleet| {
         fleet.report(1).is_some_and(|report| report.side == "alone")
     });
--- a/tests/golden/admin.rs
+++ b/tests/golden/admin.rs
@@ -31,8 +31,8 @@
 
 #[test]
 fn readiness_and_service_are_answered_as_recorded() {
-    let (node, origin) = (StubServer::full_node("v"), origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let lines = [
         "GET /control/ready",
         "GET /control/ready?verbose=1",
@@ -48,8 +48,8 @@
 
 #[test]
 fn cache_nodes_are_taken_out_and_back_as_recorded() {
-    let (node, origin) = (StubServer::full_node("v"), origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let lines = [
         "POST /control/cache-nodes/s-0/offline",
         "POST /control/cache-nodes/s-0/offline",
@@ -71,7 +71,7 @@
 #[test]
 fn unknown_admin_requests_are_rejected_as_recorded() {
     let origin = origin();
-    let fixture = ProxyFixture::of(&[], &origin);
+    let fixture = ProxyFixture::with_backends(&[], &origin);
     let lines = [
         "GET /",
         "GET /control",
@@ -100,7 +100,7 @@
 #[test]
 fn malformed_admin_requests_are_rejected_as_recorded() {
     let origin = origin();
-    let fixture = ProxyFixture::of(&[], &origin);
+    let fixture = ProxyFixture::with_backends(&[], &origin);
     let propose = "POST /control/policy HTTP/1.1\r\n";
     let asked = [
         "mn\r\n\r\n".to_owned(),
@@ -130,25 +130,26 @@
         StubAction::Reply(format!("VA 1 {}\r\nv\r\n", opaque(line)))
     });
     let origin = silent_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=9000\r\n");
-    fixture.until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node is asked", || node.received().len() == 1);
     fixture.signal("TERM");
     let ready = request("GET /control/ready");
-    fixture
-        .until("it stops", || !complete_response(fixture.admin_address, &ready).starts_with("HTTP/1.1 200"));
+    fixture.wait_until("it stops", || {
+        !complete_response(fixture.admin_address, &ready).starts_with("HTTP/1.1 200")
+    });
     let lines = ["GET /control/ready", "POST /control/out-of-service", "POST /control/in-service"];
     let actual = all(fixture.admin_address, &lines);
     drop(release);
     compare("stopping", include_str!("recorded/stopping.txt"), &actual);
-    assert!(fixture.end().status.success());
+    assert!(fixture.wait_for_exit().status.success());
 }
 
 #[test]
 fn half_an_admin_request_is_rejected_in_time_as_recorded() {
     let origin = silent_origin();
-    let fixture = ProxyFixture::of(&[], &origin);
+    let fixture = ProxyFixture::with_backends(&[], &origin);
     let body = "POST /control/policy HTTP/1.1\r\nContent-Length: 2\r\n\r\n{";
     let asked = ["GET /control/re", body];
     let admin = fixture.admin_address;
--- a/tests/golden/backends.rs
+++ b/tests/golden/backends.rs
@@ -1,7 +1,9 @@
 //! The requests of the proxy to cache nodes, the origin and discovery.
 
 use crate::{compare, escaped, origin, without_number};
-use pinetrail_test_harness::{catalog, config, opaque, start, ProxyFixture, StubAction, StubServer};
+use pinetrail_test_harness::{
+    config, endpoint_list_json, opaque, start_proxy, ProxyFixture, StubAction, StubServer,
+};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
 use std::sync::mpsc::channel;
@@ -27,7 +29,7 @@
         }
     });
     let origin = origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     let reads = [
         "mg hit v O1 Pc=read,t=acme,d=9000\r\n",
@@ -56,7 +58,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let origin = origin();
-    let list = catalog(7, true, &[origin.entry("o", "origin", "ready")]);
+    let list = endpoint_list_json(7, true, &[origin.entry("o", "origin", "ready")]);
     let (sender, watches) = channel();
     thread::spawn(move || {
         // Each watch gets one list, and its connection ends.
@@ -74,8 +76,8 @@
             let _ = sender.send(head);
         }
     });
-    let known = catalog(3, true, &[origin.entry("o", "origin", "ready")]);
-    let mut child = start(&config("127.0.0.1:0", &address.to_string(), 256, &known));
+    let known = endpoint_list_json(3, true, &[origin.entry("o", "origin", "ready")]);
+    let mut child = start_proxy(&config("127.0.0.1:0", &address.to_string(), 256, &known));
     let heads: Vec<_> = (0..2).map(|_| watches.recv_timeout(WAIT)).collect();
     child.kill().and_then(|()| child.wait()).unwrap();
     let heads: String = heads.into_iter().map(|head| escaped(&head.unwrap()) + "\n").collect();
--- a/tests/golden/clients.rs
+++ b/tests/golden/clients.rs
@@ -38,7 +38,7 @@
 #[test]
 fn each_command_is_answered_as_recorded() {
     let (node, origin) = (node(), origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let asked = [
         "mn\r\n",
         "version\r\n",
@@ -55,7 +55,7 @@
 #[test]
 fn each_malformed_command_is_rejected_as_recorded() {
     let (node, origin) = (node(), origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let (long, long_key) = ("x".repeat(3000), format!("mg {} v O1 Pc=read\r\n", "k".repeat(251)));
     let asked = [
         "get k\r\n",
@@ -108,7 +108,7 @@
 #[test]
 fn an_opaque_id_in_use_is_rejected_as_recorded() {
     let origin = silent_origin();
-    let fixture = ProxyFixture::of(&[], &origin);
+    let fixture = ProxyFixture::with_backends(&[], &origin);
     let mut client = fixture.client();
     let ask = "mg k v O1 Pc=read,t=acme,d=900\r\n";
     client.send(&format!("{ask}{ask}"));
@@ -124,7 +124,7 @@
     let busy = fails("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
     let mut actual = String::new();
     for (name, origin) in [("error", error), ("busy", busy), ("silent", silent_origin())] {
-        let fixture = ProxyFixture::of(&[], &origin);
+        let fixture = ProxyFixture::with_backends(&[], &origin);
         let asked = [
             "mg k v O1 Pc=read,t=acme,d=300\r\n",
             "ms w 1 O2 Pc=put,t=acme,d=300,k=5c\r\nx\r\n",
@@ -139,7 +139,7 @@
 #[test]
 fn a_proxy_out_of_service_answers_as_recorded() {
     let (node, origin) = (node(), origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200);
     let asked = ["mn\r\n", "version\r\n", "mg hit v O1 Pc=read,t=acme,d=9000\r\n"];
     let actual = recorded_of(&fixture, &asked);
@@ -149,7 +149,7 @@
 #[test]
 fn half_a_command_is_rejected_in_time_as_recorded() {
     let origin = silent_origin();
-    let fixture = ProxyFixture::of(&[], &origin);
+    let fixture = ProxyFixture::with_backends(&[], &origin);
     let mut actual = String::new();
     for half in ["mg k v O1 Pc=re", "ms k 5 O1 Pc=put,t=acme,d=900,k=5c\r\nhel"] {
         let mut client = fixture.client();
--- a/tests/golden/fleet.rs
+++ b/tests/golden/fleet.rs
@@ -11,7 +11,7 @@
 const VARYING: [&str; 6] = ["since_ms", "heard_ms", "start", "incarnation", "lease_ms", "view"];
 
 fn nodes() -> Vec<StubServer> {
-    vec![StubServer::full_node("v")]
+    vec![StubServer::hit_node("v")]
 }
 
 fn admin_address_of(fleet: &Fleet, member: usize) -> std::net::SocketAddr {
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_fleet_of_one_and_of_two_is_reported_as_recorded() {
-    let mut fleet = Fleet::new(Options::of(2), nodes(), origin());
+    let mut fleet = Fleet::new(Options::with_members(2), nodes(), origin());
     fleet.start(0);
     let mut actual = asked(&fleet, 0, "GET /control/fleet");
     fleet.start(1);
@@ -66,8 +66,8 @@
     actual += &asked(&fleet, 0, "GET /control/policy");
     let leaving = fleet.take_process(1);
     leaving.signal("TERM");
-    assert!(leaving.end().success());
-    let has_left = |fleet: &Fleet| fleet.report(0).unwrap().names("left") == ["n1"];
+    assert!(leaving.wait_for_exit().success());
+    let has_left = |fleet: &Fleet| fleet.report(0).unwrap().names_in_state("left") == ["n1"];
     fleet.wait_until("it has left", has_left);
     actual += &asked(&fleet, 0, "GET /control/fleet");
     compare("fleet", include_str!("recorded/fleet.txt"), &actual);
@@ -75,7 +75,7 @@
 
 #[test]
 fn quotas_of_a_fleet_with_founders_are_reported_as_recorded() {
-    let options = Options { founders: vec![0], ..Options::of(2) };
+    let options = Options { founders: vec![0], ..Options::with_members(2) };
     let mut fleet = Fleet::new(options, nodes(), origin());
     let report_json = |fleet: &Fleet, member: usize| fleet.report(member).unwrap().json;
     fleet.start(0);
@@ -91,7 +91,7 @@
 
 /// Three members with one policy, all of them founders.
 fn governed() -> Fleet {
-    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::of(3) };
+    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
     let fleet = Fleet::start_all(options, nodes(), origin());
     wait_for_version(&fleet, 1);
     fleet
@@ -151,7 +151,7 @@
 #[test]
 fn a_partitioned_member_reports_that_it_is_fenced_as_recorded() {
     let fleet = governed();
-    fleet.cut_into(&[&[2], &[0, 1]]);
+    fleet.partition(&[&[2], &[0, 1]]);
     fleet.wait_until("it is fenced", |fleet| policy_status(fleet, 2) == (1, "fenced".to_owned()));
     let mut actual = asked(&fleet, 2, "GET /control/policy");
     actual += &asked(&fleet, 2, "GET /control/ready");
@@ -165,7 +165,7 @@
 
 #[test]
 fn drift_and_its_end_are_reported_as_recorded() {
-    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::of(3) };
+    let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
     let mut fleet = Fleet::new(options, nodes(), origin());
     // Member 2 applies the settings of its own file, for emergencies.
     let mut local = fleet.config(2, &[0, 1]);
--- a/tests/golden/starts.rs
+++ b/tests/golden/starts.rs
@@ -1,14 +1,14 @@
 //! Failed starts: one line with the reason, and exit code 2.
 
 use crate::compare;
-use pinetrail_test_harness::{catalog, config, start, StubServer, WAIT};
+use pinetrail_test_harness::{config, endpoint_list_json, start_proxy, StubServer, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
 /// The output of a program that ends by itself.
 fn shown(title: &str, mut child: Child) -> String {
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while child.try_wait().expect("it is a child").is_none() {
         if Instant::now() >= until {
             child.kill().and_then(|()| child.wait()).expect("it is a child");
@@ -24,7 +24,7 @@
 }
 
 fn started(title: &str, config: &str) -> String {
-    shown(title, start(config))
+    shown(title, start_proxy(config))
 }
 
 fn good() -> String {
@@ -102,7 +102,7 @@
         ("no address", vec![r#"{"instanceId":"s-0","lifecycle":"ready"}"#.to_owned()]),
     ];
     let outputs = bad.map(|(title, entries)| {
-        let known = catalog(1, true, &entries);
+        let known = endpoint_list_json(1, true, &entries);
         started(title, &config("127.0.0.1:0", "127.0.0.1:1", 256, &known))
     });
     compare("lists", include_str!("recorded/start_lists.txt"), &outputs.concat());
--- a/tests/sockets/backend_responses.rs
+++ b/tests/sockets/backend_responses.rs
@@ -14,8 +14,8 @@
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n\
                    3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
     let (node, origin) =
-        (StubServer::empty_node(), StubServer::origin(move |_| StubAction::Reply(chunked.into())));
-    let fixture = ProxyFixture::of(&[&node], &origin);
+        (StubServer::miss_node(), StubServer::origin(move |_| StubAction::Reply(chunked.into())));
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     assert_eq!(client.get("a", "1", 900).1, "hello\r\n");
     assert_eq!(client.get("b", "2", 900).1, "hello\r\n");
@@ -29,7 +29,7 @@
         let node =
             StubServer::node(move |line| StubAction::Reply(format!("VA {length} {}\r\n", opaque(line))));
         let origin = idle_origin();
-        let fixture = ProxyFixture::of(&[&node], &origin);
+        let fixture = ProxyFixture::with_backends(&[&node], &origin);
         assert!(fixture.client().get("k", "1", 300).0.starts_with("SERVER_ERROR "));
         assert!(fixture.counter("calls_error") >= 1);
     }
@@ -49,7 +49,7 @@
         }
     });
     let origin = StubServer::origin(move |_| http_200(&origin_body));
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     for (key, value) in [("k", &of_node), ("missing", &of_origin), ("k2", &of_node)] {
         let (line, got) = client.get(key, key, 5000);
@@ -64,7 +64,7 @@
 fn a_response_with_another_id_is_not_forwarded() {
     let (node, origin) =
         (StubServer::node(|_| StubAction::Reply("VA 5 Oother\r\nwrong\r\n".into())), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let (line, _) = fixture.client().get("k", "1", 300);
     assert!(line.starts_with("SERVER_ERROR "), "{line}");
     assert_eq!(node.connected(), node.received().len(), "none of those connections is used again");
@@ -84,7 +84,7 @@
         "HD O1 c1 c2\r\n",
     ] {
         let (node, origin) = (StubServer::node(move |_| StubAction::Reply(malformed.into())), idle_origin());
-        let fixture = ProxyFixture::of(&[&node], &origin);
+        let fixture = ProxyFixture::with_backends(&[&node], &origin);
         let begun = Instant::now();
         let line = fixture.client().get("k", "1", 2000).0;
         assert!(line.starts_with("SERVER_ERROR busy "), "{malformed:?} -> {line:?}");
@@ -107,7 +107,7 @@
         StubAction::Reply(answer.clone() + &answer)
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     for n in 0..10 {
         assert_eq!(client.get("k", &n.to_string(), 900).1, "v\r\n");
@@ -139,8 +139,8 @@
     for (answers, served) in [(&good[..], true), (&bad[..], false)] {
         for answer in answers.iter().copied() {
             let (node, origin) =
-                (StubServer::empty_node(), StubServer::origin(move |_| StubAction::Reply(answer.into())));
-            let fixture = ProxyFixture::of(&[&node], &origin);
+                (StubServer::miss_node(), StubServer::origin(move |_| StubAction::Reply(answer.into())));
+            let fixture = ProxyFixture::with_backends(&[&node], &origin);
             let begun = Instant::now();
             let (line, value) = fixture.client().get("k", "1", 2000);
             assert_eq!(line == "VA 1 O1\r\n" && value == "v\r\n", served, "{answer:?} -> {line:?}");
@@ -167,7 +167,7 @@
                 stream.shutdown(if is_reset { Shutdown::Read } else { Shutdown::Both }).unwrap();
             }))
         });
-        let fixture = ProxyFixture::of(&[&StubServer::empty_node()], &origin);
+        let fixture = ProxyFixture::with_backends(&[&StubServer::miss_node()], &origin);
 
         let (line, value) = fixture.client().get("k", "1", 2000);
 
--- a/tests/sockets/client_connections.rs
+++ b/tests/sockets/client_connections.rs
@@ -10,7 +10,7 @@
 #[test]
 fn an_endless_pipeline_takes_no_memory() {
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[], &origin);
+    let fixture = ProxyFixture::with_backends(&[], &origin);
     let before = fixture.memory_mb();
     let flood = std::net::TcpStream::connect(fixture.client_address).unwrap();
     let mut answers = flood.try_clone().unwrap();
@@ -31,8 +31,8 @@
 /// them no more. They must not stall.
 #[test]
 fn many_commands_on_one_connection_are_answered_in_order() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     let pipeline: String =
         (0..300).map(|n| format!("mg k{n} v O{n} Pc=read,t=acme,d=900\r\nmn\r\n")).collect();
@@ -51,8 +51,8 @@
 
 #[test]
 fn malformed_input_is_answered_and_harms_no_other_client() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     assert_eq!(client.request("flush_all\r\n"), "ERROR\r\n");
     for bad in [
@@ -91,8 +91,8 @@
 /// Clients that send no complete command do not hold connections.
 #[test]
 fn half_a_command_is_answered_with_an_error_and_silence_with_a_close() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let begun = Instant::now();
     let (mut half, mut silent, mut value) = (fixture.client(), fixture.client(), fixture.client());
     half.send("mg k v O1");
@@ -111,8 +111,8 @@
 /// The error is not lost, though a connection that closes with unread input is reset.
 #[test]
 fn an_error_arrives_though_more_is_being_sent() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     client.send("ms k 60000000 O1 Pc=put,t=acme,d=900,k=5c\r\n");
     client.send(&"x".repeat(700_000));
@@ -134,10 +134,10 @@
         StubAction::Reply(format!("VA 1 {}\r\nv\r\n", opaque(line)))
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let (mut first, mut other) = (fixture.client(), fixture.client());
     first.send("mg k v O1 Pc=read,t=acme,d=900\r\n");
-    fixture.until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node is asked", || node.received().len() == 1);
     assert_eq!(other.request("mg j v O1 Pc=read,t=acme,d=900\r\n"), "CLIENT_ERROR the id is in use\r\n");
     assert_eq!((first.read_line().as_str(), first.read_line().as_str()), ("VA 1 O1\r\n", "v\r\n"));
     assert_eq!(node.received().len(), 1);
@@ -147,8 +147,8 @@
 /// Other clients are served while some send malformed input at full speed.
 #[test]
 fn clients_that_send_malformed_input_do_not_occupy_the_worker() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let malformed = "no such command\r\n".repeat(2000) + &"mn\r\n".repeat(20_000);
     std::thread::scope(|scope| {
         for _ in 0..8 {
@@ -171,7 +171,7 @@
 /// either.
 #[test]
 fn clients_that_send_malformed_input_do_not_occupy_all_connections() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
     let entries = [node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")];
     let fixture = ProxyFixture::with_sockets(&entries, 64);
     let (address, stop) = (fixture.client_address, std::sync::atomic::AtomicBool::new(false));
@@ -218,7 +218,7 @@
 
 #[test]
 fn idle_client_connections_make_room_for_new_ones() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
     let entries = [node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")];
     let fixture = ProxyFixture::with_sockets(&entries, 64);
     let mut held: Vec<Client> = (0..60).map(|_| fixture.client()).collect();
@@ -235,7 +235,7 @@
 #[test]
 fn clients_that_send_one_request_and_stay_are_disconnected_in_time() {
     const SOCKETS: usize = 96;
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
     let entries = [node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")];
     let fixture = ProxyFixture::with_sockets(&entries, SOCKETS);
     let (mut honest, mut silent): (Vec<Client>, Vec<Client>) = (Vec::new(), Vec::new());
--- a/tests/sockets/discovery.rs
+++ b/tests/sockets/discovery.rs
@@ -7,34 +7,34 @@
 
 #[test]
 fn a_draining_node_of_a_watched_list_gets_no_new_request() {
-    let (old, new) = (StubServer::full_node("old"), StubServer::full_node("new"));
+    let (old, new) = (StubServer::hit_node("old"), StubServer::hit_node("new"));
     let fixture = ProxyFixture::new(&[old.entry("s-0", "c6", "ready")]);
     let mut client = fixture.client();
     assert_eq!(client.get("k", "1", 900).1, "old\r\n");
-    let (line, updates) = fixture.discovery.watch();
+    let (line, updates) = fixture.discovery.next_watch();
     assert_eq!(line, "GET /catalog/members?watch=1&after=1 HTTP/1.1");
     let changes = [old.entry("s-0", "c6", "draining"), new.entry("s-1", "c6", "ready")];
-    updates.send(catalog(2, false, &changes)).unwrap();
-    fixture.until("the change is known", || fixture.counter("lists") == 1);
+    updates.send(endpoint_list_json(2, false, &changes)).unwrap();
+    fixture.wait_until("the change is known", || fixture.counter("lists") == 1);
     for n in 2..20 {
         assert_eq!(client.get("k", &n.to_string(), 900).1, "new\r\n");
     }
     assert_eq!(old.received().len(), 1);
     // A watch that ends is opened again, from the last known generation on.
     drop(updates);
-    let (line, updates) = fixture.discovery.watch();
+    let (line, updates) = fixture.discovery.next_watch();
     assert_eq!(line, "GET /catalog/members?watch=1&after=2 HTTP/1.1");
     // An older generation undoes no change: the proxy requests the complete list instead.
-    updates.send(catalog(1, false, &[old.entry("s-0", "c6", "ready")])).unwrap();
-    let (line, updates) = fixture.discovery.watch();
+    updates.send(endpoint_list_json(1, false, &[old.entry("s-0", "c6", "ready")])).unwrap();
+    let (line, updates) = fixture.discovery.next_watch();
     assert_eq!(line, "GET /catalog/members?watch=1&after=0 HTTP/1.1");
     for n in 20..30 {
         assert_eq!(client.get(&format!("k{n}"), &n.to_string(), 900).1, "new\r\n");
     }
     // A complete list replaces newer changes, so that drains are noticed after discovery restarted.
     let begun_again = [old.entry("s-0", "c6", "ready"), new.entry("s-1", "c6", "draining")];
-    updates.send(catalog(1, true, &begun_again)).unwrap();
-    fixture.until("the list has arrived", || fixture.counter("lists") == 2);
+    updates.send(endpoint_list_json(1, true, &begun_again)).unwrap();
+    fixture.wait_until("the list has arrived", || fixture.counter("lists") == 2);
     for n in 30..40 {
         assert_eq!(client.get(&format!("k{n}"), &n.to_string(), 900).1, "old\r\n");
     }
@@ -44,18 +44,18 @@
 /// watch alive.
 #[test]
 fn an_indented_endpoint_list_is_accepted() {
-    let node = StubServer::full_node("s");
-    let fixture = ProxyFixture::of(&[&node, &node], &idle_origin());
-    let (_, updates) = fixture.discovery.watch();
-    let drains = catalog(2, false, &[node.entry("s-0", "c6", "draining")]);
+    let node = StubServer::hit_node("s");
+    let fixture = ProxyFixture::with_backends(&[&node, &node], &idle_origin());
+    let (_, updates) = fixture.discovery.next_watch();
+    let drains = endpoint_list_json(2, false, &[node.entry("s-0", "c6", "draining")]);
     let list: serde_json::Value = serde_json::from_str(&drains).unwrap();
     updates.send(serde_json::to_string_pretty(&list).unwrap()).unwrap();
-    fixture.until("the list has arrived", || fixture.counter("lists") == 1);
-    let later = catalog(3, false, &[]);
+    fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
+    let later = endpoint_list_json(3, false, &[]);
     let (first, rest) = later.split_at(later.find(',').unwrap());
     updates.send(first.to_owned()).unwrap();
     updates.send(rest.to_owned()).unwrap();
-    fixture.until("so is one in two parts", || fixture.counter("lists") == 2);
+    fixture.wait_until("so is one in two parts", || fixture.counter("lists") == 2);
     assert_eq!(fixture.counter("watches_failed"), 0);
     // Empty lines arrive, but the rest of this list never does.
     updates.send("{\n".to_owned()).unwrap();
@@ -64,22 +64,22 @@
         updates.send(String::new()).unwrap_or(());
     }
     assert!(fixture.counter("watches_failed") > 0, "half a list does not keep a watch alive");
-    let (line, _) = fixture.discovery.watch();
+    let (line, _) = fixture.discovery.next_watch();
     assert_eq!(line, "GET /catalog/members?watch=1&after=3 HTTP/1.1");
 }
 
 /// Where lists are pushed no poll starts a watch, so the proxy must open it by itself.
 #[test]
 fn a_pushed_list_is_watched_from_the_start_and_again_after_an_outage() {
-    let node = StubServer::full_node("s");
+    let node = StubServer::hit_node("s");
     let entries = [node.entry("s-0", "c6", "ready")];
-    let fixture = ProxyFixture::with(&entries, r#""Discovery":"ask""#, r#""Discovery":"push""#);
-    let (line, updates) = fixture.discovery.watch();
+    let fixture = ProxyFixture::with_config_change(&entries, r#""Discovery":"ask""#, r#""Discovery":"push""#);
+    let (line, updates) = fixture.discovery.next_watch();
     assert_eq!(line, "GET /catalog/members?watch=1&after=1 HTTP/1.1");
-    updates.send(catalog(2, false, &[node.entry("s-0", "c6", "draining")])).unwrap();
-    fixture.until("the list has arrived", || fixture.counter("lists") == 1);
+    updates.send(endpoint_list_json(2, false, &[node.entry("s-0", "c6", "draining")])).unwrap();
+    fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
     drop(updates);
-    let (line, _) = fixture.discovery.watch();
+    let (line, _) = fixture.discovery.next_watch();
     assert_eq!(line, "GET /catalog/members?watch=1&after=2 HTTP/1.1");
 }
 
@@ -87,41 +87,49 @@
 #[test]
 fn a_silent_watch_is_replaced() {
     let fixture = ProxyFixture::new(&[]);
-    let (_, updates) = fixture.discovery.watch();
+    let (_, updates) = fixture.discovery.next_watch();
     let begun = Instant::now();
     for _ in 0..3 {
         sleep(ms(900));
         updates.send(String::new()).unwrap();
     }
     assert_eq!(fixture.counter("watches_failed"), 0, "an empty line keeps it alive");
-    fixture.discovery.watch();
+    fixture.discovery.next_watch();
     assert!(begun.elapsed() > ms(2700 + 2000), "not before a heartbeat was missed");
 }
 
 /// SIGHUP does not end the process, moves the watch, and rejects an invalid file.
 #[test]
 fn sighup_moves_the_watch_and_an_invalid_file_changes_nothing() {
-    let (old, new) = (StubServer::full_node("old"), StubServer::full_node("new"));
+    let (old, new) = (StubServer::hit_node("old"), StubServer::hit_node("new"));
     let fixture = ProxyFixture::new(&[old.entry("s-0", "c6", "ready")]);
-    let (_, old_updates) = fixture.discovery.watch();
+    let (_, old_updates) = fixture.discovery.next_watch();
     let moved = Discovery::new();
     fixture.reload(&fixture.discovery.address.to_string(), &moved.address.to_string());
     let begun = Instant::now();
-    let (line, updates) = moved.watch();
+    let (line, updates) = moved.next_watch();
     assert!(begun.elapsed() < ms(200), "at once, not after the backoff of a failed watch");
     assert_eq!(line, "GET /catalog/members?watch=1&after=1 HTTP/1.1");
     updates
-        .send(catalog(2, false, &[old.entry("s-0", "c6", "gone"), new.entry("s-1", "c6", "ready")]))
+        .send(endpoint_list_json(
+            2,
+            false,
+            &[old.entry("s-0", "c6", "gone"), new.entry("s-1", "c6", "ready")],
+        ))
         .unwrap();
-    fixture.until("the change is known", || fixture.counter("lists") == 1);
+    fixture.wait_until("the change is known", || fixture.counter("lists") == 1);
     assert_eq!(fixture.client().get("k", "1", 900).1, "new\r\n");
     drop(old_updates);
     fixture.reload("{", "");
-    fixture.until("the bad file is noticed", || fixture.counter("reloads_failed") == 1);
+    fixture.wait_until("the bad file is noticed", || fixture.counter("reloads_failed") == 1);
     updates
-        .send(catalog(3, false, &[old.entry("s-2", "c6", "ready"), new.entry("s-1", "c6", "gone")]))
+        .send(endpoint_list_json(
+            3,
+            false,
+            &[old.entry("s-2", "c6", "ready"), new.entry("s-1", "c6", "gone")],
+        ))
         .unwrap();
-    fixture.until("the watch goes on", || fixture.counter("lists") == 2);
+    fixture.wait_until("the watch goes on", || fixture.counter("lists") == 2);
     assert_eq!(fixture.client().get("k", "2", 900).1, "old\r\n");
     assert_eq!((fixture.counter("reloads"), fixture.counter("watches")), (1, 2));
 }
--- a/tests/sockets/faults.rs
+++ b/tests/sockets/faults.rs
@@ -47,7 +47,7 @@
 fn attempts_that_fail_half_way_keep_the_rules_for_every_effect() {
     let (one, other) = (StubServer::node(fails_by_key(false)), StubServer::node(fails_by_key(false)));
     let origin = StubServer::origin(fails_by_key(true));
-    let fixture = ProxyFixture::of(&[&one, &other], &origin);
+    let fixture = ProxyFixture::with_backends(&[&one, &other], &origin);
     let mut number = 0;
     for warm in [false, true] {
         for how in ["breaks", "half", "silent", "fails", "full"] {
@@ -71,14 +71,14 @@
         }
     }
     assert!(fixture.client().get("good.z", "z", 900).0.starts_with("VA "), "it serves on");
-    Recorder::own().check();
+    Recorder::current().check();
     assert_eq!((fixture.counter("overdue"), fixture.counter("panics")), (0, 0));
 }
 
 /// Misses that wait for a fetch get a response if its leader disconnects, and if the fetch fails.
 #[test]
 fn misses_that_wait_for_a_fetch_are_answered_however_it_ends() {
-    let node = StubServer::empty_node();
+    let node = StubServer::miss_node();
     let asked = AtomicUsize::new(0);
     let origin = StubServer::origin(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
         // The leader's: it has disconnected before this response.
@@ -89,10 +89,10 @@
         1 => StubAction::Disconnect,
         _ => http_200("v"),
     });
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let leader = fixture.client();
     let leading = thread::spawn(move || leader.request_and_disconnect("k", "lead", ms(100)));
-    fixture.until("the fetch is in flight", || origin.received().len() == 1);
+    fixture.wait_until("the fetch is in flight", || origin.received().len() == 1);
     let waiters: Vec<_> = (0..4)
         .map(|n| {
             let mut client = fixture.client();
@@ -105,19 +105,19 @@
         assert!(line.starts_with("VA ") || line.starts_with("SERVER_ERROR busy "), "{line}");
     }
     assert!(origin.received().len() >= 2, "another request led a fetch");
-    Recorder::own().check();
+    Recorder::current().check();
 }
 
 /// A proxy without a backend does not keep clients waiting: each gets a Retry-After at once, or
 /// after half of its latency objective.
 #[test]
 fn with_every_node_and_the_origin_down_all_requests_are_rejected_with_a_retry_after() {
-    let (node, origin) = (StubServer::full_node("v"), StubServer::origin(|_| http_200("v")));
-    let fixture = ProxyFixture::of(&[&node], &origin);
-    let (_, updates) = fixture.discovery.watch();
+    let (node, origin) = (StubServer::hit_node("v"), StubServer::origin(|_| http_200("v")));
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
+    let (_, updates) = fixture.discovery.next_watch();
     let gone = [node.entry("s-0", "c6", "draining"), origin.entry("o", "origin", "gone")];
-    updates.send(catalog(2, false, &gone)).unwrap();
-    fixture.until("the list has arrived", || fixture.counter("lists") == 1);
+    updates.send(endpoint_list_json(2, false, &gone)).unwrap();
+    fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
     for (n, class) in ["read", "put", "confirm"].into_iter().enumerate() {
         let (mut client, begun, id) = (fixture.client(), Instant::now(), n.to_string());
         let line = match class {
@@ -128,7 +128,7 @@
         assert!(begun.elapsed() < ms(1500), "not kept until its deadline");
     }
     assert_eq!((node.received().len(), origin.received().len()), (0, 0));
-    Recorder::own().check();
+    Recorder::current().check();
 }
 
 /// Further signals disturb neither a drain nor a reload.
@@ -139,22 +139,22 @@
         StubAction::Reply(format!("VA 1 {}\r\nv\r\n", opaque(line)))
     });
     let origin = StubServer::origin(|_| http_200("v"));
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let clients: Vec<_> = (0..8)
         .map(|n| {
             let mut client = fixture.client();
             thread::spawn(move || client.get(&format!("k{n}"), &n.to_string(), 900).0)
         })
         .collect();
-    fixture.until("all are in flight", || node.received().len() == 8);
+    fixture.wait_until("all are in flight", || node.received().len() == 8);
     for name in ["HUP", "HUP", "TERM", "HUP", "USR1", "TERM", "HUP"] {
         fixture.signal(name);
     }
     assert!(clients.into_iter().all(|client| client.join().unwrap().starts_with("VA ")));
-    let output = fixture.end();
+    let output = fixture.wait_for_exit();
     assert!(output.status.success(), "{output:?}");
-    Recorder::own().record_exit();
-    Recorder::own().check();
+    Recorder::current().record_exit();
+    Recorder::current().check();
 }
 
 /// A cache node that fails occasionally, in every way.
@@ -248,8 +248,8 @@
 fn a_day_of_faults_on_sockets_keeps_the_rules() {
     let nodes = [unreliable_node(), unreliable_node(), unreliable_node()];
     let origin = unreliable_origin();
-    let fixture = ProxyFixture::of(&nodes.iter().collect::<Vec<_>>(), &origin);
-    let (_, watch) = fixture.discovery.watch();
+    let fixture = ProxyFixture::with_backends(&nodes.iter().collect::<Vec<_>>(), &origin);
+    let (_, watch) = fixture.discovery.next_watch();
     let mut clients = Vec::new();
     for number in 0..8 {
         let mut client = fixture.client();
@@ -259,15 +259,15 @@
     let entry = |n: usize, lifecycle| nodes[n].entry(&format!("s-{n}"), "c6", lifecycle);
     for (generation, changes) in [(2, entry(0, "draining")), (3, entry(1, "gone")), (4, entry(1, "ready"))] {
         sleep(ms(400));
-        watch.send(catalog(generation, false, &[changes])).unwrap();
+        watch.send(endpoint_list_json(generation, false, &[changes])).unwrap();
         fixture.signal("HUP");
     }
     for client in clients {
         client.join().unwrap();
     }
 
-    Recorder::own().check();
-    let history = Recorder::own().history();
+    Recorder::current().check();
+    let history = Recorder::current().history();
     assert_a_missing_response_is_found(&history);
     assert_an_attempt_at_a_draining_node_is_found(history, &nodes[0].address.to_string());
 }
--- a/tests/sockets/hold_ups.rs
+++ b/tests/sockets/hold_ups.rs
@@ -50,7 +50,7 @@
 fn final_responses_are_written_before_a_hold_up_at_the_deadline() {
     let node = hanging_node();
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let commands = [
         "mg hang v O1 Pc=read,t=acme,d=700\r\n",
         "mg miss v O2 Pc=read,t=acme,d=700\r\n",
@@ -75,7 +75,7 @@
     for client in &mut clients {
         assert!(client.read_line().starts_with("SERVER_ERROR "));
     }
-    fixture.until("the process runs again", || fixture.client().request("mn\r\n") == "MN\r\n");
+    fixture.wait_until("the process runs again", || fixture.client().request("mn\r\n") == "MN\r\n");
     assert_eq!(fixture.counter("answered_late"), 0);
     assert_eq!(fixture.counter("overdue"), 0, "no guard was needed");
 }
@@ -84,12 +84,12 @@
 #[test]
 fn a_hold_up_is_counted() {
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&hanging_node()], &origin);
+    let fixture = ProxyFixture::with_backends(&[&hanging_node()], &origin);
     assert_eq!(fixture.counter("held_up"), 0);
     fixture.signal("STOP");
     sleep(HOLD_UP_DURATION);
     fixture.signal("CONT");
-    fixture.until("it is counted", || fixture.counter("held_up") > 0);
+    fixture.wait_until("it is counted", || fixture.counter("held_up") > 0);
 }
 
 /// A deadline does not count from when a request is read: one that arrives during a hold-up has
@@ -98,7 +98,7 @@
 fn the_deadline_of_a_request_that_arrives_in_a_hold_up_counts_from_its_arrival() {
     let node = hanging_node();
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     for (round, wait_ms) in [300, 700].into_iter().enumerate() {
         let commands = [
             format!("mg hang v O{round}a Pc=read,t=acme,d={wait_ms}\r\n"),
--- a/tests/sockets/large.rs
+++ b/tests/sockets/large.rs
@@ -53,7 +53,7 @@
         StubAction::ReplyWith(Box::new(move |stream| {
             stream.write_all(head.as_bytes()).unwrap();
             stream.write_all(&[b'a'; 50_000]).unwrap();
-            gone.lock().unwrap().recv_timeout(WAIT).unwrap();
+            gone.lock().unwrap().recv_timeout(WAIT_TIMEOUT).unwrap();
             stream.write_all(&[b'b'; 50_000]).unwrap();
             stream.write_all(b"\r").unwrap();
             sleep(ms(50));
@@ -61,7 +61,7 @@
         }))
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     // Responses behind a long value keep their order.
     client.send("mg k v O1 Pc=read,t=acme,d=500\r\nmn\r\n");
@@ -93,7 +93,7 @@
         }))
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     assert_eq!(fixture.client().get("k", "1", 2000).1, "hello\r\n");
     assert_eq!((fixture.counter("answers_spoilt"), node.received().len()), (0, 1));
 }
@@ -114,14 +114,14 @@
             }))
         });
         let origin = idle_origin();
-        let fixture = ProxyFixture::of(&[&node], &origin);
+        let fixture = ProxyFixture::with_backends(&[&node], &origin);
         let mut client = fixture.client();
         assert!(client.request("mg k v O1 Pc=read,t=acme,d=900\r\n").starts_with("VA 10000"));
         let mut rest = Vec::new();
         // The connection may end by a reset as well.
         let _ = client.reader().read_to_end(&mut rest);
         assert!(rest.len() <= 100_000, "{}", rest.len());
-        fixture.until("it is counted", || fixture.counter("values_broken") == 1);
+        fixture.wait_until("it is counted", || fixture.counter("values_broken") == 1);
         assert_eq!(node.received().len(), 1);
         assert_eq!(fixture.client().request("mn\r\n"), "MN\r\n");
     }
@@ -144,10 +144,10 @@
         }))
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     assert_eq!(client.request("mg k v O1 Pc=read,t=acme,d=900\r\n"), format!("VA {LONG_VALUE_BYTES} O1\r\n"));
     drop(client);
-    assert!(seen.recv_timeout(WAIT).unwrap(), "the node's connection is closed");
-    fixture.until("the call ends", || fixture.counter("calls_cancelled") == 1);
+    assert!(seen.recv_timeout(WAIT_TIMEOUT).unwrap(), "the node's connection is closed");
+    fixture.wait_until("the call ends", || fixture.counter("calls_cancelled") == 1);
 }
--- a/tests/sockets/operations.rs
+++ b/tests/sockets/operations.rs
@@ -10,8 +10,8 @@
 /// The admin server does what it is asked, or says why not.
 #[test]
 fn the_admin_server_reports_success_or_the_reason_of_a_failure() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let call = |method, path| call_admin(fixture.admin_address, method, path);
     assert_eq!(call("GET", "/control/ready"), (200, "ready\n".into()));
     assert_eq!(call("POST", "/control/ready").0, 405);
@@ -35,7 +35,7 @@
 #[test]
 fn silent_admin_connections_do_not_block_requests() {
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[], &origin);
+    let fixture = ProxyFixture::with_backends(&[], &origin);
     let crowd: Vec<TcpStream> = (0..60)
         .map(|n| {
             let mut stream = TcpStream::connect(fixture.admin_address).unwrap();
@@ -51,8 +51,8 @@
 /// Requests to the admin server do not wait behind those of clients.
 #[test]
 fn the_admin_server_answers_while_clients_flood_the_proxy() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let flood: Vec<std::thread::JoinHandle<usize>> = (0..4)
         .map(|_| {
             let mut client = fixture.client();
@@ -84,22 +84,24 @@
         StubAction::Reply(format!("VA 1 {}\r\nv\r\n", opaque(line)))
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=2000\r\n");
-    fixture.until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node is asked", || node.received().len() == 1);
     fixture.signal("TERM");
-    fixture.until("it is not ready", || call_admin(fixture.admin_address, "GET", "/control/ready").0 == 503);
+    fixture.wait_until("it is not ready", || {
+        call_admin(fixture.admin_address, "GET", "/control/ready").0 == 503
+    });
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 409);
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
-    assert!(fixture.end().status.success());
+    assert!(fixture.wait_for_exit().status.success());
 }
 
 /// A slow client is not treated as a silent one: it may take 2 s for a command.
 #[test]
 fn clients_may_take_two_seconds_for_a_command() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     for id in 1..3 {
         // The first command of a connection, and one behind it.
@@ -114,8 +116,8 @@
 
 #[test]
 fn a_node_in_maintenance_gets_no_request_until_it_is_back_online() {
-    let (out, other, origin) = (StubServer::full_node("out"), StubServer::full_node("other"), idle_origin());
-    let fixture = ProxyFixture::of(&[&out, &other], &origin);
+    let (out, other, origin) = (StubServer::hit_node("out"), StubServer::hit_node("other"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&out, &other], &origin);
     let mut client = fixture.client();
     let mut number = 0;
     let mut ask = |times: usize| {
@@ -126,18 +128,21 @@
     };
     ask(20);
     assert!(!out.received().is_empty());
-    let (_, updates) = fixture.discovery.watch();
+    let (_, updates) = fixture.discovery.next_watch();
     let of = |lifecycle| [out.entry("s-0", "c6", lifecycle), other.entry("s-1", "c6", "ready")];
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-0/offline").0, 200);
     let before = out.received().len();
     ask(20);
     // Lists of discovery in between change nothing.
-    let lists =
-        [catalog(2, true, &of("ready")), catalog(3, false, &of("gone")), catalog(4, false, &of("ready"))];
+    let lists = [
+        endpoint_list_json(2, true, &of("ready")),
+        endpoint_list_json(3, false, &of("gone")),
+        endpoint_list_json(4, false, &of("ready")),
+    ];
     for (n, list) in lists.into_iter().enumerate() {
         let received = fixture.counter("lists");
         updates.send(list).unwrap();
-        fixture.until("the list has arrived", || fixture.counter("lists") > received);
+        fixture.wait_until("the list has arrived", || fixture.counter("lists") > received);
         ask(10 + n);
     }
     assert_eq!(out.received().len(), before, "no new request went there");
@@ -154,16 +159,16 @@
         StubAction::Reply(format!("VA 1 {}\r\nv\r\n", opaque(line)))
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     // No connection is closed for its age within this test.
     fixture.reload(r#""ConnIdle":1500.0"#, r#""ConnIdle":90000.0"#);
-    fixture.until("it is read", || fixture.counter("reloads") == 1);
+    fixture.wait_until("it is read", || fixture.counter("reloads") == 1);
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=2000\r\n");
-    fixture.until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node is asked", || node.received().len() == 1);
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-0/offline").0, 200);
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
-    fixture.until("its connection is closed", || node.disconnected() == 1);
+    fixture.wait_until("its connection is closed", || node.disconnected() == 1);
 }
 
 /// A proxy out of service loses no request: accepted ones are answered, connections close between
@@ -177,7 +182,7 @@
         StubAction::Reply(format!("VA 1 {}\r\nv\r\n", opaque(line)))
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let (mut busy, mut used) = (fixture.client(), fixture.client());
     let mut idle: Vec<Client> = (0..20).map(|_| fixture.client()).collect();
     for client in &mut idle {
@@ -185,7 +190,7 @@
     }
     assert_eq!(used.get("k", "1", 900).1, "v\r\n");
     busy.send("mg slow v O2 Pc=read,t=acme,d=2000\r\n");
-    fixture.until("the node is asked", || node.received().len() == 2);
+    fixture.wait_until("the node is asked", || node.received().len() == 2);
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200);
     let begun = Instant::now();
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200, "twice is once");
@@ -206,7 +211,7 @@
     );
     let closed = |idle: &[Client]| idle.iter().filter(|client| client.is_closed()).count();
     let early = closed(&idle);
-    fixture.until("idle connections close", || closed(&idle) == idle.len());
+    fixture.wait_until("idle connections close", || closed(&idle) == idle.len());
     assert!(early < idle.len(), "not all at once");
     assert!(begun.elapsed() < ms(4000));
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/in-service").0, 200);
@@ -214,7 +219,7 @@
     assert_eq!(back.request("mn\r\n"), "MN\r\n");
     assert_eq!((back.get("k", "4", 900).1, back.get("k", "5", 900).1), ("v\r\n".into(), "v\r\n".into()));
     fixture.signal("TERM");
-    assert!(fixture.end().status.success());
+    assert!(fixture.wait_for_exit().status.success());
 }
 
 /// Settings are applied completely or not at all, and open requests keep the earlier ones.
@@ -228,7 +233,7 @@
         }
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     let ask = |client: &mut Client, class: &str, id: &str| {
         client.request(&format!("mg k{id} v O{id} Pc={class},t=acme,d=900\r\n"))
@@ -236,7 +241,9 @@
     let reload = |from: &str, to: &str| {
         let seen = fixture.counter("reloads") + fixture.counter("reloads_failed");
         fixture.reload(from, to);
-        fixture.until("it is read", || fixture.counter("reloads") + fixture.counter("reloads_failed") > seen);
+        fixture.wait_until("it is read", || {
+            fixture.counter("reloads") + fixture.counter("reloads_failed") > seen
+        });
     };
     let class =
         r#"{"Name":"peek","Aim":300.0,"GiveUp":900.0,"Semantics":"safe","DedupScope":"all"},{"Name":"read""#;
@@ -274,7 +281,7 @@
     // An open request keeps its class and its deadline, though the class is removed.
     let mut slow = fixture.client();
     slow.send("mg slow v Oslow Pc=peek,t=acme,d=700\r\n");
-    fixture.until("the node is asked", || node.received().iter().any(|line| line.contains("slow")));
+    fixture.wait_until("the node is asked", || node.received().iter().any(|line| line.contains("slow")));
     reload(class, r#"{"Name":"read""#);
     assert_eq!(ask(&mut client, "peek", "z"), "CLIENT_ERROR unknown class\r\n");
     assert!(slow.read_line().starts_with("SERVER_ERROR "));
@@ -286,9 +293,9 @@
 fn the_example_configuration_is_accepted() {
     let example = include_str!("../../deploy/example.json");
     let own = example.replace("127.0.0.1:11211", "127.0.0.1:0").replace("127.0.0.1:9901", "127.0.0.1:0");
-    let mut child = start(&own);
+    let mut child = start_proxy(&own);
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
     assert!(lines.any(|line| line.contains("n0 listens on 127.0.0.1:")), "it starts");
     signal(&child, "TERM");
-    assert!(end(child).status.success());
+    assert!(wait_for_exit(child).status.success());
 }
--- a/tests/sockets/races/cancelled_requests.rs
+++ b/tests/sockets/races/cancelled_requests.rs
@@ -35,7 +35,7 @@
     for how in ["close", "close over unread answers", "half close", "reset", "quit"] {
         let (node, release) = holding_node();
         let origin = StubServer::origin(|_| StubAction::Ignore);
-        let fixture = ProxyFixture::with_all(
+        let fixture = ProxyFixture::with_config_changes(
             &[node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")],
             // No request expires before the client disconnects.
             &[(r#""Aim":400.0"#, r#""Aim":20000.0"#)],
@@ -49,8 +49,8 @@
         if how == "quit" {
             client.send("quit\r\n");
         }
-        fixture.until("its commands are accepted", || fixture.counter("taken_reads") == 64);
-        fixture.until("the node has all attempts that it may have", || {
+        fixture.wait_until("its commands are accepted", || fixture.counter("taken_reads") == 64);
+        fixture.wait_until("the node has all attempts that it may have", || {
             node.received().len() as u64 == fixture.counter("calls_ordered")
         });
         let before = node.received().len();
@@ -64,7 +64,7 @@
         if how != "half close" {
             drop((client, stream));
         }
-        fixture.until("it is noticed", || fixture.counter("consumers_gone") == 64);
+        fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 64);
         release.store(true, Ordering::SeqCst);
         sleep(FORWARDING_TIME);
         assert_eq!(node.received().len(), before, "{how}");
@@ -78,11 +78,11 @@
     let (node, release) = holding_node();
     let origin = StubServer::origin(|_| StubAction::Ignore);
     let entries = [node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")];
-    let fixture = ProxyFixture::with_all(&entries, &[(r#""Aim":400.0"#, r#""Aim":20000.0"#)]);
+    let fixture = ProxyFixture::with_config_changes(&entries, &[(r#""Aim":400.0"#, r#""Aim":20000.0"#)]);
     let mut client = fixture.client();
     client.send(&reads(0, 40));
-    fixture.until("its commands are accepted", || fixture.counter("taken_reads") == 40);
-    fixture.until("the node has all attempts that it may have", || {
+    fixture.wait_until("its commands are accepted", || fixture.counter("taken_reads") == 40);
+    fixture.wait_until("the node has all attempts that it may have", || {
         node.received().len() as u64 == fixture.counter("calls_ordered")
     });
     let before = node.received().len();
@@ -91,7 +91,7 @@
     // From then on a connection with open commands is read no more.
     sleep(ms(2000));
     drop(client);
-    fixture.until("it is noticed", || fixture.counter("consumers_gone") == 40);
+    fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 40);
     release.store(true, Ordering::SeqCst);
     sleep(FORWARDING_TIME);
     assert_eq!(node.received().len(), before);
@@ -102,13 +102,13 @@
 #[test]
 fn a_request_behind_malformed_input_is_not_sent_for_a_disconnected_client() {
     let (node, _) = holding_node();
-    let fixture = ProxyFixture::of(&[&node], &StubServer::origin(|_| StubAction::Ignore));
+    let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
     // 64 of these cost a pause of 20 ms: 900 ms in all.
     let malformed = "no such command\r\n".repeat(45 * 64);
     let mut client = fixture.client();
     client.send(&format!("{malformed}mg k v O1 Pc=read,t=acme,d=20000\r\n"));
     client.reader().get_ref().shutdown(Shutdown::Write).unwrap();
-    fixture.until("some of it is read", || fixture.counter("taken_malformed") > 0);
+    fixture.wait_until("some of it is read", || fixture.counter("taken_malformed") > 0);
     while !client.read_line().is_empty() {}
     // It is not executed, neither before the connection ended nor after.
     assert_eq!((node.received(), fixture.counter("taken_reads")), (Vec::new(), 0));
@@ -118,8 +118,8 @@
 /// an open connection nor on one that it has yet to accept.
 #[test]
 fn a_process_that_was_stopped_makes_no_attempt_for_clients_that_have_disconnected() {
-    let node = StubServer::full_node("v");
-    let fixture = ProxyFixture::of(&[&node], &StubServer::origin(|_| StubAction::Ignore));
+    let node = StubServer::hit_node("v");
+    let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
     let mut held = fixture.client();
     assert_eq!(held.get("k", "0", 900).1, "v\r\n");
     fixture.signal("STOP");
@@ -129,7 +129,7 @@
     drop((held, new));
     fixture.signal("CONT");
     let accepted = fixture.counter("consumers_accepted");
-    fixture.until("both are read", || fixture.counter("consumers_accepted") > accepted);
+    fixture.wait_until("both are read", || fixture.counter("consumers_accepted") > accepted);
     sleep(FORWARDING_TIME);
     assert_eq!(node.received().len(), 1, "only the earlier one");
 }
@@ -140,14 +140,14 @@
 fn waiting_misses_are_not_sent_for_disconnected_clients() {
     let release = Arc::new(AtomicBool::new(false));
     let is_released = Arc::clone(&release);
-    let node = StubServer::empty_node();
+    let node = StubServer::miss_node();
     let origin = StubServer::origin(move |_| {
         while !is_released.load(Ordering::SeqCst) {
             sleep(ms(2));
         }
         http_200("v")
     });
-    let fixture = ProxyFixture::with_all(
+    let fixture = ProxyFixture::with_config_changes(
         &[node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")],
         &[(r#""Aim":400.0"#, r#""Aim":20000.0"#)],
     );
@@ -156,10 +156,10 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&format!("mg k{} v O{n} Pc=read,t=acme,d=20000\r\n", n.min(10)));
     }
-    fixture.until("the origin has all attempts that it may have", || origin.received().len() == 8);
-    fixture.until("all are accepted", || fixture.counter("taken_reads") == 12);
+    fixture.wait_until("the origin has all attempts that it may have", || origin.received().len() == 8);
+    fixture.wait_until("all are accepted", || fixture.counter("taken_reads") == 12);
     drop(clients);
-    fixture.until("it is noticed", || fixture.counter("consumers_gone") == 12);
+    fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 12);
     release.store(true, Ordering::SeqCst);
     sleep(FORWARDING_TIME);
     assert_eq!(origin.received().len(), 8, "no fetch was made for the others");
--- a/tests/sockets/races/closes.rs
+++ b/tests/sockets/races/closes.rs
@@ -22,8 +22,8 @@
 #[test]
 fn a_command_that_crosses_the_end_of_its_connection_causes_no_reset_and_is_not_executed() {
     for how in ["sigterm", "sigterm over half a command", "out of service"] {
-        let node = StubServer::full_node("v");
-        let fixture = ProxyFixture::of(&[&node], &StubServer::origin(|_| StubAction::Ignore));
+        let node = StubServer::hit_node("v");
+        let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
         let mut client = fixture.client();
         assert_eq!(client.get("k", "1", 900).1, "v\r\n");
         if how == "sigterm over half a command" {
@@ -35,14 +35,14 @@
             }
             _ => fixture.signal("TERM"),
         }
-        fixture.until("the proxy ends it", || client.is_closed());
+        fixture.wait_until("the proxy ends it", || client.is_closed());
         assert!(!is_reset_by(&mut client, "mg k v O3 Pc=read,t=acme,d=900\r\n", 150), "{how}");
         assert_eq!(client.read_line(), "", "{how}: nothing is answered after the end");
         assert_eq!(node.received().len(), 1, "{how}: nothing that came after the end is taken");
         // Its descriptor is released all the same.
         assert!(is_reset_by(&mut client, "\r\n", 2000), "{how}");
         if how != "out of service" {
-            let output = fixture.end();
+            let output = fixture.wait_for_exit();
             assert!(output.status.success(), "{how}: {:?}", output.status);
         }
     }
@@ -57,7 +57,7 @@
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=900\r\n");
     let mut asked = node.accept().expect("it is sent");
-    let command = asked.request(false).expect("a complete request");
+    let command = asked.read_request(false).expect("a complete request");
     let begun = Instant::now();
     for name in ["TERM", "HUP", "TERM", "USR1"] {
         fixture.signal(name);
@@ -65,7 +65,7 @@
     assert!(asked.send(&value(&command, "v")));
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
     drop((client, asked));
-    let output = fixture.end();
+    let output = fixture.wait_for_exit();
     assert!(output.status.success(), "{:?}", output.status);
     // The longest wait is 1 s, and the kill comes 0.7 s after that.
     assert!(begun.elapsed() < ms(1700), "{:?}", begun.elapsed());
@@ -125,8 +125,8 @@
 /// cross the end of their connection.
 #[test]
 fn a_draining_proxy_under_load_with_half_of_the_nodes_hanging_answers_all_requests() {
-    let (node, hangs) = (StubServer::full_node("v"), StubServer::node(|_| StubAction::Ignore));
-    let fixture = ProxyFixture::of(&[&node, &hangs], &StubServer::origin(|_| StubAction::Ignore));
+    let (node, hangs) = (StubServer::hit_node("v"), StubServer::node(|_| StubAction::Ignore));
+    let fixture = ProxyFixture::with_backends(&[&node, &hangs], &StubServer::origin(|_| StubAction::Ignore));
     let begun = Instant::now();
     let clients: Vec<_> = (0..40)
         .map(|name| {
@@ -143,5 +143,5 @@
     assert_eq!(sum(|s| s.unanswered), 0, "of {asked}");
     // Each connection ends once.
     assert!(sum(|s| s.crossed) <= 40 && answered + sum(|s| s.crossed) == asked, "{seen:?}");
-    assert!(fixture.end().status.success());
+    assert!(fixture.wait_for_exit().status.success());
 }
--- a/tests/sockets/races/kept.rs
+++ b/tests/sockets/races/kept.rs
@@ -8,14 +8,14 @@
 /// second time on a connection that has the next request already.
 #[test]
 fn a_second_answer_without_an_id_does_not_answer_the_next_request() {
-    let node = StubServer::empty_node();
+    let node = StubServer::miss_node();
     let origin = AcceptBarrier::new();
     let fixture =
         ProxyFixture::new(&[node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready", 0)]);
     let mut client = fixture.client();
     client.send("mg a v O1 Pc=read,t=acme,d=5000\r\n");
     let mut first = origin.accept().expect("the fetch is sent");
-    assert!(first.request(true).expect("a complete request").starts_with("GET /a "));
+    assert!(first.read_request(true).expect("a complete request").starts_with("GET /a "));
     let response = |value: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{value}");
     assert!(first.send(&response("a")));
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "a\r\n".into()));
@@ -24,7 +24,7 @@
     let mut second = origin.accept_within(ms(1000));
     first.send(&response("a"));
     let asked = second.as_mut().unwrap_or(&mut first);
-    assert!(asked.request(true).expect("a complete request").starts_with("GET /b "));
+    assert!(asked.read_request(true).expect("a complete request").starts_with("GET /b "));
     asked.send(&response("b"));
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O2\r\n".into(), "b\r\n".into()));
 }
@@ -38,13 +38,13 @@
     let mut client = fixture.client();
     client.send("mg a v O1 Pc=confirm,t=acme,d=5000\r\n");
     let mut first = node.accept().expect("it is sent");
-    assert!(first.request(false).is_some());
+    assert!(first.read_request(false).is_some());
     assert!(first.send("SERVER_ERROR busy\r\n"));
     // After the rejection the retry may use any connection.
     let mut second = node.accept_within(ms(1000));
     first.send("SERVER_ERROR busy\r\n");
     let asked = second.as_mut().unwrap_or(&mut first);
-    let command = asked.request(false).expect("it is tried again");
+    let command = asked.read_request(false).expect("it is tried again");
     asked.send(&value(&command, "v"));
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
 }
@@ -54,7 +54,7 @@
 #[test]
 fn a_response_without_a_length_is_complete_only_at_an_orderly_end() {
     for resets in [false, true] {
-        let node = StubServer::empty_node();
+        let node = StubServer::miss_node();
         let origin = AcceptBarrier::new();
         let fixture =
             ProxyFixture::new(&[node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready", 0)]);
@@ -63,7 +63,7 @@
         // For each attempt.
         for _ in 0..3 {
             let Some(mut asked) = origin.accept_within(ms(500)) else { break };
-            asked.request(true).expect("a complete request");
+            asked.read_request(true).expect("a complete request");
             asked.send("HTTP/1.1 200 OK\r\nX-Txn: 1\r\n\r\nall");
             if resets {
                 asked.reset();
@@ -93,13 +93,13 @@
         StubAction::Reply(value(line, "v"))
     });
     let fixture = ProxyFixture::new(&[node.entry("s-0", "c6", "ready")]);
-    let (_, updates) = fixture.discovery.watch();
+    let (_, updates) = fixture.discovery.next_watch();
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=5000\r\n");
-    fixture.until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node is asked", || node.received().len() == 1);
     let anew = node.entry("s-0", "c6", "ready").replace(r#""startedAtMs":0"#, r#""startedAtMs":1000"#);
-    updates.send(catalog(2, false, &[anew])).unwrap();
-    fixture.until("the list has arrived", || fixture.counter("lists") == 1);
+    updates.send(endpoint_list_json(2, false, &[anew])).unwrap();
+    fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
     release.store(true, Ordering::SeqCst);
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
     assert_eq!(client.get("k", "2", 900).1, "v\r\n");
--- a/tests/sockets/races/late.rs
+++ b/tests/sockets/races/late.rs
@@ -15,15 +15,15 @@
     let mut origin = AcceptBarrier::new();
     let window = (r#""RepeatWindow":5000.0"#, r#""RepeatWindow":700.0"#);
     let entries = [origin.entry("o", "origin", "ready", 0)];
-    let fixture = ProxyFixture::with_all(&entries, &[SLOW_CONNECT, window]);
+    let fixture = ProxyFixture::with_config_changes(&entries, &[SLOW_CONNECT, window]);
     let mut client = fixture.client();
     client.send("ms k 5 O1 Pc=put,t=acme,d=4000,k=1\r\nhello\r\n");
     let mut first = origin.accept().expect("the write is sent");
-    assert!(first.request(true).expect("a complete request").starts_with("PUT /k "));
+    assert!(first.read_request(true).expect("a complete request").starts_with("PUT /k "));
     let begun = Instant::now();
     origin.close();
     drop(first);
-    fixture.until("it is tried again", || fixture.counter("calls_ordered") == 2);
+    fixture.wait_until("it is tried again", || fixture.counter("calls_ordered") == 2);
     assert!(client.read_line().starts_with("SERVER_ERROR "), "it cannot be served any more");
     assert!(begun.elapsed() < ms(2000), "rejected when its window is over: {:?}", begun.elapsed());
     origin.open();
@@ -41,12 +41,13 @@
         node.close();
         let origin = StubServer::origin(|_| StubAction::Ignore);
         let entries = [node.entry("s-0", "c6", "ready", 0), origin.entry("o", "origin", "ready")];
-        let fixture = ProxyFixture::with_all(&entries, &[SLOW_CONNECT]);
-        let (_, updates) = fixture.discovery.watch();
+        let fixture = ProxyFixture::with_config_changes(&entries, &[SLOW_CONNECT]);
+        let (_, updates) = fixture.discovery.next_watch();
         let mut client = fixture.client();
         client.send("mg k v O1 Pc=read,t=acme,d=5000\r\n");
-        fixture.until("the attempt is decided", || fixture.counter("calls_ordered") == 1);
-        let change = |lifecycle, started| catalog(2, false, &[node.entry("s-0", "c6", lifecycle, started)]);
+        fixture.wait_until("the attempt is decided", || fixture.counter("calls_ordered") == 1);
+        let change =
+            |lifecycle, started| endpoint_list_json(2, false, &[node.entry("s-0", "c6", lifecycle, started)]);
         let list = match happens {
             "drains" => Some(change("draining", 0)),
             "starts anew" => Some(change("ready", 1_000_000)),
@@ -55,16 +56,16 @@
         match list {
             Some(list) => {
                 updates.send(list).unwrap();
-                fixture.until("the list has arrived", || fixture.counter("lists") == 1);
+                fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
             }
             None => {
                 drop(client);
-                fixture.until("it is noticed", || fixture.counter("consumers_gone") == 1);
+                fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 1);
             }
         }
         node.open();
         let mut late = node.accept_within(CONNECT_AFTER_OPEN).expect("the connection comes up");
         assert_eq!(late.read_all_within(ms(300)).0, b"", "{happens}");
-        fixture.until("the attempt has ended", || fixture.counter("calls_moot") >= 1);
+        fixture.wait_until("the attempt has ended", || fixture.counter("calls_moot") >= 1);
     }
 }
--- a/tests/sockets/races/lists.rs
+++ b/tests/sockets/races/lists.rs
@@ -13,12 +13,12 @@
 
 /// A proxy whose discovery is controlled by the test, and its first watch there.
 fn moved() -> (ProxyFixture, AcceptBarrier, AcceptedConnection, StubServer) {
-    let node = StubServer::full_node("v");
-    let fixture = ProxyFixture::of(&[&node], &StubServer::origin(|_| StubAction::Ignore));
+    let node = StubServer::hit_node("v");
+    let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
     let discovery = AcceptBarrier::new();
     fixture.reload(&fixture.discovery.address.to_string(), &discovery.address.to_string());
     let mut call = discovery.accept().expect("the watch moves");
-    assert!(call.request(true).is_some());
+    assert!(call.read_request(true).is_some());
     (fixture, discovery, call, node)
 }
 
@@ -31,7 +31,7 @@
         assert!(watch.send(HEAD) && watch.send(&chunk("")));
         let silent_since = Instant::now();
         let mut call = discovery.accept().expect("a silent watch is dead");
-        assert!(call.request(true).is_some());
+        assert!(call.read_request(true).is_some());
         match next {
             "is refused" => {
                 let _ = call.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
@@ -44,11 +44,12 @@
         }
         let held = (next != "ends").then_some(call);
         let mut call = discovery.accept().expect("discovery is polled again");
-        assert!(call.request(true).is_some());
+        assert!(call.read_request(true).is_some());
         assert!(
-            call.send(HEAD) && call.send(&chunk(&catalog(2, false, &[node.entry("s-0", "c6", "draining")])))
+            call.send(HEAD)
+                && call.send(&chunk(&endpoint_list_json(2, false, &[node.entry("s-0", "c6", "draining")])))
         );
-        fixture.until("the list has arrived", || fixture.counter("lists") == 1);
+        fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
         assert!(silent_since.elapsed() < CHANGE_KNOWN_WITHIN, "{next}: {:?}", silent_since.elapsed());
         let line = fixture.client().get("k", "1", 300).0;
         assert!(line.starts_with("SERVER_ERROR busy"), "the only node drains: {line}");
@@ -67,7 +68,7 @@
         call.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         begun.push(Instant::now());
         call = discovery.accept().expect("discovery is polled again");
-        assert!(call.request(true).is_some());
+        assert!(call.read_request(true).is_some());
     }
     let gaps: Vec<Duration> = begun.windows(2).map(|pair| pair[1] - pair[0]).collect();
     // Changes at a new address must be known 4 s after SIGHUP.
@@ -81,16 +82,16 @@
 /// often that has failed.
 #[test]
 fn a_discovery_that_is_back_is_polled_at_once() {
-    let node = StubServer::full_node("v");
+    let node = StubServer::hit_node("v");
     let entries = [node.entry("s-0", "c6", "ready")];
-    let fixture = ProxyFixture::with(&entries, r#""Discovery":"ask""#, r#""Discovery":"push""#);
+    let fixture = ProxyFixture::with_config_change(&entries, r#""Discovery":"ask""#, r#""Discovery":"push""#);
     let agent = AcceptBarrier::new();
     fixture.reload(&fixture.discovery.address.to_string(), &agent.address.to_string());
     let mut last = Instant::now();
     for number in 0..8 {
         let mut call = agent.accept().expect("it is polled again");
         assert!(number == 0 || last.elapsed() < ms(900), "call {number}: {:?}", last.elapsed());
-        assert!(call.request(true).is_some());
+        assert!(call.read_request(true).is_some());
         last = Instant::now();
     }
 }
@@ -98,17 +99,17 @@
 /// A watch moves on although the connection to the old address is never established.
 #[test]
 fn a_move_does_not_wait_for_a_connection_to_the_old_address() {
-    let node = StubServer::full_node("v");
-    let fixture = ProxyFixture::of(&[&node], &StubServer::origin(|_| StubAction::Ignore));
+    let node = StubServer::hit_node("v");
+    let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
     let (mut old, new) = (AcceptBarrier::new(), AcceptBarrier::new());
     old.close();
     let addresses = [fixture.discovery.address, old.address, new.address].map(|address| address.to_string());
     fixture.reload(&addresses[0], &addresses[1]);
-    fixture.until("it has moved", || fixture.counter("watches") == 2);
+    fixture.wait_until("it has moved", || fixture.counter("watches") == 2);
     let begun = Instant::now();
     fixture.reload(&addresses[1], &addresses[2]);
     let mut call = new.accept().expect("it moves on");
-    assert!(call.request(true).is_some());
+    assert!(call.read_request(true).is_some());
     // Changes at the new address must be known 4 s after SIGHUP; a poll may take 1.4 s of that.
     assert!(begun.elapsed() < ms(2000), "{:?}", begun.elapsed());
 }
@@ -117,19 +118,19 @@
 /// succeeds.
 #[test]
 fn a_list_that_arrives_with_the_end_of_its_watch_is_applied() {
-    let node = StubServer::full_node("v");
+    let node = StubServer::hit_node("v");
     let fixture = ProxyFixture::new(&[node.entry("s-0", "c6", "ready")]);
     let mut discovery = AcceptBarrier::new();
     fixture.reload(&fixture.discovery.address.to_string(), &discovery.address.to_string());
     let mut watch = discovery.accept().expect("the watch moves");
-    assert!(watch.request(true).is_some());
-    let list = catalog(2, false, &[node.entry("s-0", "c6", "draining")]);
+    assert!(watch.read_request(true).is_some());
+    let list = endpoint_list_json(2, false, &[node.entry("s-0", "c6", "draining")]);
     let chunk = format!("{:x}\r\n{list}\r\n", list.len());
     discovery.close();
     watch.send(&format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}0\r\n\r\n"));
     drop(watch);
 
-    fixture.until("the list has arrived", || fixture.counter("lists") == 1);
+    fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
     assert!(fixture.client().get("k", "1", 900).0.starts_with("SERVER_ERROR "), "the node drains");
     assert_eq!(node.received().len(), 0);
 }
--- a/tests/sockets/requests.rs
+++ b/tests/sockets/requests.rs
@@ -8,8 +8,8 @@
 
 #[test]
 fn a_read_returns_the_value_of_the_node_unchanged() {
-    let (node, origin) = (StubServer::full_node("hello"), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("hello"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let (line, value) = fixture.client().get("7f3a", "9b1f", 480);
     assert_eq!((line.as_str(), value.as_str()), ("VA 5 O9b1f\r\n", "hello\r\n"));
     let received = node.received();
@@ -23,8 +23,8 @@
 
 #[test]
 fn a_miss_and_a_write_go_to_the_origin() {
-    let (node, origin) = (StubServer::empty_node(), origin_with_body("r7"));
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::miss_node(), origin_with_body("r7"));
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     assert_eq!(client.get("a/b", "1", 900), ("VA 2 O1\r\n".into(), "r7\r\n".into()));
     assert_eq!(client.request("ms w 5 O2 Pc=put,t=acme,d=900,k=5c\r\nhello\r\n"), "HD O2 cr7\r\n");
@@ -43,7 +43,7 @@
         0 => StubAction::Reply(turned.into()),
         _ => http_200("r1"),
     });
-    let fixture = ProxyFixture::of(&[], &origin);
+    let fixture = ProxyFixture::with_backends(&[], &origin);
     assert_eq!(fixture.client().request("ms w 1 O2 Pc=put,t=acme,d=900,k=5c\r\nx\r\n"), "HD O2 cr1\r\n");
     assert_eq!((fixture.counter("calls_full"), fixture.counter("calls_ok")), (1, 1));
 }
@@ -51,9 +51,9 @@
 /// An attempt that never connected never ran, so that even a retry is safe.
 #[test]
 fn a_read_goes_to_another_node_if_one_refuses_connections() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
     let nowhere = StubServer::unreachable();
-    let fixture = ProxyFixture::of(&[&nowhere, &node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&nowhere, &node], &origin);
     let mut client = fixture.client();
     for n in 0..20 {
         assert_eq!(client.get(&format!("k{n}"), &n.to_string(), 900).1, "v\r\n");
@@ -65,12 +65,12 @@
 #[test]
 fn a_silent_node_leads_to_a_rejection_in_time_and_loses_its_connection() {
     let (node, origin) = (StubServer::node(|_| StubAction::Ignore), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let begun = Instant::now();
     let (line, _) = fixture.client().get("k", "1", 300);
     assert!(begun.elapsed() < ms(600), "at its own deadline, not its class's: {:?}", begun.elapsed());
     assert_eq!(line, "SERVER_ERROR busy 500\r\n", "with a Retry-After");
-    fixture.until("the attempt is cancelled", || node.disconnected() == 1);
+    fixture.wait_until("the attempt is cancelled", || node.disconnected() == 1);
     assert_eq!((fixture.counter("calls_timeout"), node.received().len()), (1, 1));
 }
 
@@ -84,13 +84,13 @@
 #[test]
 fn a_client_that_disconnects_gets_no_response() {
     let (node, origin) = (StubServer::node(|_| StubAction::Ignore), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=400\r\n");
-    fixture.until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node is asked", || node.received().len() == 1);
     drop(client);
-    fixture.until("it is noticed", || fixture.counter("consumers_gone") == 1);
-    fixture.until("the attempt ends all the same", || fixture.counter("calls_timeout") == 1);
+    fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 1);
+    fixture.wait_until("the attempt ends all the same", || fixture.counter("calls_timeout") == 1);
     assert_eq!(fixture.counter("answered_failed") + fixture.counter("answered_rejected"), 0);
 }
 
@@ -106,17 +106,17 @@
         }
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     for n in 0..20 {
         assert_eq!(client.get("k", &n.to_string(), 900).1, "v\r\n");
     }
     assert_eq!((node.connected(), fixture.counter("provider_connections")), (1, 1));
     assert!(client.get("bye", "20", 300).0.starts_with("SERVER_ERROR "), "reset, as often as it was tried");
-    fixture.until("the rest are broken", || node.disconnected() == node.connected());
+    fixture.wait_until("the rest are broken", || node.disconnected() == node.connected());
     let resets = fixture.counter("calls_reset");
     // The node is an outlier for about a second.
-    fixture.until("it is tried again", || fixture.client().get("k", "21", 900).1 == "v\r\n");
+    fixture.wait_until("it is tried again", || fixture.client().get("k", "21", 900).1 == "v\r\n");
     assert_eq!(fixture.counter("calls_reset"), resets, "no attempt used a broken connection");
     // The settings allow connections to be idle for 1.5 s.
     let until = Instant::now() + ms(1400 + 1000);
@@ -130,7 +130,7 @@
 /// the last two nodes hash to the same id.
 #[test]
 fn two_proxies_choose_the_same_node_for_a_key() {
-    let nodes = [StubServer::full_node("0"), StubServer::full_node("1"), StubServer::full_node("2")];
+    let nodes = [StubServer::hit_node("0"), StubServer::hit_node("1"), StubServer::hit_node("2")];
     let names = ["node", "s-5be2a07c", "t-5be2a07c"];
     let entries: Vec<String> =
         nodes.iter().zip(names).map(|(node, name)| node.entry(name, "c6", "ready")).collect();
@@ -147,8 +147,8 @@
 /// A timer that outlived its request would hold a stack until the deadline.
 #[test]
 fn an_answered_request_leaves_no_timer_behind() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     let mut ask = |from: u32| {
         for n in from..from + 1000 {
@@ -167,15 +167,15 @@
 /// A connection to a removed node is not used for a new node at its address.
 #[test]
 fn a_new_node_at_an_old_address_gets_new_connections() {
-    let node = StubServer::full_node("v");
+    let node = StubServer::hit_node("v");
     let fixture = ProxyFixture::new(&[node.entry("s-0", "c6", "ready")]);
-    let (_, updates) = fixture.discovery.watch();
+    let (_, updates) = fixture.discovery.next_watch();
     let mut client = fixture.client();
     assert_eq!(client.get("k", "1", 900).1, "v\r\n");
     let change = [node.entry("s-0", "c6", "gone"), node.entry("s-1", "c6", "ready")];
-    updates.send(catalog(2, false, &change)).unwrap();
-    fixture.until("the change is known", || fixture.counter("lists") == 1);
-    fixture.until("the old connection ends", || node.disconnected() == 1);
+    updates.send(endpoint_list_json(2, false, &change)).unwrap();
+    fixture.wait_until("the change is known", || fixture.counter("lists") == 1);
+    fixture.wait_until("the old connection ends", || node.disconnected() == 1);
     assert_eq!(client.get("k", "2", 900).1, "v\r\n");
     assert_eq!(node.connected(), 2);
 }
@@ -185,7 +185,7 @@
 #[test]
 fn requests_with_many_deadlines_are_all_answered() {
     let (node, origin) = (StubServer::node(|_| StubAction::Ignore), idle_origin());
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     for round in 0..2 {
         let mut clients: Vec<(Client, usize)> = (0..48).map(|number| (fixture.client(), number)).collect();
         for (client, number) in &mut clients {
--- a/tests/sockets/settings.rs
+++ b/tests/sockets/settings.rs
@@ -6,10 +6,10 @@
 
 /// Serves a read and a write by settings with these texts replaced.
 fn serves(changes: &[(&str, &str)], read: &str, write: &str, tenant: &str) {
-    let node = StubServer::full_node("v");
+    let node = StubServer::hit_node("v");
     let origin = StubServer::origin(|_| http_200("r1"));
     let entries = [node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")];
-    let fixture = ProxyFixture::with_all(&entries, changes);
+    let fixture = ProxyFixture::with_config_changes(&entries, changes);
     let mut client = fixture.client();
     let line = client.request(&format!("mg k v O1 Pc={read}{tenant},d=900\r\n"));
     assert_eq!((line.as_str(), client.read_line().as_str()), ("VA 1 O1\r\n", "v\r\n"), "{changes:?}");
@@ -69,7 +69,7 @@
 #[test]
 fn a_deadline_of_a_few_milliseconds_is_kept() {
     let node = StubServer::node(|_| StubAction::Ignore);
-    let fixture = ProxyFixture::of(&[&node], &StubServer::origin(|_| StubAction::Ignore));
+    let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
     for (n, d) in [0, 1, 5, 30, 150].into_iter().enumerate() {
         let begun = Instant::now();
         let line = fixture.client().request(&format!("mg k v O{n} Pc=read,t=acme,d={d}\r\n"));
--- a/tests/sockets/shutdown.rs
+++ b/tests/sockets/shutdown.rs
@@ -12,11 +12,11 @@
         StubAction::Reply(format!("VA 4 {}\r\nlate\r\n", opaque(line)))
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let (mut before, mut idle) = (fixture.client(), fixture.client());
     assert_eq!(idle.request("mn\r\n"), "MN\r\n");
     before.send("mg k v O1 Pc=read,t=acme,d=2000\r\n");
-    fixture.until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node is asked", || node.received().len() == 1);
     fixture.signal("TERM");
     sleep(ms(100));
     let mut after = fixture.client();
@@ -24,7 +24,7 @@
     assert_eq!((before.read_line(), before.read_line()), ("VA 4 O1\r\n".into(), "late\r\n".into()));
     assert_eq!((after.read_line(), after.read_line()), ("VA 4 O2\r\n".into(), "late\r\n".into()));
     assert_eq!([before.read_line(), after.read_line(), idle.read_line()], [""; 3], "closed between commands");
-    let output = fixture.end();
+    let output = fixture.wait_for_exit();
     assert!(output.status.success());
     let output_text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
@@ -44,7 +44,7 @@
         }
     });
     let origin = idle_origin();
-    let fixture = ProxyFixture::of(&[&node], &origin);
+    let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let (mut kept, mut slow) = (fixture.client(), fixture.client());
     assert_eq!((kept.request("mn\r\n"), slow.request("mn\r\n")), ("MN\r\n".into(), "MN\r\n".into()));
     fixture.signal("TERM");
@@ -57,6 +57,6 @@
     slow.send("mg slow v O2 Pc=read,t=acme,d=1000\r\n");
     assert!(slow.read_line().starts_with("SERVER_ERROR "));
     assert_eq!((kept.read_line(), slow.read_line()), (String::new(), String::new()));
-    let output = fixture.end();
+    let output = fixture.wait_for_exit();
     assert!(output.status.success() && begun.elapsed() < ms(3000), "{:?}", begun.elapsed());
 }
