--- a/tests/sockets/starts.rs
+++ b/tests/sockets/starts.rs
@@ -11,7 +11,7 @@
 /// A start does not wait for discovery, which refuses connections, does not accept them, or hangs.
 #[test]
 fn processes_started_together_are_ready_without_discovery() {
-    let node = StubServer::full_node("v");
+    let node = StubServer::hit_node("v");
     let (mut shut, hangs) = (AcceptBarrier::new(), TcpListener::bind("127.0.0.1:0").unwrap());
     shut.close();
     let addresses =
@@ -21,8 +21,8 @@
     let processes: Vec<_> = (0..12)
         .map(|n| {
             let listen = format!("127.0.0.1:{}", free_port());
-            let text = config(&listen, &addresses[n % 3], 256, &catalog(1, true, &entries));
-            (start(&text), listen.parse().unwrap())
+            let text = config(&listen, &addresses[n % 3], 256, &endpoint_list_json(1, true, &entries));
+            (start_proxy(&text), listen.parse().unwrap())
         })
         .collect();
     for (_, address) in &processes {
@@ -37,7 +37,7 @@
     for (child, address) in processes {
         assert_eq!(Client::connect(address).get("k", "1", 900).1, "v\r\n");
         signal(&child, "TERM");
-        assert!(end(child).status.success());
+        assert!(wait_for_exit(child).status.success());
     }
 }
 
@@ -50,12 +50,12 @@
 /// while discovery is down, with more connections than there are descriptors.
 #[test]
 fn idle_clients_do_not_keep_the_watch_from_coming_back() {
-    let node = StubServer::full_node("v");
+    let node = StubServer::hit_node("v");
     let entries = [node.entry("s-0", "c6", "ready"), node.entry("o", "origin", "ready")];
     let fixture = ProxyFixture::with_sockets(&entries, 64);
     let down = format!("127.0.0.1:{}", free_port());
     fixture.reload(&fixture.discovery.address.to_string(), &down);
-    fixture.until("the watch is lost", || fixture.counter("watches_failed") > 0);
+    fixture.wait_until("the watch is lost", || fixture.counter("watches_failed") > 0);
     let mut first = fixture.client();
     assert_eq!(first.get("k", "1", 900).1, "v\r\n");
     // The connections beyond the descriptors wait to be accepted.
@@ -85,7 +85,8 @@
         )
     };
     let origin = || node("o", "ready", "1.0", "0").replace("c6", "origin");
-    let known = |entries: &[String]| config("127.0.0.1:0", "127.0.0.1:1", 256, &catalog(1, true, entries));
+    let known =
+        |entries: &[String]| config("127.0.0.1:0", "127.0.0.1:1", 256, &endpoint_list_json(1, true, entries));
     let bad = [
         ("{".to_owned(), "EOF"),
         (good.replace(r#""listen":"127.0.0.1:0""#, r#""listen":"here""#), "listen"),
@@ -121,7 +122,7 @@
         (known(&[r#"{"instanceId":"s-0","lifecycle":"ready"}"#.to_owned()]), "hostPort"),
     ];
     for (text, names) in bad {
-        let output = end(start(&text));
+        let output = wait_for_exit(start_proxy(&text));
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!((output.status.code(), log.lines().count()), (Some(2), 1), "{log}");
         assert!(log.starts_with("pinetrail: cannot start: ") && log.contains(names), "{log}");
--- a/tests/sockets/upgrades.rs
+++ b/tests/sockets/upgrades.rs
@@ -62,8 +62,8 @@
 /// No command is lost or executed twice in a hot restart, and nodes stay in maintenance.
 #[test]
 fn three_hot_restarts_lose_no_request_and_keep_maintenance() {
-    let (node, out, origin) = (StubServer::full_node("v"), StubServer::full_node("out"), idle_origin());
-    let mut fixture = ProxyFixture::of(&[&node, &out], &origin);
+    let (node, out, origin) = (StubServer::hit_node("v"), StubServer::hit_node("out"), idle_origin());
+    let mut fixture = ProxyFixture::with_backends(&[&node, &out], &origin);
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-1/offline").0, 200);
     let load = Load::on(&fixture, 8);
     for _ in 0..3 {
@@ -79,7 +79,7 @@
         sleep(ms(100));
         let first = fixture.replace_process(second);
         signal(&first, "TERM");
-        assert!(end(first).status.success());
+        assert!(wait_for_exit(first).status.success());
         sleep(ms(100));
     }
     let asked = load.end();
@@ -99,13 +99,13 @@
 /// No client waits for a second process that dies, and the next hot restart succeeds.
 #[test]
 fn a_second_process_that_fails_leaves_the_first_one_unchanged() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let mut fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let mut fixture = ProxyFixture::with_backends(&[&node], &origin);
     let taken = format!(r#""admin":"{}""#, fixture.admin_address);
     for (from, to, names) in
         [(r#""admin":"127.0.0.1:0""#, taken.as_str(), "endpoint:"), (r#""Grades""#, r#""Grates""#, "Grades")]
     {
-        let output = end(fixture.start_second_process_with(from, to));
+        let output = wait_for_exit(fixture.start_second_process_with(from, to));
         assert_eq!(output.status.code(), Some(2));
         assert!(String::from_utf8_lossy(&output.stderr).contains(names));
         assert_eq!(fixture.client().get("k", names, 900).1, "v\r\n");
@@ -118,11 +118,11 @@
         assert_eq!(fixture.client().get("k", &wait.to_string(), 900).1, "v\r\n");
     }
     let (second, _) = fixture.start_second_process();
-    let third = end(fixture.start_second_process_with("n0", "n0"));
+    let third = wait_for_exit(fixture.start_second_process_with("n0", "n0"));
     assert_eq!(third.status.code(), Some(2), "one upgrade at a time");
     assert!(String::from_utf8_lossy(&third.stderr).contains("refuses"));
     kill(second);
-    fixture.until("the old one accepts again", || fixture.client().get("k", "a", 900).1 == "v\r\n");
+    fixture.wait_until("the old one accepts again", || fixture.client().get("k", "a", 900).1 == "v\r\n");
     let second = fixture.start_second_process();
     let first = fixture.replace_process(second);
     kill(first);
@@ -130,15 +130,15 @@
     let second = fixture.start_second_process();
     let first = fixture.replace_process(second);
     signal(&first, "TERM");
-    assert!(end(first).status.success());
+    assert!(wait_for_exit(first).status.success());
     assert_eq!(fixture.client().get("k", "c", 900).1, "v\r\n");
 }
 
 /// Both processes go out of service together, and a later process is in service again.
 #[test]
 fn going_out_of_service_applies_to_both_processes_and_is_not_inherited() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let mut fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let mut fixture = ProxyFixture::with_backends(&[&node], &origin);
     let second = fixture.start_second_process();
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200);
     assert!(fixture.client().request("mn\r\n").starts_with("SERVER_ERROR "));
@@ -155,8 +155,8 @@
 /// files there.
 #[test]
 fn a_hot_restart_needs_no_short_path_and_no_clean_folder() {
-    let (node, origin) = (StubServer::full_node("v"), idle_origin());
-    let mut fixture = ProxyFixture::of(&[&node], &origin);
+    let (node, origin) = (StubServer::hit_node("v"), idle_origin());
+    let mut fixture = ProxyFixture::with_backends(&[&node], &origin);
     fixture.use_long_temp_dir();
     // A killed process leaves its socket file behind.
     for _ in 0..2 {
@@ -165,7 +165,7 @@
     let second = fixture.start_second_process();
     let first = fixture.replace_process(second);
     signal(&first, "TERM");
-    assert!(end(first).status.success());
+    assert!(wait_for_exit(first).status.success());
     assert_eq!(fixture.client().get("k", "1", 900).1, "v\r\n");
 }
 
@@ -180,7 +180,7 @@
             StubAction::Reply(format!("VA 1 {}\r\nv\r\n", opaque(line)))
         }
     });
-    let fixture = ProxyFixture::of(&[&node], &idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&node], &idle_origin());
     for round in 0..4 {
         let (newer, _) = fixture.start_second_process();
         // Some of these are the newer process's, which lives until they have their responses.
@@ -194,7 +194,7 @@
             assert_eq!(fixture.client().get("k", &format!("{round}.{n}"), 900).1, "v\r\n");
         }
         let responses: Vec<String> = waiting.iter_mut().map(Client::read_line).collect();
-        let status = end(newer).status;
+        let status = wait_for_exit(newer).status;
         assert!(status.success(), "round {round}: {status}, {responses:?}");
         assert!(responses.iter().all(|line| line.starts_with("SERVER_ERROR ")), "{responses:?}");
     }
