--- a/crates/policy-consensus/src/acceptor.rs
+++ b/crates/policy-consensus/src/acceptor.rs
@@ -1,93 +1,94 @@
-//! The acceptor of one voter: a register that is compared and set, after CASPaxos (Rystsov, 2018).
-//! Read [`Acceptor`] first.
+//! The acceptor of one voter: a compare-and-set register, after CASPaxos (Rystsov, 2018). Read
+//! [`Acceptor`] first.
 //!
-//! There is no log and no stable leader: each step is one round of promises and one of votes by a
-//! majority of the voters. Each decision comes with the state that must be durable before the reply
-//! is sent. No function here waits.
+//! There is no log and no stable leader: each step takes one round of promises and one round of
+//! votes by a majority of the voters. Each decision comes with the state that must be durable
+//! before the reply is sent. No function here waits.
 
 use crate::{Ballot, BlockingLease, ReplicatedState, VoterId, VoterSet};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Identifies the storage of a voter. A voter that lost its disk gets a new one.
+/// The identity of a voter's storage. A voter that lost its disk gets a new one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorageId(pub u64);
 
-/// The state that a voter accepted last, and its ballot.
+/// The state that a voter accepted last, with its ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedState {
-    /// The ballot.
+    /// The ballot in which the state was accepted.
     pub ballot: Ballot,
-    /// The state.
+    /// The accepted state.
     pub state: ReplicatedState,
 }
 
 /// Whether an acceptor takes part in ballots.
 ///
-/// In messages and state files it is one byte, 0 or 1.
+/// Messages and state files encode the status as one byte, 0 or 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VotingStatus {
-    /// It does not: its storage is new, and too few other voters have registered it.
+    /// The acceptor takes no part in ballots: its storage is new, and too few other voters have
+    /// registered that storage.
     #[default]
     Recovering,
-    /// It promises and accepts.
+    /// The acceptor promises and accepts.
     Voting,
 }
 
-/// The state of a voter that its disk keeps.
+/// The state of a voter that is kept on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurableState {
-    /// The identity of this storage.
+    /// The identity of the storage that keeps this state.
     pub storage_id: StorageId,
-    /// Whether this voter takes part in ballots.
+    /// Whether the voter takes part in ballots.
     pub voting: VotingStatus,
-    /// Earlier ballots get no promise and no vote.
+    /// The highest ballot promised. Earlier ballots get no promise and no vote.
     pub promised: Ballot,
-    /// The state that it accepted last.
+    /// The state that the voter accepted last.
     pub accepted: Option<AcceptedState>,
-    /// The storages of the voters that registered here, and its own.
+    /// The storages of the voters that registered with this voter, including its own.
     pub storage_ids: BTreeMap<VoterId, StorageId>,
 }
 
-/// The reply of a voter to a message of a ballot.
+/// The reply of a voter to a ballot message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcceptorReply {
-    /// It promises to take part in no earlier ballot.
+    /// The voter promises to take part in no earlier ballot.
     Promised {
-        /// The state that it accepted last.
+        /// The state that the voter accepted last.
         accepted: Option<AcceptedState>,
         /// The storage that keeps this promise.
         storage_id: StorageId,
     },
-    /// It accepted the state.
+    /// The voter accepted the state.
     Accepted,
-    /// It has promised a later ballot, which is this one.
+    /// The voter has promised another ballot, which is the given one and is not earlier.
     Preempted(Ballot),
-    /// The state rests on a promise that a storage made which has since been replaced.
+    /// The state rests on a promise made by a storage that has been replaced since.
     StorageReplaced,
-    /// These leases for another version have not expired.
+    /// The given leases for other versions have not expired.
     Blocked(Vec<BlockingLease>),
-    /// It is recovering, or its disk rejects the write.
+    /// The voter is recovering, or its disk rejects the write.
     Unavailable,
 }
 
-/// The state of a voter at the time when another one registers its storage with it.
+/// The state of a voter when another voter registers its storage with it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptorSnapshot {
-    /// Whether it takes part in ballots.
+    /// Whether the voter takes part in ballots.
     pub voting: VotingStatus,
-    /// The state that it accepted last.
+    /// The state that the voter accepted last.
     pub accepted: Option<AcceptedState>,
-    /// The last ballot that it promised.
+    /// The highest ballot that the voter promised.
     pub promised: Ballot,
 }
 
-/// A reply, and the state that must be durable before it is sent.
+/// A reply, with the state that must be durable before the reply is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptorDecision<R> {
-    /// The reply.
+    /// The reply to send.
     pub reply: R,
-    /// The state to store first; `None` if nothing changed.
+    /// The state to store before the reply is sent; `None` if nothing changed.
     pub store_first: Option<DurableState>,
 }
 
@@ -104,7 +105,7 @@
 /// A state that a proposer asks acceptors to accept.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptRequest<'a> {
-    /// The ballot.
+    /// The ballot of the proposal.
     pub ballot: Ballot,
     /// The proposed state.
     pub state: &'a ReplicatedState,
@@ -120,27 +121,25 @@
 }
 
 impl Acceptor {
-    /// Creates an acceptor with the state that was loaded from its disk.
+    /// Creates an acceptor from the state that was loaded from the voter's disk.
     #[must_use]
     pub fn new(voter: VoterId, mut durable: DurableState) -> Acceptor {
         durable.storage_ids.insert(voter, durable.storage_id);
         Acceptor { voter, durable }
     }
 
-    /// The state on its disk.
+    /// Returns the state that is on the voter's disk.
     #[must_use]
     pub fn durable(&self) -> &DurableState {
         &self.durable
     }
 
-    /// Records that the disk has this state now.
+    /// Records that this state is on the voter's disk.
     pub fn mark_durable(&mut self, durable: DurableState) {
         self.durable = durable;
     }
 
-    /// Phase 1 of Paxos.
-    ///
-    /// Decides: whether to promise a ballot.
+    /// Decides whether to promise a ballot (phase 1 of Paxos).
     /// Inputs: the ballot; the ballot promised last and the voting status, from the disk.
     /// Reason: after a promise no earlier ballot can succeed with this voter, so that the proposer
     /// sees every state that may have been chosen before.
@@ -160,9 +159,7 @@
         AcceptorDecision::once_stored(reply, DurableState { promised: ballot, ..durable.clone() })
     }
 
-    /// Phase 2 of Paxos.
-    ///
-    /// Decides: whether to vote for a proposed state.
+    /// Decides whether to vote for a proposed state (phase 2 of Paxos).
     /// Inputs: the request; the leases for other versions that may be held now, each with its
     /// remaining time; the ballot promised last, the voting status and the registered storages,
     /// from the disk.
@@ -170,8 +167,7 @@
     /// vote while a lease for another version is held would let two versions admit requests.
     /// Source: Lamport, "Paxos Made Simple" (2001), section 2.2, phase 2b; Gray and Cheriton,
     /// "Leases" (1989), for the leases.
-    ///
-    /// Invariant: a promise that a voter made before it lost its disk does not count, since that
+    /// Invariant: a promise that a voter made before it lost its disk does not count, because the
     /// voter may have promised another ballot since.
     #[must_use]
     pub fn accept(
@@ -197,12 +193,12 @@
         AcceptorDecision::once_stored(AcceptorReply::Accepted, next)
     }
 
-    /// Whether a voter has registered another storage than this one.
+    /// Returns whether a voter has registered another storage than the given one.
     fn is_replaced(&self, voter: VoterId, storage_id: StorageId) -> bool {
         self.durable.storage_ids.get(&voter).is_some_and(|registered| *registered != storage_id)
     }
 
-    /// Registers the storage of another voter, and returns the state of this one.
+    /// Registers the storage of another voter. The reply is the snapshot of this acceptor.
     #[must_use]
     pub fn register_storage(
         &self,
@@ -223,12 +219,13 @@
         AcceptorDecision::once_stored(snapshot, next)
     }
 
-    /// Decides: whether a recovering voter votes, and with which state; `None` if it does not yet.
-    /// Inputs: the snapshots of the voters with which it registered its storage, and all voters of
-    /// the fleet.
-    /// Reason: a blocking set of voting voters has a member in every majority, so that one of them
-    /// has accepted any state that was chosen. In a new fleet, all others with no accepted state
-    /// show that none was chosen.
+    /// Returns the state with which a recovering voter begins to vote, or `None` if it must not
+    /// vote yet.
+    /// Inputs: the snapshots of the voters with which this voter registered its storage, and all
+    /// voters of the fleet.
+    /// Reason: a blocking set of voting voters has a member in every majority, so that one of its
+    /// members has accepted any state that was chosen. In a new fleet, replies from all other
+    /// voters without an accepted state show that none was chosen.
     /// Source: Lamport, "Paxos Made Simple" (2001), section 2.2: majorities intersect.
     #[must_use]
     pub fn recover(
--- a/crates/policy-consensus/src/admission_lease.rs
+++ b/crates/policy-consensus/src/admission_lease.rs
@@ -1,8 +1,8 @@
-//! The admission lease of a process: the process admits requests only while it holds one. Read
-//! [`AdmissionLease`] first, then [`AdmissionLease::admission`].
+//! The admission lease of a process: the process admits requests only while it holds the lease.
+//! Read [`AdmissionLease`] first, then [`AdmissionLease::admission`].
 //!
-//! The expiry is compared with the clock at each use and never awaited by a timer: a process that
-//! was suspended finds its lease expired when it resumes.
+//! The expiry is compared with the clock at each use instead of being awaited by a timer, so that a
+//! process that was suspended finds its lease expired when it resumes.
 
 use crate::{VoterId, VoterSet};
 use serde::{Deserialize, Serialize};
@@ -12,26 +12,26 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The behaviour of a process after its lease has expired.
+/// The behaviour of a process after its admission lease has expired.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseExpiryMode {
-    /// It rejects requests.
+    /// The process rejects requests.
     #[default]
     #[serde(rename = "refuse")]
     FailClosed,
-    /// It admits requests under the version that was active last.
+    /// The process admits requests under the version that was active last.
     #[serde(rename = "serve")]
     FailOpen,
 }
 
-/// Whether a request is admitted.
+/// Whether a request is admitted under a version of the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is, under the version in question.
+    /// The request is admitted under the given version.
     Admit,
-    /// A change is about to be committed: the request waits and is examined again soon.
+    /// A change is about to be committed: the request waits and is checked again soon.
     Wait,
-    /// It is not.
+    /// The request is rejected.
     Reject {
         /// The time after which the client may retry.
         retry_after: Duration,
@@ -41,27 +41,29 @@
 /// The phase of a lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Phase {
-    /// It was not held since its version became active: a majority of voters has to grant it.
+    /// The lease was not held since its version became active: a majority of voters has to grant
+    /// it.
     #[default]
     Requested,
-    /// A majority granted it. It lasts while a blocking set of voters renews it, and may have
-    /// expired.
+    /// A majority granted the lease. It lasts while a blocking set of voters renews it, and may
+    /// have expired.
     Granted,
-    /// It was released for a change; a majority has to grant it again.
+    /// The lease was released for a change: a majority has to grant it again.
     Released { since: Instant },
 }
 
-/// The lease, with the grants of single voters.
+/// The state of the lease, with the grants of single voters.
 #[derive(Debug, Default)]
 struct State {
-    /// The version under which the lease admits.
+    /// The version of the policy under which the lease admits requests.
     version: u64,
     /// The expiry of each voter's grant.
     grants: BTreeMap<VoterId, Instant>,
     phase: Phase,
-    /// Grants that were requested in an earlier epoch do not count.
+    /// The epoch of the lease. Grants that were requested in an earlier epoch do not count.
     epoch: u64,
-    /// Whether this process may still fail open: it held a lease, and is not outdated.
+    /// Whether this process may still fail open: it has held the lease, and no later version is
+    /// known to be active.
     may_fail_open: bool,
 }
 
@@ -70,11 +72,12 @@
 pub struct AdmissionLease {
     voters: VoterSet,
     expiry_mode: LeaseExpiryMode,
-    /// Requests wait this long after a release for the change; later ones are rejected.
+    /// The time for which requests wait for the change after a release; later requests are
+    /// rejected.
     change_wait: Duration,
     /// The Retry-After of rejected requests.
     retry_after: Duration,
-    /// Guards the lease; held for single reads and writes only.
+    /// The state of the lease; locked for single reads and writes only.
     state: Mutex<State>,
     rejections: AtomicU64,
 }
@@ -99,12 +102,12 @@
         }
     }
 
-    /// Decides: whether a process admits a request now, lets it wait for a change, or rejects it
+    /// Decides whether a process admits a request now, lets it wait for a change, or rejects it
     /// with a Retry-After (fail closed).
     /// Inputs: the version that is active at the process, and the time; the lease's version, phase
     /// and expiry; whether the process fails open.
-    /// Reason: all processes admit under one version at any time, so that a request is decided by
-    /// the same policy wherever it arrives.
+    /// Reason: all processes admit requests under one version at any time, so that a request is
+    /// decided by the same policy wherever it arrives.
     /// Source: Gray and Cheriton, "Leases" (1989).
     #[must_use]
     pub fn admission(&self, version: u64, now: Instant) -> Admission {
@@ -136,7 +139,7 @@
         self.rejections.load(Ordering::Relaxed)
     }
 
-    /// Returns the expiry of the lease; `None` if it is not held.
+    /// Returns the expiry of the lease, or `None` if the lease is not held.
     #[must_use]
     pub fn valid_until(&self, now: Instant) -> Option<Instant> {
         let state = self.state();
@@ -144,7 +147,7 @@
     }
 
     /// Begins the lease for a version that has become active, and returns the epoch of its
-    /// requests. The lease for the previous version has been released, or has expired.
+    /// requests. The lease for the previous version must have been released or have expired.
     pub fn begin(&self, version: u64) -> u64 {
         let mut state = self.state();
         if state.version != version {
@@ -158,14 +161,13 @@
         state.epoch
     }
 
-    /// Decides: whether a grant of one voter counts, and whether the lease is granted with it.
+    /// Decides whether a voter's grant counts, and whether the lease is granted with it.
     /// Inputs: the voter, the epoch and the expiry of its grant; the grants of the other voters.
     /// Reason: a majority has to grant the lease first, so that no majority can commit another
-    /// version before it expires.
+    /// version before the lease expires.
     /// Source: Gray and Cheriton, "Leases" (1989).
-    ///
-    /// Invariant: a grant that was requested before a release does not count, since the voters may
-    /// already have voted on the strength of that release.
+    /// Invariant: a grant that was requested before a release does not count, because the voters
+    /// may already have voted on the strength of that release.
     pub fn grant(&self, voter: VoterId, epoch: u64, expiry: Instant) {
         let mut state = self.state();
         if epoch != state.epoch {
@@ -179,8 +181,8 @@
         }
     }
 
-    /// Releases the lease for a change: no request is admitted from now on. Returns the epoch of
-    /// the requests that follow.
+    /// Releases the lease for a change, so that no request is admitted from now on. Returns the
+    /// epoch of the requests that follow.
     pub fn release(&self, now: Instant) -> u64 {
         let mut state = self.state();
         state.grants.clear();
@@ -191,28 +193,28 @@
         state.epoch
     }
 
-    /// Returns the epoch of requests that are made now.
+    /// Returns the epoch of lease requests that are sent now.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.state().epoch
     }
 
-    /// Whether the lease was released and not granted again.
+    /// Returns whether the lease was released and not granted again.
     #[must_use]
     pub fn is_released(&self) -> bool {
         matches!(self.state().phase, Phase::Released { .. })
     }
 
-    /// Records that a later version is active elsewhere: this process fails open no more under its
-    /// own version.
+    /// Records that a later version is active elsewhere, so that this process no longer fails open
+    /// under its own version.
     pub fn mark_outdated(&self) {
         self.state().may_fail_open = false;
     }
 
-    /// Decides: when the lease expires; `None` if too few voters granted it.
+    /// Returns when the lease expires, or `None` if too few voters granted it.
     /// Inputs: the expiry of each voter's grant, and the phase of the lease.
-    /// Reason: once a majority granted the lease, it lasts while a blocking set renews it, since no
-    /// majority can commit another version without that set.
+    /// Reason: once a majority granted the lease, the lease lasts while a blocking set renews it,
+    /// because no majority can commit another version without that set.
     /// Source: Gray and Cheriton, "Leases" (1989).
     fn expiry(&self, state: &State) -> Option<Instant> {
         let needed = match state.phase {
--- a/crates/policy-consensus/src/ballot.rs
+++ b/crates/policy-consensus/src/ballot.rs
@@ -1,4 +1,4 @@
-//! Ballot numbers. See [`Ballot`].
+//! Ballot numbers of Paxos. See [`Ballot`].
 
 use serde::{Deserialize, Serialize};
 
@@ -6,14 +6,15 @@
 /// number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// The round.
+    /// The round of the ballot.
     pub round: u64,
-    /// The proposer: a hash of its process.
+    /// The hash that identifies the proposing process.
     pub proposer: u64,
 }
 
 impl Ballot {
-    /// Returns the next ballot of this proposer: greater than the highest one that it has seen.
+    /// Returns the next ballot of a proposer: one round above the highest ballot that the proposer
+    /// has seen.
     #[must_use]
     pub fn next_after(highest: Ballot, proposer: u64) -> Ballot {
         Ballot { round: highest.round + 1, proposer }
--- a/crates/policy-consensus/src/change.rs
+++ b/crates/policy-consensus/src/change.rs
@@ -1,7 +1,8 @@
-//! A change of the policy, while it is open and after it has finished. Read [`Change`] first.
+//! Changes of the policy, open and finished. Read [`Change`] first.
 //!
-//! The steps between its stages are methods of [`ReplicatedState`](crate::ReplicatedState). The
-//! order of variants and fields is the format of messages and state files.
+//! The transitions between the stages of a change are methods of
+//! [`ReplicatedState`](crate::ReplicatedState). The order of variants and fields is part of the
+//! format of messages and state files.
 
 use crate::Digest;
 use serde::{Deserialize, Serialize};
@@ -10,38 +11,39 @@
 /// The stage of an open change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// Every process validates it.
+    /// Every process validates the change.
     Preparing {
         /// Whether processes that are not ready get no more leases for the active version.
         strict: bool,
     },
-    /// Lease holders release their leases, and no more are granted for the active version.
+    /// Lease holders release their leases, and no more leases are granted for the active version.
     Closing,
 }
 
 /// The outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Its version became the active one.
+    /// The version of the change became the active one.
     Committed,
-    /// A process rejected it.
+    /// A process rejected the change.
     Rejected,
-    /// It was open for longer than [`Timing::change_timeout`](crate::Timing::change_timeout).
+    /// The change was open for longer than
+    /// [`Timing::change_timeout`](crate::Timing::change_timeout).
     Abandoned,
 }
 
-/// A change that is open.
+/// An open change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its id, chosen by the operator.
+    /// The id of the change, chosen by the operator.
     pub id: String,
-    /// The text of the policy that it would make active.
+    /// The text of the policy that the change would make active.
     pub text: Arc<str>,
-    /// Its stage.
+    /// The stage of the change.
     pub stage: Stage,
-    /// Counts, from 1, its passes through [`Stage::Preparing`].
+    /// The number of times that the change has entered [`Stage::Preparing`], from 1.
     pub attempt: u32,
-    /// The name of the process that proposed it.
+    /// The name of the process that proposed the change.
     pub proposer: String,
 }
 
@@ -61,34 +63,34 @@
 /// An open change without its text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeSummary {
-    /// Its id.
+    /// The id of the change.
     pub id: String,
-    /// The digest of its text.
+    /// The digest of the policy text of the change.
     pub digest: Digest,
-    /// Its stage.
+    /// The stage of the change.
     pub stage: Stage,
-    /// Counts, from 1, its passes through [`Stage::Preparing`].
+    /// The number of times that the change has entered [`Stage::Preparing`], from 1.
     pub attempt: u32,
 }
 
-/// A change that has finished.
+/// A finished change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishedChange {
-    /// Its id.
+    /// The id of the change.
     pub id: String,
-    /// The version that it made active, or would have made active.
+    /// The version that the change made active, or would have made active.
     pub version: u64,
-    /// The digest of its policy.
+    /// The digest of the policy text of the change.
     pub digest: Digest,
-    /// Its outcome.
+    /// How the change ended.
     pub outcome: Outcome,
-    /// The reason for that outcome, as the operator reads it.
+    /// The reason for the outcome, as shown to the operator.
     pub reason: String,
 }
 
 impl FinishedChange {
-    /// Returns a digest of all its fields. Processes of different versions of this program compare
-    /// it, so its text is written out here and keeps the names of the first version.
+    /// Returns a digest of all fields. Processes of different versions of this program compare the
+    /// digest, so the hashed text is written out here and keeps the names of the first version.
     pub(crate) fn content_digest(&self) -> Digest {
         let outcome = match self.outcome {
             Outcome::Committed => "Taken",
--- a/crates/policy-consensus/src/change_notifier.rs
+++ b/crates/policy-consensus/src/change_notifier.rs
@@ -1,10 +1,10 @@
-//! Wakes tasks when the state of this process has changed. See [`ChangeNotifier`].
+//! Wakes tasks after a change of a process's state. See [`ChangeNotifier`].
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::Notify;
 
-/// Counts changes. Tasks wake in the order in which they began to wait, so that a seed of the
-/// simulation replays its run.
+/// A counter of state changes that tasks can wait on. Tasks wake in the order in which they began
+/// to wait, so that a seed of the simulation replays its run.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeNotifier {
     count: AtomicU64,
@@ -12,7 +12,7 @@
 }
 
 impl ChangeNotifier {
-    /// Records a change and wakes the tasks that wait.
+    /// Counts a change and wakes the waiting tasks.
     pub(crate) fn notify(&self) {
         self.count.fetch_add(1, Ordering::AcqRel);
         self.notify.notify_waiters();
@@ -23,12 +23,13 @@
         self.count.load(Ordering::Acquire)
     }
 
-    /// Waits until there are more changes than this count.
+    /// Waits until the number of changes differs from `count`.
     pub(crate) async fn changed_since(&self, count: u64) {
         loop {
             let notified = self.notify.notified();
             tokio::pin!(notified);
-            // Without this, a change between the comparison and the wait would wake no task.
+            // Registers the task as a waiter before the comparison: otherwise a change between the
+            // comparison and the wait would not wake it.
             notified.as_mut().enable();
             if self.count() != count {
                 return;
--- a/crates/policy-consensus/src/lib.rs
+++ b/crates/policy-consensus/src/lib.rs
@@ -1,13 +1,14 @@
-//! Numbered versions of a policy for a fleet. Each is committed at one moment for all processes, or
-//! not at all: a version is *agreed* once a majority of voters accepted it, and *active* at a process
-//! once that has applied it. A process admits requests under the agreed version only.
+//! Agreement of a fleet on numbered versions of a policy. Each version is committed at one moment
+//! for all processes, or not at all: a version is *agreed* once a majority of voters has accepted
+//! it, and *active* at a process once that process has applied it. A process admits requests under
+//! the agreed version only.
 //!
-//! The two types to read first are [`ReplicatedState`], the state that the voters agree on, and
+//! Read two types first: [`ReplicatedState`], the state that the voters agree on, and
 //! [`AdmissionLease`], without which a process admits no request. Each decision is one function
-//! that never waits and has its inputs, reason and source in its documentation: the transitions of
+//! that never waits and documents its inputs, reason and source: the transitions of
 //! [`ReplicatedState`], the promises and votes of [`Acceptor`], the grants of [`LeaseTable`], and
-//! the steps of the leader in `node/leader_decisions.rs`. The tasks of [`ConsensusNode`] call them,
-//! and exchange messages with other processes.
+//! the steps of the leader in `node/leader_decisions.rs`. The tasks of [`ConsensusNode`] call these
+//! functions and exchange messages with other processes.
 
 mod acceptor;
 mod admission_lease;
