--- a/crates/policy-consensus/src/acceptor.rs
+++ b/crates/policy-consensus/src/acceptor.rs
@@ -62,7 +62,8 @@
     },
     /// The voter accepted the state.
     Accepted,
-    /// The voter has promised another ballot, which is the given one and is not earlier.
+    /// The voter has promised the given ballot, which is not earlier than the ballot of the
+    /// message.
     Preempted(Ballot),
     /// The state rests on a promise made by a storage that has been replaced since.
     StorageReplaced,
@@ -140,6 +141,7 @@
     }
 
     /// Decides whether to promise a ballot (phase 1 of Paxos).
+    ///
     /// Inputs: the ballot; the ballot promised last and the voting status, from the disk.
     /// Reason: after a promise no earlier ballot can succeed with this voter, so that the proposer
     /// sees every state that may have been chosen before.
@@ -160,6 +162,7 @@
     }
 
     /// Decides whether to vote for a proposed state (phase 2 of Paxos).
+    ///
     /// Inputs: the request; the leases for other versions that may be held now, each with its
     /// remaining time; the ballot promised last, the voting status and the registered storages,
     /// from the disk.
@@ -167,6 +170,7 @@
     /// vote while a lease for another version is held would let two versions admit requests.
     /// Source: Lamport, "Paxos Made Simple" (2001), section 2.2, phase 2b; Gray and Cheriton,
     /// "Leases" (1989), for the leases.
+    ///
     /// Invariant: a promise that a voter made before it lost its disk does not count, because the
     /// voter may have promised another ballot since.
     #[must_use]
@@ -221,6 +225,7 @@
 
     /// Returns the state with which a recovering voter begins to vote, or `None` if it must not
     /// vote yet.
+    ///
     /// Inputs: the snapshots of the voters with which this voter registered its storage, and all
     /// voters of the fleet.
     /// Reason: a blocking set of voting voters has a member in every majority, so that one of its
--- a/crates/policy-consensus/src/admission_lease.rs
+++ b/crates/policy-consensus/src/admission_lease.rs
@@ -104,6 +104,7 @@
 
     /// Decides whether a process admits a request now, lets it wait for a change, or rejects it
     /// with a Retry-After (fail closed).
+    ///
     /// Inputs: the version that is active at the process, and the time; the lease's version, phase
     /// and expiry; whether the process fails open.
     /// Reason: all processes admit requests under one version at any time, so that a request is
@@ -162,10 +163,12 @@
     }
 
     /// Decides whether a voter's grant counts, and whether the lease is granted with it.
+    ///
     /// Inputs: the voter, the epoch and the expiry of its grant; the grants of the other voters.
     /// Reason: a majority has to grant the lease first, so that no majority can commit another
     /// version before the lease expires.
     /// Source: Gray and Cheriton, "Leases" (1989).
+    ///
     /// Invariant: a grant that was requested before a release does not count, because the voters
     /// may already have voted on the strength of that release.
     pub fn grant(&self, voter: VoterId, epoch: u64, expiry: Instant) {
@@ -212,6 +215,7 @@
     }
 
     /// Returns when the lease expires, or `None` if too few voters granted it.
+    ///
     /// Inputs: the expiry of each voter's grant, and the phase of the lease.
     /// Reason: once a majority granted the lease, the lease lasts while a blocking set renews it,
     /// because no majority can commit another version without that set.
--- a/crates/policy-consensus/src/lease_table.rs
+++ b/crates/policy-consensus/src/lease_table.rs
@@ -1,6 +1,6 @@
-//! The admission leases that a voter granted, by its own clock. Read [`LeaseTable`] first.
+//! The admission leases that a voter granted, timed by its own clock. Read [`LeaseTable`] first.
 //!
-//! While a lease for another version may be held, the voter votes for no state. No function here
+//! The voter votes for no state while a lease for another version may be held. No function here
 //! waits.
 
 use crate::{
@@ -12,50 +12,50 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The name of the unknown holders of leases that the previous process of this voter granted. It is
-/// part of the status of a change, which operators read.
+/// The name of the unknown holders of leases that the previous process of this voter granted. The
+/// name is part of the status of a change, which operators read.
 const UNKNOWN_HOLDER: &str = "who was permitted before a founder started";
 
-/// The answer of a voter to a request for a lease.
+/// A voter's decision about a request for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseDecision {
-    /// The lease is granted, or renewed.
+    /// The lease is granted or renewed.
     Granted,
-    /// It is not.
+    /// The lease is not granted.
     Rejected(LeaseRejection),
 }
 
-/// Why a voter grants no lease.
+/// Why a voter does not grant a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseRejection {
     /// A later request of the process has arrived before this one.
     OutdatedRequest,
     /// The process released its lease.
     Released,
-    /// Its version is not agreed, or the voter has accepted a later one.
+    /// The version of the process is not agreed, or the voter has accepted a later one.
     OtherVersion,
-    /// The open change requires that holders are ready for it, and the process is not.
+    /// The open change requires that lease holders are ready for it, and the process is not.
     NotReady,
     /// The open change is closing.
     ChangeClosing,
 }
 
-/// The lease of a process, as its voter sees it.
+/// The lease of a process, as the voter that granted it sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HolderLease {
-    /// None was granted, or the process released it.
+    /// No lease was granted, or the process released its lease.
     NotHeld,
-    /// One was granted for a version until this time, which may have passed.
+    /// A lease was granted for a version until this time, which may have passed.
     Granted { version: u64, until: Instant },
 }
 
-/// A process that requests leases.
+/// A process that requests leases from this voter.
 #[derive(Clone, Debug)]
 struct Holder {
-    /// The number of its last request.
+    /// The sequence number of the process's last request.
     sequence: u64,
     lease: HolderLease,
-    /// When its last request arrived.
+    /// When the process's last request arrived.
     last_request: Instant,
     readiness: Option<ChangeReadiness>,
     fails_open: bool,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The time for which it may still hold its lease; `None` if it holds none.
+    /// Returns the time for which the process may still hold its lease, or `None` if it holds none.
     fn remaining(&self, now: Instant) -> Option<Duration> {
         match self.lease {
             HolderLease::Granted { until, .. } if until > now => Some(truncated_to_milliseconds(until - now)),
@@ -84,7 +84,8 @@
         matches!(self.lease, HolderLease::Granted { version: granted, .. } if granted == version)
     }
 
-    /// Whether it fails open now: its lease has expired, and it did not release it.
+    /// Returns whether the process fails open now: its lease has expired, and the process did not
+    /// release it.
     fn is_failing_open(&self, now: Instant) -> bool {
         self.fails_open && matches!(self.lease, HolderLease::Granted { until, .. } if until <= now)
     }
@@ -94,7 +95,7 @@
     }
 }
 
-/// The agreed state by which a voter decides about a lease.
+/// The agreed state and the accepted version on which a voter bases its decisions about leases.
 #[derive(Clone, Copy, Debug)]
 pub struct VoterView<'a> {
     /// The latest state that is known to be agreed.
@@ -104,11 +105,12 @@
 }
 
 impl VoterView<'_> {
-    /// Decides: whether a lease may be granted; `None` if it may, otherwise the reason.
+    /// Returns why a lease must not be granted, or `None` if it may be.
+    ///
     /// Inputs: the agreed state with its open change, the version that the voter accepted last, and
     /// the version and the readiness of the process.
     /// Reason: leases are granted only for the agreed version, and before a change is committed
-    /// only to processes that can follow it.
+    /// only to processes that can follow the change.
     /// Source: Gray and Cheriton, "Leases" (1989).
     fn rejection(&self, version: u64, holder: &Holder) -> Option<LeaseRejection> {
         let is_agreed = version == self.agreed.version && self.agreed.version > 0;
@@ -136,21 +138,23 @@
 }
 
 impl LeaseTable {
-    /// Creates the table of a voter that has just started.
+    /// Creates the empty table of a voter that has just started.
     #[must_use]
     pub fn new(timing: Timing, now: Instant) -> LeaseTable {
         LeaseTable { timing, started_at: now, holders: BTreeMap::new() }
     }
 
-    /// Decides: whether to grant or renew the lease of a process, and until when it counts here.
+    /// Decides whether to grant or renew the lease of a process, and records until when the lease
+    /// counts at this voter.
+    ///
     /// Inputs: the time, the process and its request; the agreed state; the duration of a lease at
     /// a voter ([`Timing::lease_at_voter`]).
     /// Reason: a lease counts longer at its voter than at its holder, so that the holder stops
     /// first even if its clock is slower.
     /// Source: Gray and Cheriton, "Leases" (1989).
     ///
-    /// Invariant: an earlier request that arrives after a later one changes nothing, since it would
-    /// undo a release.
+    /// Invariant: an earlier request that arrives after a later one changes nothing, because it
+    /// would undo a release.
     pub fn decide(
         &mut self,
         now: Instant,
@@ -178,7 +182,8 @@
         LeaseDecision::Granted
     }
 
-    /// Decides: which leases keep this voter from voting for a state; none if it may vote.
+    /// Returns the leases that keep this voter from voting for a state; none if the voter may vote.
+    ///
     /// Inputs: the time, the proposed state, and the version that the voter accepted last.
     /// Reason: while a lease for another version may be held, its holder may admit a request under
     /// that version.
@@ -208,7 +213,8 @@
         blocking
     }
 
-    /// Returns the processes that may hold a lease now, and whether each is ready for this change.
+    /// Returns the processes that may hold a lease now, each with whether it is ready for the
+    /// change.
     #[must_use]
     pub fn holders(&self, now: Instant, change_id: &str) -> Vec<LeaseHolder> {
         let mut holders = Vec::new();
@@ -227,7 +233,7 @@
         holders
     }
 
-    /// Returns the name of a process that rejected this change, with its reason.
+    /// Returns the name of a process that rejected the change, followed by the reason.
     #[must_use]
     pub fn rejection(&self, change_id: &str) -> Option<String> {
         self.holders.iter().find_map(|(process, holder)| {
@@ -239,18 +245,18 @@
         })
     }
 
-    /// Returns the processes that fail open now: their leases have expired, and they did not
-    /// release them.
+    /// Returns the processes that fail open now: their leases have expired, and the processes did
+    /// not release them.
     #[must_use]
     pub fn failing_open(&self, now: Instant) -> Vec<String> {
         let failing = self.holders.iter().filter(|(_, holder)| holder.is_failing_open(now));
         failing.map(|(process, _)| process.to_string()).collect()
     }
 
-    /// Removes processes without a lease that made no request for `idle_timeout`.
+    /// Removes processes that hold no lease and have sent no request for `idle_timeout`.
     ///
-    /// The latest process of a name that fails open stays in the table: the outcome of a change
-    /// names it, even if it lost its connections long ago.
+    /// The latest process of a name that fails open stays in the table even if it lost its
+    /// connections long ago, because the outcome of a change names it.
     pub fn remove_idle(&mut self, now: Instant, idle_timeout: Duration) {
         let latest_starts: BTreeMap<_, _> =
             self.holders.keys().map(|process| (process.name.clone(), process.start)).collect();
@@ -262,14 +268,15 @@
         });
     }
 
-    /// The time for which leases may still be held that the previous process of this voter granted.
+    /// Returns the time for which leases that the previous process of this voter granted may still
+    /// be held.
     fn previous_leases_remaining(&self, now: Instant) -> Option<Duration> {
         let until = self.started_at + self.timing.lease_at_voter();
         (until > now).then(|| truncated_to_milliseconds(until - now))
     }
 }
 
-/// Rounds a duration down to whole milliseconds, as messages carry it, but to no less than one.
+/// Rounds a duration down to whole milliseconds, the unit of messages, but to no less than one.
 fn truncated_to_milliseconds(duration: Duration) -> Duration {
     let milliseconds = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     Duration::from_millis(milliseconds.max(1))
--- a/crates/policy-consensus/src/node/change_steps.rs
+++ b/crates/policy-consensus/src/node/change_steps.rs
@@ -65,7 +65,7 @@
         let transition = |state: Option<&ReplicatedState>| {
             state.and_then(|state| state.advance(&change.id, change.attempt, stage)).into()
         };
-        // Without a majority the leader repeats the step at its next examination.
+        // Without a majority the leader repeats the step at its next check.
         let _ = self.step(self.settings.timing.request_timeout, transition).await;
     }
 
@@ -76,7 +76,7 @@
         outcome: Outcome,
         reason: &str,
     ) {
-        // Without a majority the leader repeats the step at its next examination.
+        // Without a majority the leader repeats the step at its next check.
         let _ = self.try_finish(change, outcome, reason).await;
     }
 
--- a/crates/policy-consensus/src/policy_applier.rs
+++ b/crates/policy-consensus/src/policy_applier.rs
@@ -1,14 +1,14 @@
-//! The interface to the process that this crate is part of. See [`PolicyApplier`].
+//! The interface of this crate to the program that contains it. See [`PolicyApplier`].
 
 use pinetrail_peer_transport::Process;
 use thiserror::Error;
 
-/// Why a process cannot make a policy active. It displays as the path of the invalid setting and
-/// the reason.
+/// Why a process cannot make a policy active. Displays as the path of the invalid setting and the
+/// reason.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{reason}")]
 pub struct PolicyRejected {
-    /// The path of the invalid setting and the reason.
+    /// The path of the invalid setting, and why the setting is invalid.
     pub reason: String,
 }
 
@@ -19,21 +19,20 @@
     }
 }
 
-/// Makes versions of the policy active at this process. Its methods are called on the thread of the
-/// transport, and must not wait.
+/// Makes versions of the policy active at this process. The methods are called on the thread of the
+/// transport and must not wait.
 pub trait PolicyApplier: Send + Sync + 'static {
-    /// Checks whether this process can make a policy active after the one that is active.
+    /// Checks whether this process can make a policy active after the currently active one.
     ///
     /// # Errors
     ///
-    /// The reason why it cannot.
+    /// The reason why this process cannot make the policy active.
     fn validate(&self, text: &str) -> Result<(), PolicyRejected>;
 
     /// Makes a validated policy active.
     fn apply(&self, version: u64, text: &str);
 
-    /// Handles a message of another process for the part of the program that the channel
-    /// identifies.
+    /// Handles a message of another process to the part of the program that the channel identifies.
     fn on_peer_message(&self, _from: &Process, _channel: u8, _body: &[u8]) {}
 
     /// Writes a line to the log.
--- a/crates/policy-consensus/src/replicated_state.rs
+++ b/crates/policy-consensus/src/replicated_state.rs
@@ -1,9 +1,9 @@
 //! The state that the voters agree on: the active version of the policy, the open change, and the
 //! outcomes of the last changes. Read [`ReplicatedState`] first.
 //!
-//! Each transition of a change is one function that makes the next state: [`propose`] opens it,
-//! [`advance`] moves it to another stage, [`finish`] ends it. None of them waits. The proposer and
-//! the acceptors have a step agreed.
+//! Each transition of a change is one function that returns the next state: [`propose`] opens the
+//! change, [`advance`] moves it to another stage, [`finish`] ends it. None of them waits. The
+//! proposer and the acceptors bring a majority of voters to agree on the result.
 //!
 //! [`propose`]: ReplicatedState::propose
 //! [`advance`]: ReplicatedState::advance
@@ -14,17 +14,17 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The number of finished changes that the state keeps.
+/// The maximum number of finished changes that the state keeps.
 const MAX_FINISHED_CHANGES: usize = 64;
-/// The longest text of a policy.
+/// The maximum length of a policy's text in bytes.
 const MAX_POLICY_BYTES: usize = 256 * 1024;
-/// The longest id of a change.
+/// The maximum length of a change's id in bytes.
 const MAX_ID_BYTES: usize = 64;
 
 /// The state that the voters agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// Counts the steps.
+    /// The number of transitions that led to this state; the first state of a fleet has revision 1.
     pub revision: u64,
     /// The active version of the policy.
     pub version: u64,
@@ -32,14 +32,14 @@
     pub text: Arc<str>,
     /// The open change.
     pub open_change: Option<Change>,
-    /// The last finished changes, in the order in which they finished.
+    /// The last finished changes, oldest first.
     pub finished_changes: Vec<FinishedChange>,
 }
 
-/// A state without its texts.
+/// A summary of a state without its texts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateSummary {
-    /// Counts the steps; 0 if no state is known.
+    /// The revision of the state; 0 if no state is known.
     pub revision: u64,
     /// The active version of the policy.
     pub version: u64,
@@ -47,7 +47,7 @@
     pub digest: Digest,
     /// The open change.
     pub open_change: Option<ChangeSummary>,
-    /// The digest of the last finished change, with its reason.
+    /// The digest of the last finished change, which covers the reason for its outcome.
     ///
     /// Note: two voters may finish a change for different reasons, of which only one is agreed.
     pub last_finished: Digest,
@@ -56,7 +56,7 @@
 /// Why a change cannot be opened.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Conflict {
-    /// It is based on a version that is not the active one.
+    /// The change is based on a version that is not the active one.
     #[error("version {active} is in force")]
     OtherVersion {
         /// The active version.
@@ -65,22 +65,22 @@
     /// Another change is open.
     #[error("the change {id} is open")]
     OtherChange {
-        /// The id of that change.
+        /// The id of the open change.
         id: String,
     },
-    /// A change with this id had another text.
+    /// A change with the same id had another text.
     #[error("a change of this name proposed something else")]
     IdReused,
-    /// Its id is empty or too long.
+    /// The id is empty or too long.
     #[error("id must have 1 to 64 bytes")]
     InvalidId,
-    /// Its text is too long.
+    /// The text is too long.
     #[error("settings must have at most 262144 bytes")]
     PolicyTooLong,
 }
 
 impl ReplicatedState {
-    /// Returns the first state of a fleet.
+    /// Returns the first state of a fleet, with this text as version 1.
     #[must_use]
     pub fn initial(text: &str) -> ReplicatedState {
         ReplicatedState {
@@ -105,10 +105,11 @@
         }
     }
 
-    /// Decides: whether a change is opened; if so, returns the state in which it is open. If it was
-    /// opened before, that is an equal state.
-    /// Inputs: the id of the change, the version that it is based on, its text, and the name of the
-    /// process that proposes it.
+    /// Returns the state in which a change is open, if the change may be opened. If the change was
+    /// opened before, that state equals this one.
+    ///
+    /// Inputs: the id of the change, the version on which the change is based, its text, and the
+    /// name of the process that proposes it.
     /// Reason: changes follow one another, and an operator may repeat a proposal that got no
     /// answer.
     /// Source: Rystsov, "CASPaxos" (2018): a change is a function of the current value.
@@ -148,8 +149,9 @@
         Ok(self.next_with_open_change(change))
     }
 
-    /// Decides: whether the open change moves to another stage; if so, returns that state. `None`
-    /// if this attempt of the change is not open, or is already at that stage.
+    /// Returns the state in which the open change is at another stage, or `None` if this attempt of
+    /// the change is not open or is already at that stage.
+    ///
     /// Inputs: the id and the attempt of the change, and the stage.
     /// Reason: a leader that acts on an earlier attempt must not move the present one.
     /// Source: Rystsov, "CASPaxos" (2018): a change is a function of the current value.
@@ -169,9 +171,9 @@
         Some(self.next_with_open_change(next))
     }
 
-    /// Decides: whether the open change finishes; if so, returns that state. A committed change
-    /// makes its version the active one. `None` if the change is not open, or may not be committed
-    /// yet.
+    /// Returns the state in which the open change is finished, or `None` if the change is not open
+    /// or may not be committed yet. A committed change makes its version the active one.
+    ///
     /// Inputs: the id of the change, its outcome, and the reason for the outcome.
     /// Reason: a change finishes once; a leader that repeats the step has no effect.
     /// Source: Rystsov, "CASPaxos" (2018): a change is a function of the current value.
@@ -203,7 +205,7 @@
         Some(next)
     }
 
-    /// Returns the text with this digest, if it is that of the active version or the open change.
+    /// Returns the text with this digest, if the active version or the open change has that text.
     pub(crate) fn text_with_digest(&self, digest: Digest) -> Option<Arc<str>> {
         let open_text = self.open_change.as_ref().map(|change| &change.text);
         let texts = [Some(&self.text), open_text];
--- a/crates/policy-consensus/src/settings.rs
+++ b/crates/policy-consensus/src/settings.rs
@@ -1,4 +1,4 @@
-//! The configuration of a process of the fleet. Read [`Settings`] first; [`Timing`] has the
+//! The configuration of a process in policy consensus. Read [`Settings`] first; [`Timing`] has the
 //! durations.
 
 use crate::{LeaseExpiryMode, VoterSet};
@@ -6,31 +6,33 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The greatest difference of the rates of two processes' clocks, in thousandths.
+/// The greatest relative difference between the clock rates of two processes, in thousandths.
 pub(crate) const MAX_CLOCK_SKEW_PERMILLE: u32 = 20;
-/// A rate of 1 in thousandths.
+/// The number of thousandths in 1.
 const PERMILLE: u32 = 1000;
-/// Added to a lease at its voter, since durations in messages are whole milliseconds.
+/// Added to the duration of a lease at its voter, because durations in messages are whole
+/// milliseconds.
 const LEASE_ROUNDING: Duration = Duration::from_millis(1);
 /// The shortest duration that may be configured.
 const MIN_DURATION: Duration = Duration::from_millis(10);
-/// The lease must be at least this many renewal intervals, so that a lost renewal does not end it.
+/// The minimum number of renewal intervals in a lease, so that one lost renewal does not end the
+/// lease.
 const MIN_RENEWALS_PER_LEASE: u32 = 3;
 
 /// The durations of policy consensus.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// The duration of an admission lease, counted from its request. Default: 2 s.
+    /// The duration of an admission lease, counted from the request for it. Default: 2 s.
     pub lease_duration: Duration,
     /// The interval between two requests for a lease. Default: 500 ms.
     pub renewal_interval: Duration,
-    /// The time from the proposal of a change after which processes that are not ready for it get
+    /// The time in the preparing stage after which processes that are not ready for the change get
     /// no more leases for the active version. Default: 4 s.
     pub readiness_timeout: Duration,
     /// The time in the closing stage after which a change that is not committed returns to
     /// preparing, so that processes admit requests again. Default: 300 ms.
     pub closing_timeout: Duration,
-    /// A change that is open for longer is abandoned. Default: 20 s.
+    /// The time after which a change that is still open is abandoned. Default: 20 s.
     pub change_timeout: Duration,
     /// The timeout of a request to a voter. Default: 400 ms.
     pub request_timeout: Duration,
@@ -49,18 +51,18 @@
     }
 }
 
-/// Why a set of durations is not valid.
+/// A configured duration that is too short.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{key} is too short: {required}")]
 pub struct TimingError {
     /// The configuration key of the duration.
     pub key: &'static str,
-    /// The condition that its value must meet.
+    /// The condition that the duration must meet.
     pub required: &'static str,
 }
 
 impl Timing {
-    /// Checks that the durations are valid together.
+    /// Checks that each duration is long enough, also in relation to the others.
     ///
     /// # Errors
     ///
@@ -76,11 +78,11 @@
         require(self.request_timeout >= MIN_DURATION, "answer_ms", "at least 10 ms")?;
         require(self.readiness_timeout >= self.renewal_interval, "ready_ms", "at least renew_ms")?;
         let shortest_change = self.lease_duration + self.readiness_timeout;
-        require(self.change_timeout >= shortest_change, "change_ms", "at least permit_ms and ready_ms")
+        require(self.change_timeout >= shortest_change, "change_ms", "at least permit_ms + ready_ms")
     }
 
-    /// Returns the duration of a lease at the voter that granted it: longer than at its holder, by
-    /// the greatest difference of the rates of their clocks.
+    /// Returns the duration of a lease at the voter that granted it. This is longer than at the
+    /// holder by the greatest difference between the rates of their clocks.
     #[must_use]
     pub fn lease_at_voter(&self) -> Duration {
         self.lease_duration * (PERMILLE + MAX_CLOCK_SKEW_PERMILLE) / PERMILLE + LEASE_ROUNDING
@@ -95,19 +97,19 @@
     }
 }
 
-/// The configuration of one process.
+/// The configuration of one process in policy consensus.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This process.
+    /// The name and the start of this process.
     pub process: Process,
     /// All voters of the fleet.
     pub voters: VoterSet,
-    /// The durations.
+    /// The timeouts, intervals and durations.
     pub timing: Timing,
     /// The behaviour of this process after its admission lease has expired.
     pub lease_expiry_mode: LeaseExpiryMode,
-    /// The policy in this process's own file. It becomes the first version of a new fleet.
+    /// The policy in this process's own file, which becomes the first version of a new fleet.
     pub initial_policy: String,
-    /// Seeds the random numbers of this process.
+    /// The seed for the random numbers of this process.
     pub seed: u64,
 }
--- a/crates/policy-consensus/src/storage/error.rs
+++ b/crates/policy-consensus/src/storage/error.rs
@@ -1,23 +1,24 @@
-//! Why a state file cannot be used. See [`DecodeError`].
+//! The reasons why a state file cannot be used. See [`DecodeError`].
 
 use thiserror::Error;
 
 /// Why a voter cannot use its state file.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is incomplete, or its checksum is wrong.
+    /// The file is incomplete, or its checksum is wrong.
     #[error("corrupt")]
     Corrupt,
-    /// It is no state file, or belongs to another cluster or voter.
+    /// The file is not a state file, or belongs to another cluster or voter.
     #[error("a file of another cluster, voter or program")]
     OtherCluster,
-    /// A newer version of this program wrote it.
+    /// A newer version of this program wrote the file.
     #[error("of a newer version of this program")]
     NewerVersion,
 }
 
 impl DecodeError {
-    /// Returns the suffix for the name of a file that is set aside. Operators know these suffixes.
+    /// Returns the suffix for the name of a file that is set aside. Operators rely on these
+    /// suffixes.
     #[must_use]
     pub fn file_suffix(self) -> &'static str {
         match self {
--- a/crates/policy-consensus/src/storage/file.rs
+++ b/crates/policy-consensus/src/storage/file.rs
@@ -1,7 +1,7 @@
-//! A directory of the file system as the storage of a voter. See [`FileStorage`].
+//! The storage of a voter in a directory of the file system. See [`FileStorage`].
 //!
-//! A state is written to a new file and synced, the file is renamed, and the directory is synced
-//! too.
+//! A state is written to a new file and synced; then the file is renamed to replace the previous
+//! one, and the directory is synced too.
 
 use super::{DecodeError, Storage};
 use std::fs::{self, File};
@@ -12,24 +12,24 @@
 const STATE_FILE: &str = "rulebook";
 const NEW_STATE_FILE: &str = "rulebook.new";
 const LOCK_FILE: &str = "rulebook.lock";
-/// The longest state file.
+/// The maximum length of a state file that is read, in bytes.
 const MAX_FILE_BYTES: u64 = 64 << 20;
 
-/// A directory that is locked by this process.
+/// A directory that is locked by this process and keeps the state of a voter.
 #[derive(Debug)]
 pub struct FileStorage {
     directory: PathBuf,
-    /// Held for its lock, which ends when the file is closed.
+    /// Keeps the lock on the directory, which is released when the file is closed.
     _lock: File,
 }
 
 impl FileStorage {
-    /// Opens and locks a directory, and creates it if it does not exist.
+    /// Opens and locks a directory; creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::WouldBlock`] if another process has locked it, otherwise the error of the file
-    /// system.
+    /// [`ErrorKind::WouldBlock`] if another process has locked the directory, otherwise the error
+    /// of the file system.
     pub fn open(directory: PathBuf) -> io::Result<FileStorage> {
         fs::create_dir_all(&directory)?;
         let lock = File::options().create(true).append(true).open(directory.join(LOCK_FILE))?;
@@ -60,7 +60,8 @@
         file.write_all(bytes)?;
         file.sync_all()?;
         drop(file);
-        // A file that a full disk cut short must not replace the state on which replies rest.
+        // A file that was truncated by a full disk must not replace the state on which the voter's
+        // replies rest.
         if fs::metadata(&new_path)?.len() != bytes.len() as u64 {
             return Err(ErrorKind::WriteZero.into());
         }
--- a/crates/policy-consensus/src/storage/format.rs
+++ b/crates/policy-consensus/src/storage/format.rs
@@ -1,8 +1,9 @@
 //! The encoding of a voter's state file.
 //!
-//! A header of 20 bytes: `ptrbook` and the version of the format (8 bytes), the length of the body
-//! (8 bytes, big-endian), and the CRC-32C of the body (4 bytes, big-endian). The body is a postcard
-//! value with the name of the cluster, the number of the voter, and its state.
+//! The file begins with a header of 20 bytes: `ptrbook` and the version of the format (8 bytes),
+//! the length of the body (8 bytes, big-endian), and the CRC-32C of the body (4 bytes, big-endian).
+//! The body is a postcard value with the name of the cluster, the number of the voter, and the
+//! state of the voter.
 
 use super::DecodeError;
 use crate::{DurableState, VoterId};
@@ -45,7 +46,7 @@
 /// Encodes a state file.
 pub(super) fn encode(durable: &DurableState, cluster: &str, voter: VoterId) -> Vec<u8> {
     let body = Body { cluster: cluster.to_owned(), voter, durable: durable.clone() };
-    // Every value of these types has an encoding.
+    // Cannot fail: postcard encodes every value of these types.
     let body = postcard::to_allocvec(&body).unwrap_or_default();
     let mut file = Vec::with_capacity(HEADER_BYTES + body.len());
     file.extend_from_slice(MAGIC);
@@ -56,7 +57,7 @@
     file
 }
 
-/// Decodes the state file of this voter of this cluster.
+/// Decodes a state file, which must belong to this voter of this cluster.
 pub(super) fn decode(bytes: &[u8], cluster: &str, voter: VoterId) -> Result<DurableState, DecodeError> {
     let (header, body) = bytes.split_first_chunk::<HEADER_BYTES>().ok_or(DecodeError::Corrupt)?;
     let header = Header::parse(header).ok_or(DecodeError::Corrupt)?;
--- a/crates/policy-consensus/src/storage/mod.rs
+++ b/crates/policy-consensus/src/storage/mod.rs
@@ -1,5 +1,5 @@
-//! The durable state of a voter: its promise and the state that it accepted. It is on the disk
-//! before the voter sends a reply that rests on it.
+//! Stores the durable state of a voter: its promise and the state that it accepted. The state is on
+//! the disk before the voter sends a reply that rests on it.
 //!
 //! Read [`Storage`] first; [`FileStorage`] keeps the state in a directory, `format` has its
 //! encoding.
@@ -16,21 +16,21 @@
 
 /// The storage of a voter's state.
 pub trait Storage: Send + 'static {
-    /// Reads the state that was stored last, if there is any.
+    /// Reads the state that was stored last; returns `None` if no state was stored.
     ///
     /// # Errors
     ///
     /// The error of the read.
     fn read(&mut self) -> io::Result<Option<Vec<u8>>>;
 
-    /// Replaces the complete state. It is on the disk when this returns.
+    /// Replaces the complete state. The new state is on the disk when this function returns.
     ///
     /// # Errors
     ///
     /// The error of the write; the previous state is still in place then.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Renames a state file that cannot be decoded; the new name has the reason.
+    /// Renames a state file that cannot be decoded; the new name has the reason as a suffix.
     ///
     /// # Errors
     ///
@@ -41,11 +41,11 @@
 /// The outcome of loading a voter's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadOutcome {
-    /// There is no state.
+    /// No state is stored.
     Empty,
-    /// The state that was stored last.
+    /// The state that was stored last was loaded.
     Loaded(Box<DurableState>),
-    /// The file cannot be decoded for this reason, and was set aside.
+    /// The state file cannot be decoded for this reason, and was set aside.
     SetAside(DecodeError),
 }
 
--- a/crates/policy-consensus/src/voters.rs
+++ b/crates/policy-consensus/src/voters.rs
@@ -5,7 +5,7 @@
 
 /// The number of a voter: its position among the configured founders, from 0.
 ///
-/// In messages and state files it is one byte, like the `u8` that it wraps.
+/// Messages and state files encode the number as one byte, like the wrapped `u8`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterId(pub u8);
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// All voters of a fleet. It holds their number.
+/// The set of all voters of a fleet, stored as their number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoterSet(pub u8);
 
@@ -38,7 +38,7 @@
     }
 
     /// Returns the size of a blocking set: the smallest set of voters that has a member in every
-    /// majority, so that no majority can act without it.
+    /// majority, so that no majority can act without that set.
     #[must_use]
     pub fn blocking(self) -> usize {
         self.size() + 1 - self.majority()
--- a/crates/policy-consensus/src/wire_ms.rs
+++ b/crates/policy-consensus/src/wire_ms.rs
@@ -1,9 +1,9 @@
-//! Durations as messages carry them: whole milliseconds, as a `u64`.
+//! The encoding of durations in messages: whole milliseconds, as a `u64`.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::time::Duration;
 
-/// Writes a duration; one that is too long is written as the greatest number.
+/// Writes a duration; one that is too long is written as `u64::MAX`.
 pub(crate) fn serialize<S: Serializer>(duration: &Duration, serializer: S) -> Result<S::Ok, S::Error> {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX).serialize(serializer)
 }
