--- a/crates/policy-consensus/src/acceptor/tests.rs
+++ b/crates/policy-consensus/src/acceptor/tests.rs
@@ -76,10 +76,14 @@
     let last = Some(accepted(3));
 
     let one = BTreeMap::from([(OTHER, voting(last.clone()))]);
-    assert_eq!(recovering.recover(&one, voters), None, "the other voter may have a later state");
+    assert_eq!(
+        recovering.recover(&one, voters),
+        None,
+        "the voter that has not replied may have a later state"
+    );
 
     let one_lost = BTreeMap::from([(OTHER, voting(last.clone())), (THIRD, empty())]);
-    let reason = "two lost their disks and the states that they accepted";
+    let reason = "two voters lost their disks, and with them the states that they accepted";
     assert_eq!(recovering.recover(&one_lost, voters), None, "{reason}");
 
     let both = BTreeMap::from([(OTHER, voting(last.clone())), (THIRD, voting(None))]);
@@ -106,5 +110,9 @@
     assert_eq!(blocked.store_first, None);
     let replaced = BTreeMap::from([(OWN, StorageId(8))]);
     let other = acceptor.accept(&request(1, &state, &replaced), leases);
-    assert_eq!(other.reply, AcceptorReply::StorageReplaced, "the other reasons come first");
+    assert_eq!(
+        other.reply,
+        AcceptorReply::StorageReplaced,
+        "a replaced storage is reported before blocking leases"
+    );
 }
--- a/crates/policy-consensus/src/admission_lease/tests.rs
+++ b/crates/policy-consensus/src/admission_lease/tests.rs
@@ -17,12 +17,16 @@
 
     lease.grant(VoterId(0), epoch, now + 10 * MS);
     lease.grant(VoterId(1), epoch, now + 30 * MS);
-    assert_eq!(lease.admission(1, now), REJECTED, "the first one needs a majority");
+    assert_eq!(lease.admission(1, now), REJECTED, "the first grant of a lease needs a majority");
 
     lease.grant(VoterId(2), epoch, now + 20 * MS);
     assert_eq!(lease.admission(1, now), Admission::Admit);
     assert_eq!(lease.admission(2, now), REJECTED);
-    assert_eq!(lease.valid_until(now), Some(now + 20 * MS), "every majority of four includes one of two");
+    assert_eq!(
+        lease.valid_until(now),
+        Some(now + 20 * MS),
+        "every majority of 4 voters has a member in each set of 2"
+    );
     assert_eq!(lease.admission(1, now + 20 * MS), REJECTED);
 }
 
--- a/crates/policy-consensus/src/golden_disk_tests.rs
+++ b/crates/policy-consensus/src/golden_disk_tests.rs
@@ -1,7 +1,8 @@
-//! The state file of a voter, recorded from the program before names in it were changed: its bytes,
-//! its name and that of its lock. They must not change: a new version must read the file of an old
-//! one and the reverse, and the two must not run on one directory at once. A failure here means
-//! that the program has changed its format; the recorded bytes must not be adapted.
+//! The recorded format of a voter's state file: its bytes, its name and the name of its lock file.
+//! The records were made by an earlier version of this program. They must not change: a new version
+//! must read the file of an old one and the reverse, and the two must not use one directory at the
+//! same time. A failure here means that the program has changed its format; do not adapt the
+//! recorded bytes.
 
 use crate::storage::{load, save};
 use crate::{
@@ -28,7 +29,7 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// Every field has a value of its own.
+/// A state in which every field has a distinct value.
 fn full() -> DurableState {
     let open_change = Change {
         id: "c4".to_owned(),
@@ -60,7 +61,7 @@
     }
 }
 
-/// A directory of this test, removed when the test ends.
+/// A directory of one test, removed when the test ends.
 struct ScratchDirectory(PathBuf);
 
 impl ScratchDirectory {
@@ -81,7 +82,7 @@
 
 impl Drop for ScratchDirectory {
     fn drop(&mut self) {
-        // A failure leaves the directory among the temporary files.
+        // If the removal fails, the directory stays among the temporary files.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
@@ -95,8 +96,8 @@
     let scratch = ScratchDirectory::new("write");
     let mut directory = FileStorage::open(scratch.0.clone()).expect("opened");
     for (durable, recorded) in [(full(), FULL), (DurableState::default(), EMPTY)] {
-        save(&mut directory, "gdynia", VOTER, &durable).expect("kept");
-        let written = fs::read(file_in(&scratch.0)).expect("the file by its name");
+        save(&mut directory, "gdynia", VOTER, &durable).expect("stored");
+        let written = fs::read(file_in(&scratch.0)).expect("the state file under its recorded name");
         assert_eq!(hex(&written), recorded, "encoding of {durable:?}");
         assert_eq!(scratch.files(), ["rulebook", "rulebook.lock"]);
     }
@@ -125,13 +126,13 @@
     assert!(files.iter().any(|name| name.starts_with("rulebook.torn-")), "{files:?}");
 }
 
-/// An old and a new version must not have one directory at once.
+/// An old and a new version must not use one directory at the same time.
 #[test]
 fn a_lock_by_the_recorded_name_keeps_others_out() {
     let scratch = ScratchDirectory::new("lock");
     let path = scratch.0.join("rulebook.lock");
     let lock = fs::File::options().create(true).append(true).open(path).expect("opened");
-    lock.try_lock().expect("it is free");
+    lock.try_lock().expect("the lock is free");
     let opened = FileStorage::open(scratch.0.clone());
-    assert_eq!(opened.expect_err("it is held").kind(), std::io::ErrorKind::WouldBlock);
+    assert_eq!(opened.expect_err("the lock is held").kind(), std::io::ErrorKind::WouldBlock);
 }
--- a/crates/policy-consensus/src/golden_tests.rs
+++ b/crates/policy-consensus/src/golden_tests.rs
@@ -1,7 +1,7 @@
-//! The bytes of the messages of policy consensus, recorded from the program before names in it were
-//! changed. They must not change: processes of different versions exchange them, so that each
-//! version must read the messages of the other. A failure here means that the program has changed
-//! its format; the recorded bytes must not be adapted.
+//! The recorded bytes of the messages of policy consensus, as an earlier version of this program
+//! encoded them. They must not change: processes of different versions exchange messages, so that
+//! each version must read the messages of the other. A failure here means that the program has
+//! changed its format; do not adapt the recorded bytes.
 
 use crate::messages::{decode, encode, Message, Reply};
 use crate::{
@@ -23,7 +23,8 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// The value is written as the recorded bytes, and the recorded bytes are read as the value.
+/// Asserts that the value is encoded as the recorded bytes, and that the recorded bytes are decoded
+/// as the value.
 fn assert_recorded<T>(value: &T, recorded: &str)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -54,7 +55,7 @@
     ReplicatedState { revision: 300, version: 7, text: "grades: 2".into(), open_change, finished_changes }
 }
 
-/// A state with each outcome and an open change.
+/// Returns a state with a finished change of each outcome and an open change.
 fn full_state() -> ReplicatedState {
     let outcomes = [Outcome::Committed, Outcome::Rejected, Outcome::Abandoned];
     state(Some(change(Stage::Closing)), outcomes.map(finished).to_vec())
@@ -102,7 +103,8 @@
     vec![holder("n1", true, 1500), holder("n2", false, 3)]
 }
 
-/// Does not compile when a kind of message is added, until its bytes are recorded as well.
+/// Returns the recorded bytes of each kind of message. Does not compile when a kind of message is
+/// added, until its bytes are recorded as well.
 fn recorded_message(message: &Message) -> &'static str {
     match message {
         Message::Prepare(_) => "00ac02ef9bafcdf8acd19101",
@@ -139,7 +141,8 @@
     }
 }
 
-/// Does not compile when a kind of reply or vote is added, until its bytes are recorded as well.
+/// Returns the recorded bytes of each kind of reply. Does not compile when a kind of reply or vote
+/// is added, until its bytes are recorded as well.
 fn recorded_reply(reply: &Reply) -> &'static str {
     match reply {
         Reply::Acceptor(reply) => match reply {
@@ -232,7 +235,7 @@
 
 #[test]
 fn each_readiness_of_a_process_has_recorded_bytes() {
-    // Does not compile when a readiness is added.
+    // Does not compile when a variant of `Readiness` is added.
     let recorded = |readiness: &Readiness| match readiness {
         Readiness::Ready => "03ac020701010263340000",
         Readiness::Rejected(_) => "03ac0207010102633401106772616465733a20746f6f206d616e7900",
@@ -243,10 +246,10 @@
     }
 }
 
-/// Processes compare summaries.
+/// Processes compare the summaries of their states.
 ///
-/// Invariant: the last field is a digest of a text that has the names of fields and outcomes of the
-/// first version of this program; these names are part of the format.
+/// Invariant: the last field of a summary is a digest of a text with the field and outcome names of
+/// the first version of this program; these names are part of the format.
 #[test]
 fn the_summary_of_a_state_has_the_recorded_digests() {
     let recorded = |outcome: Outcome| match outcome {
--- a/crates/policy-consensus/src/lease_table/tests.rs
+++ b/crates/policy-consensus/src/lease_table/tests.rs
@@ -44,7 +44,7 @@
     assert_eq!(leases.blocking_leases(now, &first, 1), []);
     assert_eq!(leases.blocking_leases(now, &second, 1).len(), 1);
     let at_holders_expiry = leases.blocking_leases(now + timing.lease_duration, &second, 1);
-    assert_eq!(at_holders_expiry.len(), 1, "its holder's clock may be slower");
+    assert_eq!(at_holders_expiry.len(), 1, "the holder's clock may be slower than the voter's");
     assert_eq!(leases.blocking_leases(now + timing.lease_at_voter(), &second, 1), []);
 
     let release = LeaseRequest { wants_lease: false, ..request(2, 1) };
@@ -81,7 +81,7 @@
 
     assert_eq!(leases.holders(now + ms(2100), "x"), []);
     let unexpired = LeaseHolder { name: "n1".to_owned(), is_ready: true, remaining: ms(2041) };
-    assert_eq!(leases.holders(now, "x")[0], unexpired, "the earlier lease still counts");
+    assert_eq!(leases.holders(now, "x")[0], unexpired, "the lease that was granted earlier still counts");
 }
 
 #[test]
@@ -108,6 +108,10 @@
     let leases = LeaseTable::new(Timing::default(), now);
     let second = second_version();
     assert_eq!(leases.blocking_leases(now, &second, 1).len(), 1);
-    assert_eq!(leases.blocking_leases(now, &second, 2), [], "it accepted that version before");
+    assert_eq!(
+        leases.blocking_leases(now, &second, 2),
+        [],
+        "the voter accepted that version before its restart"
+    );
     assert_eq!(leases.blocking_leases(now + ms(2100), &second, 1), []);
 }
--- a/crates/policy-consensus/src/node/admin.rs
+++ b/crates/policy-consensus/src/node/admin.rs
@@ -1,5 +1,5 @@
-//! The requests of operators about changes of the policy, and messages of other parts of the
-//! program.
+//! Handles the requests of operators about changes of the policy, and broadcasts messages of other
+//! parts of the program.
 
 use super::proposer::{StepError, Transition};
 use super::state::WaitingFor;
@@ -14,13 +14,13 @@
 /// Why a change was not opened.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ProposalError {
-    /// This process cannot make its policy active.
+    /// This process cannot make the proposed policy active.
     #[error(transparent)]
     Rejected(#[from] PolicyRejected),
-    /// It does not follow from the agreed state.
+    /// The change does not follow from the agreed state.
     #[error(transparent)]
     Conflict(#[from] Conflict),
-    /// No majority of voters replied.
+    /// No majority of voters replied in time. The change may have been opened.
     #[error(
         "no majority of founders answers: whether it was proposed is not known; \
          the same id may be sent again"
@@ -40,16 +40,16 @@
 /// The status of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeStatus {
-    /// Its outcome; `None` while it is open.
+    /// The outcome of the change; `None` while the change is open.
     pub outcome: Option<Outcome>,
-    /// The reason for that outcome; may be empty.
+    /// The reason for the outcome; may be empty.
     pub reason: String,
-    /// The processes for which it waits.
+    /// The processes for which the open change waits.
     pub waiting_for: Vec<String>,
 }
 
 impl ChangeStatus {
-    /// Returns the status of a change in this state; `None` if the state does not have the change.
+    /// Returns the status of a change in a state, or `None` if the state does not have the change.
     fn of(change_id: &str, state: &ReplicatedState, waiting: &WaitingFor) -> Option<ChangeStatus> {
         if state.open_change_with_id(change_id).is_some() {
             let is_waiting = waiting.change_id == change_id;
@@ -66,13 +66,13 @@
 }
 
 impl<N: Network> ConsensusNode<N> {
-    /// Proposes a change that is based on `base_version`. Returns the version that it makes active
-    /// if it is committed.
+    /// Proposes a change that is based on `base_version`. Returns the version that the change makes
+    /// active if it is committed.
     ///
     /// # Errors
     ///
-    /// The reason why the change was not opened. After [`ProposalError::NoMajority`] it may be
-    /// open.
+    /// The reason why the change was not opened. After [`ProposalError::NoMajority`] the change may
+    /// be open.
     pub async fn propose(
         self: &Arc<Self>,
         id: &str,
@@ -96,7 +96,7 @@
         Ok(finished_version.unwrap_or(state.version + 1))
     }
 
-    /// Returns the status of a change; `None` if no process that replies in time has the change.
+    /// Returns the status of a change, or `None` if no process that replies in time has the change.
     /// `time_limit` applies to each voter.
     pub async fn change_status(&self, id: &str, time_limit: Duration) -> Option<ChangeStatus> {
         let local = self.local_change_status(id);
@@ -120,13 +120,13 @@
         local
     }
 
-    /// Returns the outcome of a change, if this process has learnt it.
+    /// Returns the outcome of a change, if this process has learnt the outcome.
     pub fn change_outcome(&self, id: &str) -> Option<Outcome> {
         self.local_change_status(id)?.outcome
     }
 
-    /// Sends a message of the part of the program that the channel identifies to all connected
-    /// processes.
+    /// Sends a message to all connected processes, for the part of the program that the channel
+    /// identifies.
     pub fn broadcast(&self, channel: u8, body: &[u8]) {
         let message = Message::Application { channel, body: body.to_vec() };
         self.transport.broadcast(&encode(&message));
--- a/crates/policy-consensus/src/node/apply.rs
+++ b/crates/policy-consensus/src/node/apply.rs
@@ -1,5 +1,5 @@
 //! Makes the agreed version active at this process, validates the open change, and releases the
-//! admission lease for it.
+//! admission lease for that change.
 
 use super::state::{NodeState, UnusableVersion};
 use super::ConsensusNode;
@@ -8,12 +8,13 @@
 use tokio::time::Instant;
 
 impl<N: Network> ConsensusNode<N> {
-    /// Decides: whether the agreed version becomes active here, and whether the admission lease is
-    /// released for the open change.
+    /// Decides whether the agreed version becomes active at this process, and whether the admission
+    /// lease is released for the open change.
+    ///
     /// Inputs: the agreed state, the active version, the readiness for the open change, and whether
     /// the lease is released.
-    /// Reason: a process releases its lease only if it can make the change active, since the change
-    /// is committed as soon as the leases are released.
+    /// Reason: a process releases its lease only if it can make the change active, because the
+    /// change is committed as soon as the leases are released.
     /// Source: Gray and Cheriton, "Leases" (1989): relinquishing a lease.
     pub(super) fn apply_agreed(&self) {
         let mut state = self.state();
@@ -48,20 +49,22 @@
         }
     }
 
-    /// Returns the readiness of this process for a change; `None` if it does not have the text.
+    /// Returns the readiness of this process for a change, or `None` if this process does not have
+    /// the text of the change.
     fn validate_change(&self, state: &NodeState, change: &ChangeSummary) -> Option<ChangeReadiness> {
         let text = state.text_with_digest(change.digest)?;
         let readiness = match self.applier.validate(&text) {
             Ok(()) => Readiness::Ready,
             Err(rejected) => {
-                self.applier.log(&format!("the change {} is rejected here: {rejected}", change.id));
+                self.applier.log(&format!("this process rejects the change {}: {rejected}", change.id));
                 Readiness::Rejected(rejected.to_string())
             }
         };
         Some(ChangeReadiness { change_id: change.id.clone(), readiness })
     }
 
-    /// Decides: whether the agreed version becomes active here; returns whether it did.
+    /// Decides whether the agreed version becomes active at this process; returns whether it did.
+    ///
     /// Inputs: the version and its text.
     /// Reason: a process does not fail open under a version that it knows to be outdated, and
     /// begins a new lease with the new version.
--- a/crates/policy-consensus/src/node/catch_up.rs
+++ b/crates/policy-consensus/src/node/catch_up.rs
@@ -1,5 +1,4 @@
-//! The task of catching up: fetches the agreed state that this process does not have, and has it
-//! applied.
+//! The catch-up task: fetches the agreed state if this process does not have it, and applies it.
 
 use super::ConsensusNode;
 use crate::messages::{Message, Reply};
@@ -10,18 +9,19 @@
 
 /// The pause after a fetch that no process answered.
 const FETCH_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// The timeout of a fetch, in multiples of `timing.request_timeout`: a text may be long and a connection
-/// slow.
+/// The timeout of a fetch, in multiples of `timing.request_timeout`: a text may be long and a
+/// connection slow.
 const FETCH_TIMEOUT_FACTOR: u32 = 10;
 
 impl<N: Network> ConsensusNode<N> {
-    /// The task of catching up. It ends with the runtime of the node.
+    /// Runs the catch-up task. The task ends with the runtime of the node.
     pub(super) async fn catch_up(self: Arc<Self>) {
         loop {
             let seen = self.changes.count();
             if self.is_text_missing() {
                 if !self.fetch_state().await {
-                    // A change ends the pause, since it may bring a later state.
+                    // A change of the node's state ends the pause, because it may bring a later
+                    // agreed state.
                     let pause = self.jittered(FETCH_RETRY_PAUSE);
                     let _ = timeout(pause, self.changes.changed_since(seen)).await;
                 }
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether the text of the agreed version or of the open change is missing here.
+    /// Returns whether this process lacks the text of the agreed version or of the open change.
     fn is_text_missing(&self) -> bool {
         let state = self.state();
         if state.agreed.revision == 0 {
@@ -47,7 +47,7 @@
         digests.into_iter().flatten().any(|digest| state.text_with_digest(digest).is_none())
     }
 
-    /// Whether a change has finished with an outcome that is not known here.
+    /// Returns whether a change has finished with an outcome that this process does not know.
     fn is_outcome_missing(&self) -> bool {
         let state = self.state();
         state.agreed.revision > state.full_revision() && state.agreed.open_change.is_none()
--- a/crates/policy-consensus/src/node/change_steps.rs
+++ b/crates/policy-consensus/src/node/change_steps.rs
@@ -1,4 +1,4 @@
-//! The single steps by which the leader brings a change to its end.
+//! The steps by which the leader moves a change forward and finishes it.
 
 use super::leader_decisions::{decide_commit, CommitDecision, ObservedChange};
 use super::proposer::StepError;
@@ -11,7 +11,8 @@
 use tokio::time::Instant;
 
 impl<N: Network> ConsensusNode<N> {
-    /// Decides: which lease holders a change waits for, by name.
+    /// Returns the names of the lease holders for which a change waits.
+    ///
     /// Inputs: the id of the change, and the holders that each voter reports, each with its
     /// readiness.
     /// Reason: a majority of voters has to vote for the change, and the majority with the fewest
@@ -29,15 +30,15 @@
         names
     }
 
-    /// Requests the lease holders that are not ready from all voters; one list of names for each
-    /// voter that replies.
+    /// Requests from all voters the lease holders that are not ready. Returns one list of names for
+    /// each voter that replies.
     async fn collect_unready_holders(self: &Arc<Self>, change_id: &str) -> Vec<Vec<String>> {
         let mut requests = Vec::new();
         for voter in self.settings.voters.ids() {
             let node = Arc::clone(self);
             let message = Message::ListHolders { change_id: change_id.to_owned() };
-            // The task ends when the voter has replied, or after `timing.request_timeout`; it is awaited
-            // below.
+            // The task ends when the voter has replied, or after `timing.request_timeout`. It is
+            // awaited below.
             requests.push(tokio::spawn(async move { node.request_from_voter(voter, &message).await }));
         }
         let mut reports = Vec::new();
@@ -50,7 +51,8 @@
         reports
     }
 
-    /// Broadcasts the processes for which a change waits, if they differ from the last broadcast.
+    /// Broadcasts the names of the processes for which a change waits, if they differ from the last
+    /// broadcast.
     pub(super) fn announce_waiting(&self, change_id: &str, names: &[String]) {
         let waiting = WaitingFor { change_id: change_id.to_owned(), names: names.to_vec() };
         let previous = std::mem::replace(&mut self.state().waiting, waiting.clone());
@@ -80,7 +82,7 @@
         let _ = self.try_finish(change, outcome, reason).await;
     }
 
-    /// Commits a change that is closing, if no lease blocks it.
+    /// Commits a change that is closing, if no lease blocks the commit.
     pub(super) async fn commit_change(
         self: &Arc<Self>,
         observed: &mut ObservedChange,
--- a/crates/policy-consensus/src/node/join.rs
+++ b/crates/policy-consensus/src/node/join.rs
@@ -1,7 +1,8 @@
-//! The task of joining: recovers the vote of a voter, and settles the state that it accepted.
+//! The join task: recovers the vote of this process's voter, and settles the state that the voter
+//! accepted.
 //!
 //! A recovering voter registers its storage with the other voters, which reply with their states. A
-//! voter that has learnt no agreed state, or that accepted a state and did not learn that it was
+//! voter that has learnt no agreed state, or that accepted a state without learning that it was
 //! agreed, has the state agreed once more.
 
 use super::proposer::Transition;
@@ -13,16 +14,16 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The pause between two examinations.
+/// The pause between two checks of the voter.
 const CHECK_INTERVAL: Duration = Duration::from_millis(60);
 
-/// The next step of a voter.
+/// The next step of this process's voter.
 enum JoinStep {
-    /// None: it votes, and its accepted state is settled.
+    /// No step: the voter votes, and its accepted state is settled.
     Wait,
-    /// To register its storage with the other voters.
+    /// Register the storage of the voter with the other voters.
     RegisterStorage { voter: VoterId, storage_id: StorageId },
-    /// To have the accepted state agreed once more, or to create the first one.
+    /// Have the accepted state agreed once more, or create the first state.
     SettleState(Founding),
 }
 
@@ -34,7 +35,7 @@
 }
 
 impl<N: Network> ConsensusNode<N> {
-    /// The task of joining. It ends with the runtime of the node.
+    /// Runs the join task. The task ends with the runtime of the node.
     pub(super) async fn join(self: Arc<Self>) {
         let mut unsettled_ballot = None;
         loop {
@@ -50,16 +51,18 @@
         }
     }
 
-    /// Decides: the next step of this process's voter.
-    /// Inputs: its durable state, the revision of the agreed state, and `unsettled_ballot`: the
-    /// ballot of the last accepted state, if at the last examination it was not known to be agreed.
+    /// Returns the next step of this process's voter.
+    ///
+    /// Inputs: the durable state of the voter, the revision of the agreed state, and
+    /// `unsettled_ballot`: the ballot of the last accepted state, if that state was not known to be
+    /// agreed at the last check.
     /// Reason: a state that a voter accepted may have been chosen although its proposer crashed. A
-    /// state that is not known to be agreed in two examinations is proposed once more.
+    /// state that is not known to be agreed in two checks is proposed once more.
     /// Source: Lamport, "Paxos Made Simple" (2001), section 2.3: learning a chosen value by a
     /// further proposal.
     ///
     /// Invariant: the first state is created only when all voters have registered their storages,
-    /// since a voter that did not may hold another first state.
+    /// because a voter that did not may hold another first state.
     fn next_join_step(&self, unsettled_ballot: &mut Option<Ballot>) -> JoinStep {
         let state = self.state();
         let Some(voter) = &state.voter else {
@@ -90,7 +93,7 @@
                 Transition::Keep
             }
         };
-        // Without a majority it is repeated at the next examination.
+        // Without a majority the step is repeated at the next check.
         let _ = self.step(self.settings.timing.request_timeout, transition).await;
     }
 
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Lets the voter vote, if the snapshots of the others suffice.
+    /// Lets the voter begin to vote, if the snapshots of the other voters suffice.
     fn recover_vote(&self) {
         let recovered = {
             let state = self.state();
--- a/crates/policy-consensus/src/node/leader.rs
+++ b/crates/policy-consensus/src/node/leader.rs
@@ -1,8 +1,8 @@
-//! The task of the leader: brings an open change to its end, by the decisions in
+//! The leader task: moves an open change forward until it finishes, by the decisions in
 //! `leader_decisions`.
 //!
-//! The leader is the connected voter with the lowest id. Two processes that both act as leader cost
-//! time only, since each step is agreed.
+//! The leader is the connected voter with the lowest id. Two processes that both act as leader only
+//! cost time, because each step is agreed by a majority.
 
 use super::leader_decisions::{next_stage, next_step, LeaderStep, LeaderView, ObservedChange};
 use super::ConsensusNode;
@@ -12,11 +12,11 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// An open change is examined at least this often.
+/// The longest time between two checks of an open change.
 const CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
 impl<N: Network> ConsensusNode<N> {
-    /// The task of the leader, which every process runs. It ends with the runtime of the node.
+    /// Runs the leader task, which every process has. The task ends with the runtime of the node.
     pub(super) async fn lead(self: Arc<Self>) {
         let mut observed: Option<ObservedChange> = None;
         loop {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the open change, if this process has a voter.
+    /// Returns the open change as this process observes it, if this process has a voter.
     fn observe(&self, previous: Option<ObservedChange>) -> Option<ObservedChange> {
         let state = self.state();
         state.voter.as_ref()?;
@@ -40,7 +40,8 @@
         Some(ObservedChange::update(previous, change, Instant::now()))
     }
 
-    /// Returns the number of connected voters that are leader before this one.
+    /// Returns the number of connected voters with a lower id than this process's voter. The voter
+    /// with rank 0 is the leader.
     fn own_leader_rank(&self) -> u32 {
         let Some(own) = self.state().voter.as_ref().map(|voter| voter.id) else {
             return 0;
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Takes the next step of a change, if this process is to take it.
+    /// Takes the next step of a change, if it is this process's turn.
     async fn handle_change(self: &Arc<Self>, observed: &mut ObservedChange) {
         let change = observed.change.clone();
         let view = self.leader_view(&change.id);
--- a/crates/policy-consensus/src/node/leader_decisions.rs
+++ b/crates/policy-consensus/src/node/leader_decisions.rs
@@ -1,7 +1,7 @@
 //! The decisions of the leader about the open change. Read [`next_step`] first.
 //!
 //! Each decision is a function of what the leader has observed and of the time; `leader` and
-//! `change_steps` carry it out.
+//! `change_steps` carry out the decisions.
 
 use crate::{ChangeSummary, LeaseTable, Outcome, Stage, Timing};
 use tokio::time::Instant;
@@ -16,12 +16,13 @@
     first_seen: Instant,
     /// When this process first saw the change in its present stage.
     stage_since: Instant,
-    /// The change does not close before this time: leases blocked its last commit until then.
+    /// The time before which the change does not close: leases blocked its last commit until then.
     pub(super) close_not_before: Instant,
 }
 
 impl ObservedChange {
-    /// Updates an observation with the change that is open now.
+    /// Returns the observation of the change that is open now. The times of the previous
+    /// observation are kept as far as they apply to the same change and stage.
     pub(super) fn update(
         previous: Option<ObservedChange>,
         change: ChangeSummary,
@@ -39,7 +40,7 @@
 pub(super) struct LeaderView {
     /// The name of a process that rejected the change, and its reason.
     pub(super) rejection: Option<String>,
-    /// The number of connected voters that are leader before this one.
+    /// The number of connected voters with a lower id than this voter; 0 at the leader.
     pub(super) leader_rank: u32,
     /// The names of the processes for which the change waits.
     pub(super) waiting_for: Vec<String>,
@@ -48,28 +49,30 @@
 /// The next step of a change.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum LeaderStep {
-    /// None now, or another voter takes it.
+    /// No step now, or another voter takes the step.
     Wait,
-    /// To finish the change.
+    /// Finish the change.
     Finish { outcome: Outcome, reason: String },
-    /// To find the processes that are not ready, and then to decide by [`next_stage`].
+    /// Collect the processes that are not ready, then decide by [`next_stage`].
     CollectReadiness,
-    /// To commit the change if no lease blocks it.
+    /// Commit the change if no lease blocks the commit.
     Commit,
-    /// To move the change to this stage.
+    /// Move the change to this stage.
     Advance(Stage),
 }
 
-/// Decides: the next step of an open change.
+/// Decides the next step of an open change.
+///
 /// Inputs: the change with the times since when it is open and in its stage; the rejection of a
-/// process, the number of voters that are leader before this one, and the processes for which it
-/// waits; [`Timing::closing_timeout`] and [`Timing::change_timeout`]; the time.
-/// Reason: a voter that is not the leader only ends a stage that takes too long, later the more
-/// voters come before it, so that a change ends although its leader has crashed.
+/// process, the rank of this voter, and the processes for which the change waits;
+/// [`Timing::closing_timeout`] and [`Timing::change_timeout`]; the time.
+/// Reason: a voter that is not the leader only ends a stage that takes too long, and the higher its
+/// rank the longer it waits, so that a change ends even if its leader has crashed.
 /// Source: Rystsov, "CASPaxos" (2018): no stable leader is required, since each step is agreed.
 ///
-/// Note: while a change is closing, no voter grants or renews an admission lease. A process that has
-/// not learnt of it admits requests until its lease expires; one that fails open goes on.
+/// Note: while a change is closing, no voter grants or renews an admission lease. A process that
+/// has not learnt of the change admits requests until its lease expires; one that fails open
+/// continues to admit requests after that.
 pub(super) fn next_step(
     observed: &ObservedChange,
     view: LeaderView,
@@ -95,12 +98,14 @@
     }
 }
 
-/// Decides: the stage to which a change that is preparing moves; `None` if it stays in its stage.
+/// Returns the stage to which a change that is preparing moves, or `None` if the change stays in
+/// its stage.
+///
 /// Inputs: the change with the time since when it is in its stage; the lease holders that are not
-/// ready for it; [`Timing::readiness_timeout`]; the time.
-/// Reason: a change closes when every lease holder can make it active at once, so that closing is
-/// short. A holder that does not become ready in time loses its lease, so that it cannot block the
-/// change for ever.
+/// ready for the change; [`Timing::readiness_timeout`]; the time.
+/// Reason: a change closes when every lease holder can make it active at once, so that the closing
+/// stage is short. A holder that does not become ready in time loses its lease, so that it cannot
+/// block the change for ever.
 pub(super) fn next_stage(
     observed: &ObservedChange,
     unready: &[String],
@@ -119,17 +124,21 @@
 /// Whether a change that is closing may be put to the vote.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum CommitDecision {
-    /// Not yet: a process that is ready has not released its lease.
+    /// The change may not be put to the vote yet: a process that is ready has not released its
+    /// lease.
     Wait,
-    /// It may, with this reason for its outcome.
+    /// The change may be put to the vote, with this reason for its outcome.
     Commit { reason: String },
 }
 
-/// Decides: whether a change that is closing may be put to the vote.
+/// Decides whether a change that is closing may be put to the vote.
+///
 /// Inputs: the leases that this voter granted, the id of the change, and the time.
 /// Reason: a process that is ready releases its lease within one message; a vote before that would
-/// be blocked by the lease. The reason of the outcome names the processes that fail open, in words
-/// that operators know; it is empty without any.
+/// be blocked by the lease.
+///
+/// The reason for the outcome names the processes that fail open, in words that operators know;
+/// without such processes the reason is empty.
 pub(super) fn decide_commit(leases: &LeaseTable, change_id: &str, now: Instant) -> CommitDecision {
     if leases.holders(now, change_id).iter().any(|holder| holder.is_ready) {
         return CommitDecision::Wait;
--- a/crates/policy-consensus/src/node/leader_decisions/tests.rs
+++ b/crates/policy-consensus/src/node/leader_decisions/tests.rs
@@ -41,7 +41,11 @@
 
     let late = now + timing.closing_timeout + MS;
     assert_eq!(next_step(&closing, view(0), &timing, late), LeaderStep::Advance(STRICT));
-    assert_eq!(next_step(&closing, view(1), &timing, late), LeaderStep::Wait, "it waits longer");
+    assert_eq!(
+        next_step(&closing, view(1), &timing, late),
+        LeaderStep::Wait,
+        "the voter with rank 1 waits longer than the leader"
+    );
     let later = now + timing.closing_timeout * 2 + MS;
     assert_eq!(next_step(&closing, view(1), &timing, later), LeaderStep::Advance(STRICT));
 
@@ -96,7 +100,7 @@
     let request =
         LeaseRequest { sequence: 1, version: 1, wants_lease: true, readiness: None, fails_open: true };
     leases.decide(now, &process, request, VoterView { agreed: &agreed, accepted_version: 1 });
-    assert_eq!(decide_commit(&leases, "x", now), no_reason, "its lease has not expired");
+    assert_eq!(decide_commit(&leases, "x", now), no_reason, "the lease of n1 has not expired");
 
     let reason = "without a permit, and perhaps still by the version before: n1".to_owned();
     let expired = now + timing.lease_at_voter();
--- a/crates/policy-consensus/src/node/lease_renewal.rs
+++ b/crates/policy-consensus/src/node/lease_renewal.rs
@@ -1,5 +1,5 @@
-//! The task that requests and renews the admission lease of this process from one voter, and
-//! reports to the voter whether this process is ready for the open change.
+//! The lease renewal task: requests and renews the admission lease of this process from one voter,
+//! and reports to that voter whether this process is ready for the open change.
 
 use super::ConsensusNode;
 use crate::messages::{Message, Reply};
@@ -8,10 +8,11 @@
 use std::sync::Arc;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The pause after a request without a reply is the renewal interval, divided by this.
+/// The divisor of the renewal interval that gives the pause after a request without a reply.
 const UNANSWERED_PAUSE_DIVISOR: u32 = 20;
 
-/// The state of this process that a request reports. A new request is due at once when it changes.
+/// The state of this process that a lease request reports. When the state changes, a new request is
+/// sent at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct ReportedState {
     version: u64,
@@ -21,7 +22,7 @@
     epoch: u64,
 }
 
-/// Whether a voter replied to a request.
+/// Whether a voter replied to a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestOutcome {
     Replied,
@@ -29,14 +30,15 @@
 }
 
 impl<N: Network> ConsensusNode<N> {
-    /// The task of requesting leases from one voter. It ends with the runtime of the node.
+    /// Runs the lease renewal task for one voter. The task ends with the runtime of the node.
     pub(super) async fn renew_lease(self: Arc<Self>, voter: VoterId) {
         let mut sequence = 0;
         let mut last_reported = None;
         loop {
             sequence += 1;
             let reported = self.reported_state();
-            // The lease counts from before its request, so that it expires at its holder first.
+            // The lease counts from before its request is sent, so that it expires at its holder
+            // before it expires at the voter.
             let requested_at = Instant::now();
             let outcome = self.request_lease(voter, sequence, &reported, requested_at).await;
             if outcome == RequestOutcome::Replied {
@@ -46,10 +48,12 @@
         }
     }
 
-    /// Decides: whether this process requests its lease now, or reports that it released it.
+    /// Returns the state to report, which decides whether this process requests its lease now or
+    /// reports that it released the lease.
+    ///
     /// Inputs: the stage of the open change, and whether the lease is released.
     /// Reason: voters vote for a change as soon as the lease holders have released their leases, so
-    /// that a process reports a release only after it.
+    /// that a process must not report a release before it has released its lease.
     /// Source: Gray and Cheriton, "Leases" (1989): relinquishing a lease.
     fn reported_state(&self) -> ReportedState {
         let state = self.state();
@@ -63,7 +67,7 @@
         }
     }
 
-    /// Requests the lease once, and records the grant.
+    /// Requests the lease once, and records the grant if the voter grants it.
     async fn request_lease(
         &self,
         voter: VoterId,
@@ -90,8 +94,8 @@
         RequestOutcome::Replied
     }
 
-    /// Waits until the renewal is due, or until the state of this process differs from the one that
-    /// the voter has. Other changes cause no request.
+    /// Waits until the renewal is due, or until the state of this process differs from the state
+    /// that was last reported to the voter. Other changes cause no request.
     async fn wait_for_renewal(
         &self,
         requested_at: Instant,
--- a/crates/policy-consensus/src/node/message_handler.rs
+++ b/crates/policy-consensus/src/node/message_handler.rs
@@ -1,4 +1,4 @@
-//! Handles the messages of other processes, and replies to requests.
+//! Handles the messages of other processes and replies to their requests.
 
 use super::state::WaitingFor;
 use super::ConsensusNode;
@@ -59,14 +59,15 @@
         }
     }
 
-    /// Learns from another process that this state is agreed.
+    /// Records and forwards an agreed state that another process announced, unless a later one is
+    /// known.
     pub(super) fn learn_summary(&self, from: &Process, summary: StateSummary) {
         let is_voter = {
             let mut state = self.state();
             if summary.revision <= state.agreed.revision {
                 return;
             }
-            // A voter already has the state that it accepted.
+            // A voter already has the full state if it accepted that state.
             let accepted = state.voter.as_ref().and_then(|voter| voter.accepted_state());
             if let Some(agreed) = accepted.filter(|accepted| accepted.summary() == summary).cloned() {
                 state.full_state = Some(agreed);
@@ -75,7 +76,7 @@
             state.source = Some(from.clone());
             state.voter.is_some()
         };
-        // The proposer may have no connection with some processes that this voter has.
+        // The proposer may not be connected to some processes to which this voter is connected.
         if is_voter {
             self.transport.broadcast(&encode(&Message::Decided(summary)));
         }
--- a/crates/policy-consensus/src/node/mod.rs
+++ b/crates/policy-consensus/src/node/mod.rs
@@ -1,15 +1,16 @@
-//! The part of a process in policy consensus. Read [`ConsensusNode`] first.
+//! The part of policy consensus that runs in each process. Read [`ConsensusNode`] first.
 //!
-//! The node owns the state of the process ([`state`]) and the tasks that act on it:
+//! The node owns the state of the process ([`state`]) and the tasks that act on that state:
 //!
-//! - `catch_up` fetches the agreed state and `apply` makes its version active;
+//! - `catch_up` fetches the agreed state, and `apply` makes its version active;
 //! - `lease_renewal` requests and renews the admission lease;
-//! - `join` recovers the vote of a voter, `voter` replies for it;
-//! - `leader` brings open changes to their end, by the decisions in `leader_decisions` and the
-//!   steps in `change_steps`;
-//! - `proposer` makes one step of the replicated state, `voter_requests` sends requests to voters;
-//! - `message_handler` handles the messages of other processes, `admin` and `status` the requests
-//!   of operators.
+//! - `join` recovers the vote of a voter, and `voter` replies for that voter;
+//! - `leader` moves open changes forward until they finish, by the decisions in `leader_decisions`
+//!   and the steps in `change_steps`;
+//! - `proposer` makes one step of the replicated state, and `voter_requests` sends requests to
+//!   voters;
+//! - `message_handler` handles the messages of other processes, `admin` and `status` handle the
+//!   requests of operators.
 
 mod admin;
 mod apply;
@@ -40,33 +41,34 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The factors by which pauses are multiplied, so that processes do not act at the same times.
+/// The range of the random factors that multiply pauses, so that processes do not act at the same
+/// times.
 const JITTER_FACTORS: Range<f64> = 0.5..1.5;
 
-/// A process of the fleet.
+/// A process of the fleet, as a participant of policy consensus.
 ///
-/// It exists until the process ends, since its tasks hold it.
+/// The node exists until the process ends, because its tasks hold references to it.
 pub struct ConsensusNode<N: Network> {
     settings: Settings,
     /// The name of the fleet.
     cluster: String,
-    /// The proposer of this process in ballots.
+    /// The proposer number of this process in ballots.
     proposer: u64,
     transport: Arc<PeerTransport<N>>,
     applier: Arc<dyn PolicyApplier>,
     lease: Arc<AdmissionLease>,
-    /// Guards the state of this process and its voter. It is not held while a task waits for other
+    /// The state of this process and its voter. The lock is not held while a task waits for other
     /// processes. It is held while a vote is written to the disk, so that votes are sequential.
     state: Mutex<NodeState>,
     /// Wakes the tasks when the state, the lease or the connections have changed.
     changes: ChangeNotifier,
-    /// Guards the random numbers; held for single draws.
+    /// The random number generator; locked for single draws.
     rng: Mutex<StdRng>,
 }
 
 impl<N: Network> ConsensusNode<N> {
     /// Creates the node of a process that has learnt no state yet. Call
-    /// [`ConsensusNode::become_voter`] if it has a voter, then [`ConsensusNode::start`].
+    /// [`ConsensusNode::become_voter`] if the process has a voter, then [`ConsensusNode::start`].
     pub fn new(
         settings: Settings,
         cluster: &str,
@@ -90,8 +92,8 @@
         node
     }
 
-    /// Spawns the tasks of this node on the current runtime. They end when that runtime is dropped,
-    /// at the end of the process.
+    /// Spawns the tasks of this node on the current runtime. The tasks end when that runtime is
+    /// dropped at the end of the process.
     pub fn start(self: &Arc<Self>) {
         tokio::spawn(Arc::clone(self).catch_up());
         for voter in self.settings.voters.ids() {
@@ -101,17 +103,17 @@
         tokio::spawn(Arc::clone(self).lead());
     }
 
-    /// This process.
+    /// Returns the name and the start of this process.
     pub fn process(&self) -> &Process {
         &self.settings.process
     }
 
-    /// The admission lease of this process.
+    /// Returns the admission lease of this process.
     pub fn admission_lease(&self) -> &Arc<AdmissionLease> {
         &self.lease
     }
 
-    /// The connections to other processes.
+    /// Returns the transport that connects this process to other processes.
     pub fn transport(&self) -> &Arc<PeerTransport<N>> {
         &self.transport
     }
@@ -128,7 +130,7 @@
         draw(&mut self.rng.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Returns this duration, multiplied by a random factor of [`JITTER_FACTORS`].
+    /// Returns a duration, multiplied by a random factor from [`JITTER_FACTORS`].
     fn jittered(&self, duration: Duration) -> Duration {
         duration.mul_f64(self.with_rng(|rng| rng.random_range(JITTER_FACTORS)))
     }
--- a/crates/policy-consensus/src/node/proposer.rs
+++ b/crates/policy-consensus/src/node/proposer.rs
@@ -1,8 +1,8 @@
-//! The proposer: one step of the replicated state, compared and set (CASPaxos). Read
-//! [`ConsensusNode::step`] first.
+//! The proposer: makes one step of the replicated state by a compare-and-set operation (CASPaxos).
+//! Read [`ConsensusNode::step`] first.
 //!
-//! A majority promises a ballot, the next state is made of the one that they accepted last, and a
-//! majority accepts it.
+//! A majority promises a ballot, the next state is derived from the state that the majority
+//! accepted last, and a majority accepts the next state.
 
 use super::ConsensusNode;
 use crate::messages::{encode, Message};
@@ -16,23 +16,23 @@
 use thiserror::Error;
 use tokio::time::{sleep, Instant};
 
-/// The pause before the second ballot of a step; it doubles from ballot to ballot.
+/// The pause before the second ballot of a step. The pause doubles from ballot to ballot.
 const MIN_BACKOFF: Duration = Duration::from_millis(8);
 /// The longest pause between two ballots of a step.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
 /// The transition that a step applies to the state.
 pub(super) enum Transition {
-    /// The state stays, and is agreed once more.
+    /// The state stays the same and is agreed once more.
     Keep,
-    /// This state follows.
+    /// The given state becomes the next one.
     Next(ReplicatedState),
-    /// The state stays; the caller gets this conflict.
+    /// The state stays the same, and the caller gets this conflict.
     Reject(Conflict),
 }
 
 impl From<Option<ReplicatedState>> for Transition {
-    /// Makes the next state follow; without one the state stays.
+    /// Returns the transition to the given state, or [`Transition::Keep`] without one.
     fn from(next: Option<ReplicatedState>) -> Transition {
         next.map_or(Transition::Keep, Transition::Next)
     }
@@ -54,7 +54,7 @@
 
 /// The promises of a majority.
 struct Promises {
-    /// The state with the highest ballot among those that they accepted.
+    /// The state with the highest ballot among those that the majority accepted.
     last_state: Option<ReplicatedState>,
     /// The storages that keep the promises.
     storage_ids: BTreeMap<VoterId, StorageId>,
@@ -63,13 +63,13 @@
 /// The state that a ballot puts to the vote.
 struct Proposal {
     state: ReplicatedState,
-    /// Why it is not the transition that the caller requested.
+    /// Why the state is not the result of the transition that the caller requested.
     conflict: Option<Conflict>,
 }
 
 impl<N: Network> ConsensusNode<N> {
-    /// Makes one step: runs ballots until one succeeds or fails with another error than
-    /// [`StepError::NoMajority`], or until the time limit.
+    /// Makes one step: runs ballots until one succeeds, one fails with another error than
+    /// [`StepError::NoMajority`], or the time limit is reached.
     pub(super) async fn step(
         self: &Arc<Self>,
         time_limit: Duration,
@@ -111,7 +111,7 @@
         state.highest_ballot
     }
 
-    /// Phase 1 of Paxos: collects the promises of a majority.
+    /// Collects the promises of a majority (phase 1 of Paxos).
     async fn collect_promises(self: &Arc<Self>, ballot: Ballot) -> Result<Promises, StepError> {
         let majority = self.settings.voters.majority();
         let mut last: Option<AcceptedState> = None;
@@ -133,7 +133,7 @@
         Ok(Promises { last_state: last.map(|accepted| accepted.state), storage_ids })
     }
 
-    /// Phase 2 of Paxos: collects the votes of a majority.
+    /// Collects the votes of a majority (phase 2 of Paxos).
     async fn collect_votes(
         self: &Arc<Self>,
         ballot: Ballot,
@@ -163,7 +163,7 @@
         Ok(())
     }
 
-    /// Records an agreed state, and broadcasts its summary.
+    /// Records an agreed state and broadcasts its summary.
     fn announce_decided(&self, state: ReplicatedState) {
         let summary = state.summary();
         self.state().learn_state(state);
@@ -172,11 +172,12 @@
     }
 }
 
-/// Decides: the state that a ballot puts to the vote.
+/// Returns the state that a ballot puts to the vote.
+///
 /// Inputs: the transition that the caller requests, and the state with the highest ballot that a
 /// majority accepted.
-/// Reason: a state that only a minority accepted may never be agreed. A conflict with it is
-/// reported after that state itself has been agreed.
+/// Reason: a state that only a minority accepted may never be agreed. A conflict with such a state
+/// is therefore reported only after that state itself has been agreed.
 /// Source: Rystsov, "CASPaxos" (2018): the new value is a function of the accepted one.
 fn proposal(requested: Transition, last_state: Option<ReplicatedState>) -> Result<Proposal, StepError> {
     match (requested, last_state) {
@@ -189,7 +190,8 @@
     }
 }
 
-/// Decides: which of two accepted states a ballot continues: the one with the higher ballot.
+/// Returns the accepted state that a ballot continues: of two, the one with the higher ballot.
+///
 /// Inputs: the accepted states of two acceptors, if any.
 /// Reason: a chosen state is accepted in every later ballot, so that the highest ballot has it.
 /// Source: Lamport, "Paxos Made Simple" (2001), section 2.2, condition P2c.
--- a/crates/policy-consensus/src/node/state.rs
+++ b/crates/policy-consensus/src/node/state.rs
@@ -12,31 +12,31 @@
 pub(super) struct VoterState {
     pub(super) id: VoterId,
     pub(super) acceptor: Acceptor,
-    /// The leases that it granted.
+    /// The leases that the voter granted.
     pub(super) leases: LeaseTable,
     pub(super) storage: Box<dyn Storage>,
-    /// The snapshots with which other voters replied to the registration of its storage.
+    /// The snapshots with which other voters replied to the registration of this voter's storage.
     pub(super) snapshots: BTreeMap<VoterId, AcceptorSnapshot>,
 }
 
 impl VoterState {
-    /// Returns the state that it accepted last.
+    /// Returns the state that the voter accepted last.
     pub(super) fn accepted_state(&self) -> Option<&ReplicatedState> {
         self.acceptor.durable().accepted.as_ref().map(|accepted| &accepted.state)
     }
 
-    /// Returns the version of the state that it accepted last; 0 if it accepted none.
+    /// Returns the version of the state that the voter accepted last; 0 if the voter accepted none.
     pub(super) fn accepted_version(&self) -> u64 {
         self.accepted_state().map_or(0, |state| state.version)
     }
 
-    /// Returns the state by which it decides about leases.
+    /// Returns the view on which the voter bases its decisions about leases.
     pub(super) fn view<'a>(&self, agreed: &'a StateSummary) -> VoterView<'a> {
         VoterView { agreed, accepted_version: self.accepted_version() }
     }
 }
 
-/// An agreed version that cannot be active here.
+/// An agreed version that this process cannot make active, with the reason.
 pub(super) struct UnusableVersion {
     pub(super) version: u64,
     pub(super) reason: String,
@@ -49,38 +49,38 @@
     pub(super) names: Vec<String>,
 }
 
-/// The state of a process.
+/// The state of a process in policy consensus.
 #[derive(Default)]
 pub(super) struct NodeState {
-    /// The latest agreed state that it learnt.
+    /// The latest agreed state that the process learnt.
     pub(super) agreed: StateSummary,
     /// A complete agreed state, which may be earlier than `agreed`.
     pub(super) full_state: Option<ReplicatedState>,
-    /// The process from which it learnt the latest one.
+    /// The process from which this process learnt `agreed`.
     pub(super) source: Option<Process>,
-    /// The version that is active here.
+    /// The version that is active at this process.
     pub(super) active_version: u64,
-    /// Why the agreed version is not active here.
+    /// Why the agreed version is not active at this process.
     pub(super) unusable: Option<UnusableVersion>,
     /// The readiness of this process for the open change.
     pub(super) readiness: Option<ChangeReadiness>,
     /// The processes for which the open change waits.
     pub(super) waiting: WaitingFor,
-    /// The highest ballot that it has seen.
+    /// The highest ballot that the process has seen.
     pub(super) highest_ballot: Ballot,
     /// The voter of this process, if it has one.
     pub(super) voter: Option<VoterState>,
-    /// Whether it has held an admission lease.
+    /// Whether the process has held an admission lease.
     pub(super) has_held_lease: bool,
 }
 
 impl NodeState {
-    /// Returns the revision of the full state; 0 without one.
+    /// Returns the revision of the full state; 0 without a full state.
     pub(super) fn full_revision(&self) -> u64 {
         self.full_state.as_ref().map_or(0, |state| state.revision)
     }
 
-    /// Keeps an agreed state unless a later one is known, and its summary likewise.
+    /// Records an agreed state and its summary, unless a later one is known.
     pub(super) fn learn_state(&mut self, state: ReplicatedState) {
         if state.revision >= self.agreed.revision {
             self.agreed = state.summary();
--- a/crates/policy-consensus/src/node/status.rs
+++ b/crates/policy-consensus/src/node/status.rs
@@ -1,4 +1,4 @@
-//! The status of a process, for operators. Read [`NodeStatus`] first.
+//! The status of a process, as reported to operators. Read [`NodeStatus`] first.
 
 use super::state::{NodeState, UnusableVersion};
 use super::ConsensusNode;
@@ -7,23 +7,25 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Whether a process admits requests, and if not, why.
+/// Whether a process admits requests, and why not otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConsensusStatus {
-    /// It admits requests under the agreed version.
+    /// The process admits requests under the agreed version.
     Steady,
-    /// It admits requests under the agreed version, and a change is open.
+    /// The process takes part in an open change: it holds its admission lease, or has released the
+    /// lease for the change.
     Changing,
-    /// It has not held an admission lease yet, or the agreed version is not active here.
+    /// The process has not held an admission lease yet, or the agreed version is not active at the
+    /// process.
     CatchingUp,
-    /// Its admission lease has expired.
+    /// The admission lease of the process has expired.
     Fenced,
 }
 
 /// The status of a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// The version that is active here.
+    /// The version that is active at the process.
     pub active_version: u64,
     /// The digest of the agreed version.
     pub agreed_digest: Digest,
@@ -45,9 +47,10 @@
         }
     }
 
-    /// Decides: whether this process admits requests, is catching up, or is fenced.
+    /// Decides whether this process admits requests, is catching up, or is fenced.
+    ///
     /// Inputs: the active and the agreed version, the open change, and the admission lease.
-    /// Reason: a process without a lease may not admit requests, since another version may be
+    /// Reason: a process without a lease may not admit requests, because another version may be
     /// active elsewhere.
     fn consensus_status(&self, state: &NodeState) -> ConsensusStatus {
         let is_current = state.active_version == state.agreed.version && state.unusable.is_none();
@@ -74,7 +77,7 @@
     }
 
     /// Returns the reason why this process does not admit requests. `GET /control/ready` responds
-    /// with it, so that the texts keep the words that operators know.
+    /// with the reason, so the texts keep the words that operators know.
     pub fn not_ready_reason(&self) -> String {
         let state = self.state();
         if let Some(unusable) = &state.unusable {
--- a/crates/policy-consensus/src/node/voter.rs
+++ b/crates/policy-consensus/src/node/voter.rs
@@ -1,6 +1,6 @@
-//! The voter of this process: how it begins and ends, and the replies of its acceptor and its lease
-//! table. A promise or a vote is on the disk before its reply is sent; the lease table is not
-//! stored.
+//! The voter of this process: how the voter begins and ends, and the replies of its acceptor and
+//! its lease table. A promise or a vote is on the disk before its reply is sent. The lease table is
+//! not stored.
 
 use super::state::VoterState;
 use super::ConsensusNode;
@@ -17,15 +17,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A process that holds no lease and made no request for this long is removed from the lease table.
+/// The time without a request after which a process that holds no lease is removed from the lease
+/// table.
 const HOLDER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl<N: Network> ConsensusNode<N> {
-    /// Gives this process a voter, with the state that its storage keeps.
+    /// Gives this process a voter, with the state that the storage keeps.
     ///
     /// # Errors
     ///
-    /// If the storage cannot be read, or rejects a first state.
+    /// If the storage cannot be read, or rejects the write of a first state.
     pub fn become_voter(&self, id: VoterId, mut storage: Box<dyn Storage>) -> io::Result<()> {
         let durable = self.load_or_create(id, &mut *storage)?;
         let voter = VoterState {
@@ -41,7 +42,8 @@
         Ok(())
     }
 
-    /// Takes the voter from this process: another process of this proxy has it.
+    /// Removes the voter from this process, because another process of this proxy has the voter
+    /// from now on.
     pub fn resign_voter(&self) {
         self.state().voter = None;
         self.transport.set_voter_id(None);
@@ -54,7 +56,7 @@
             LoadOutcome::SetAside(reason) => {
                 let suffix = reason.file_suffix();
                 let line =
-                    format!("ERROR: this founder's state was set aside as \"{suffix}\": it is {reason}");
+                    format!("ERROR: this founder's state file was set aside as \"{suffix}\": {reason}");
                 self.applier.log(&line);
             }
         }
@@ -64,7 +66,7 @@
         Ok(durable)
     }
 
-    /// Replies to phase 1 of a ballot; `None` without a voter.
+    /// Returns the reply to phase 1 of a ballot, or `None` without a voter.
     pub(super) fn prepare(&self, ballot: Ballot) -> Option<AcceptorReply> {
         let mut state = self.state();
         state.observe_ballot(ballot);
@@ -73,10 +75,10 @@
         Some(self.reply_once_stored(voter, decision))
     }
 
-    /// Replies to phase 2 of a ballot; `None` without a voter.
+    /// Returns the reply to phase 2 of a ballot, or `None` without a voter.
     ///
-    /// Invariant: leases are examined when the vote is given, not before. A voter that was
-    /// suspended would otherwise vote by an earlier state of its lease table.
+    /// Invariant: leases are examined when the vote is given, not before. Otherwise a voter that
+    /// was suspended would vote by an earlier state of its lease table.
     pub(super) fn accept(
         &self,
         ballot: Ballot,
@@ -92,8 +94,8 @@
         Some(self.reply_once_stored(voter, decision))
     }
 
-    /// Replies to the registration of another voter's storage; `None` without a voter, or if its
-    /// disk rejects the write.
+    /// Returns the reply to the registration of another voter's storage, or `None` if this process
+    /// has no voter or its disk rejects the write.
     pub(super) fn register_storage(&self, other: VoterId, storage_id: StorageId) -> Option<Reply> {
         let mut state = self.state();
         let voter = state.voter.as_mut()?;
@@ -104,10 +106,10 @@
         Some(Reply::StorageRegistered(reply))
     }
 
-    /// Replies to a request for a lease; `None` without a voter.
+    /// Returns the reply to a request for a lease, or `None` without a voter.
     ///
-    /// Invariant: a recovering voter grants no lease, since it may have lost a state that it
-    /// accepted and would grant leases for a version that is no longer active.
+    /// Invariant: a recovering voter grants no lease, because it may have lost a state that it
+    /// accepted and would then grant leases for a version that is no longer active.
     pub(super) fn decide_lease(&self, process: &Process, request: LeaseRequest) -> Option<Reply> {
         let readiness = request.readiness.as_ref().map(|reported| &reported.readiness);
         let is_change_rejected = matches!(readiness, Some(Readiness::Rejected(_)));
@@ -132,14 +134,14 @@
         Some(reply)
     }
 
-    /// Returns the processes that may hold a lease now; `None` without a voter.
+    /// Returns the processes that may hold a lease now, or `None` without a voter.
     pub(super) fn list_holders(&self, change_id: &str) -> Option<Reply> {
         let state = self.state();
         let voter = state.voter.as_ref()?;
         Some(Reply::Holders(voter.leases.holders(Instant::now(), change_id)))
     }
 
-    /// Stores a state of this process's voter; returns whether that succeeded.
+    /// Stores a state of this process's voter. Returns whether that succeeded.
     pub(super) fn store_voter_state(&self, durable: DurableState) -> bool {
         let mut state = self.state();
         let Some(voter) = state.voter.as_mut() else {
@@ -148,7 +150,7 @@
         self.store(voter, durable).is_ok()
     }
 
-    /// Returns the reply of a decision after the disk has the state on which it rests.
+    /// Returns the reply of a decision once the state on which the reply rests is on the disk.
     fn reply_once_stored(
         &self,
         voter: &mut VoterState,
@@ -163,13 +165,14 @@
         }
     }
 
-    /// Stores the state of a voter; a failure is logged.
+    /// Stores the state of a voter. A failure is logged.
     fn store(&self, voter: &mut VoterState, durable: DurableState) -> io::Result<()> {
         let stored = storage::save(&mut *voter.storage, &self.cluster, voter.id, &durable);
         match &stored {
             Ok(()) => voter.acceptor.mark_durable(durable),
             Err(error) => {
-                self.applier.log(&format!("ERROR: this founder cannot vote: its disk: {error}"));
+                self.applier
+                    .log(&format!("ERROR: this founder cannot vote: writing its state failed: {error}"));
             }
         }
         stored
--- a/crates/policy-consensus/src/node/voter_requests.rs
+++ b/crates/policy-consensus/src/node/voter_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to voters, also to the voter of this process.
+//! Sends requests to voters, including the voter of this process.
 
 use super::ConsensusNode;
 use crate::messages::{decode, encode, Message, Reply};
@@ -8,14 +8,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The reply of one voter to a message of a ballot.
+/// The reply of one voter to a ballot message.
 pub(super) struct VoterReply {
     pub(super) voter: VoterId,
     pub(super) reply: AcceptorReply,
 }
 
 impl<N: Network> ConsensusNode<N> {
-    /// Sends a request to a voter; `None` if it does not reply in time.
+    /// Sends a request to a voter; returns `None` if the voter does not reply in time.
     pub(super) async fn request_from_voter(&self, voter: VoterId, message: &Message) -> Option<Reply> {
         let is_own = self.state().voter.as_ref().is_some_and(|own| own.id == voter);
         if is_own {
@@ -25,7 +25,7 @@
         self.request_from_process(&process, message, self.settings.timing.request_timeout).await
     }
 
-    /// Sends a request to another process; `None` if it does not reply in time.
+    /// Sends a request to another process; returns `None` if the process does not reply in time.
     pub(super) async fn request_from_process(
         &self,
         process: &Process,
@@ -36,8 +36,8 @@
         decode(&reply)
     }
 
-    /// Sends a message of a ballot to all voters, and returns their replies as they arrive. The
-    /// channel closes when every voter has replied or timed out.
+    /// Sends a ballot message to all voters, and returns their replies as they arrive. The channel
+    /// closes when every voter has replied or timed out.
     pub(super) fn send_to_acceptors(
         self: &Arc<Self>,
         message: &Message,
@@ -50,7 +50,7 @@
             // The task ends when the voter has replied, or after `timing.request_timeout`.
             tokio::spawn(async move {
                 if let Some(Reply::Acceptor(reply)) = node.request_from_voter(voter, &message).await {
-                    // The receiver is dropped when a majority has replied.
+                    // Sending fails if the receiver was dropped because a majority has replied.
                     let _ = sender.send(VoterReply { voter, reply });
                 }
             });
--- a/crates/policy-consensus/src/replicated_state.rs
+++ b/crates/policy-consensus/src/replicated_state.rs
@@ -24,7 +24,7 @@
 /// The state that the voters agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The number of transitions that led to this state; the first state of a fleet has revision 1.
+    /// The counter of transitions; the first state of a fleet has revision 1.
     pub revision: u64,
     /// The active version of the policy.
     pub version: u64,
@@ -149,8 +149,8 @@
         Ok(self.next_with_open_change(change))
     }
 
-    /// Returns the state in which the open change is at another stage, or `None` if this attempt of
-    /// the change is not open or is already at that stage.
+    /// Returns the next state, in which the open change has moved to another stage, or `None` if
+    /// this attempt of the change is not open or is already at that stage.
     ///
     /// Inputs: the id and the attempt of the change, and the stage.
     /// Reason: a leader that acts on an earlier attempt must not move the present one.
@@ -171,8 +171,8 @@
         Some(self.next_with_open_change(next))
     }
 
-    /// Returns the state in which the open change is finished, or `None` if the change is not open
-    /// or may not be committed yet. A committed change makes its version the active one.
+    /// Returns the next state, in which the open change has finished, or `None` if the change is
+    /// not open or may not be committed yet. A committed change makes its version the active one.
     ///
     /// Inputs: the id of the change, its outcome, and the reason for the outcome.
     /// Reason: a change finishes once; a leader that repeats the step has no effect.
--- a/crates/policy-consensus/src/replicated_state/tests.rs
+++ b/crates/policy-consensus/src/replicated_state/tests.rs
@@ -14,7 +14,7 @@
     let closing = preparing.advance("x", 1, Stage::Closing).unwrap();
     let second_attempt = closing.advance("x", 1, STRICT).unwrap();
     assert_eq!(second_attempt.open_change.as_ref().unwrap().attempt, 2);
-    assert_eq!(second_attempt.advance("x", 1, Stage::Closing), None, "that attempt has ended");
+    assert_eq!(second_attempt.advance("x", 1, Stage::Closing), None, "the first attempt has ended");
 
     let closing = second_attempt.advance("x", 2, Stage::Closing).unwrap();
     let committed = closing.finish("x", Outcome::Committed, "").unwrap();
--- a/crates/policy-consensus/src/storage/error.rs
+++ b/crates/policy-consensus/src/storage/error.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
     /// The file is incomplete, or its checksum is wrong.
-    #[error("corrupt")]
+    #[error("the file is incomplete, or its checksum is wrong")]
     Corrupt,
     /// The file is not a state file, or belongs to another cluster or voter.
-    #[error("a file of another cluster, voter or program")]
+    #[error("the file belongs to another cluster, voter or program")]
     OtherCluster,
     /// A newer version of this program wrote the file.
-    #[error("of a newer version of this program")]
+    #[error("a newer version of this program wrote the file")]
     NewerVersion,
 }
 
--- a/crates/policy-consensus/src/storage/format/tests.rs
+++ b/crates/policy-consensus/src/storage/format/tests.rs
@@ -34,7 +34,7 @@
     assert_eq!(decode(other_file, "f", VOTER), Err(DecodeError::OtherCluster));
 }
 
-/// Operators know the names of files that were set aside.
+/// Operators rely on the names of files that were set aside.
 #[test]
 fn each_decode_error_has_its_own_file_suffix() {
     assert_eq!(DecodeError::Corrupt.file_suffix(), "torn");
--- a/crates/policy-consensus/tests/simulated.rs
+++ b/crates/policy-consensus/tests/simulated.rs
@@ -1,8 +1,8 @@
-//! The tasks of policy consensus on simulated hosts, network and time.
+//! Runs the tasks of policy consensus on simulated hosts, network and time.
 
 use pinetrail_simulation::policy_consensus::{play, play_seed, Fault, OutcomeCounts, Plan, Run, Verdict};
 
-/// The time at which the change of a plan without other faults is proposed.
+/// The simulated time at which the only change of a plan is proposed.
 const PROPOSED_AT_MS: u64 = 4000;
 
 fn play_without_violation(plan: Plan) -> Run {
