--- a/crates/policy-consensus/src/lease_table.rs
+++ b/crates/policy-consensus/src/lease_table.rs
@@ -1,7 +1,7 @@
 //! The admission leases that a voter granted, timed by its own clock. Read [`LeaseTable`] first.
 //!
-//! The voter votes for no state while a lease for another version may be held. No function here
-//! waits.
+//! The voter votes for a state only while no lease for another version may be held. No function
+//! here waits.
 
 use crate::{
     BlockingLease, ChangeReadiness, LeaseHolder, LeaseRequest, Readiness, ReplicatedState, Stage,
@@ -105,7 +105,7 @@
 }
 
 impl VoterView<'_> {
-    /// Returns why a lease must not be granted, or `None` if it may be.
+    /// Returns why a lease must not be granted, or `None` if it may be granted.
     ///
     /// Inputs: the agreed state with its open change, the version that the voter accepted last, and
     /// the version and the readiness of the process.
--- a/crates/policy-consensus/src/node/state.rs
+++ b/crates/policy-consensus/src/node/state.rs
@@ -80,7 +80,8 @@
         self.full_state.as_ref().map_or(0, |state| state.revision)
     }
 
-    /// Records an agreed state and its summary, unless a later one is known.
+    /// Records an agreed state as the full state, and its summary as the agreed one; each only if
+    /// no later one is known.
     pub(super) fn learn_state(&mut self, state: ReplicatedState) {
         if state.revision >= self.agreed.revision {
             self.agreed = state.summary();
--- a/crates/policy-consensus/src/settings.rs
+++ b/crates/policy-consensus/src/settings.rs
@@ -81,7 +81,7 @@
         require(self.change_timeout >= shortest_change, "change_ms", "at least permit_ms + ready_ms")
     }
 
-    /// Returns the duration of a lease at the voter that granted it. This is longer than at the
+    /// Returns the duration of a lease at the voter that granted it, which is longer than at the
     /// holder by the greatest difference between the rates of their clocks.
     #[must_use]
     pub fn lease_at_voter(&self) -> Duration {
