--- a/crates/experiments/src/membership/script.rs
+++ b/crates/experiments/src/membership/script.rs
@@ -73,7 +73,7 @@
             Fault::Cut(from, to) => self.fleet.network.cut(*from, *to),
             Fault::Partition(sides) => {
                 let sides: Vec<&[usize]> = sides.iter().map(Vec::as_slice).collect();
-                self.fleet.network.cut_into(&sides);
+                self.fleet.network.partition(&sides);
             }
             Fault::Heal => self.fleet.network.heal(),
             Fault::Loss(percent) => self.fleet.network.loss = f64::from(*percent) / 100.0,
--- a/crates/experiments/src/policy/mod.rs
+++ b/crates/experiments/src/policy/mod.rs
@@ -100,7 +100,7 @@
     }
     let runs: Vec<Run> =
         (options.seed..options.seed + options.seeds).into_par_iter().map(play_seed).collect();
-    let violations = runs.iter().filter(|run| run.verdict != Verdict::Good);
+    let violations = runs.iter().filter(|run| run.verdict != Verdict::Passed);
     let sum = |of: fn(&OutcomeCounts) -> u32| runs.iter().map(|run| of(&run.outcomes)).sum();
     let seeds = Seeds {
         first: options.seed,
@@ -191,7 +191,7 @@
     let runs: Vec<Run> = (seed..seed + changes)
         .into_par_iter()
         .map(|seed| {
-            let plan = Plan::quiet(seed, members, MAX_VOTERS.min(members))
+            let plan = Plan::without_faults(seed, members, MAX_VOTERS.min(members))
                 .with_fault(PROPOSAL_AT_MS, Fault::Propose(members - 2));
             play(match disturbance {
                 Disturbance::None => plan,
--- a/crates/experiments/src/quota/day/world.rs
+++ b/crates/experiments/src/quota/day/world.rs
@@ -94,7 +94,7 @@
         match fault {
             Fault::Leave(proxy) => {
                 if let Some(quota) = &mut self.quota {
-                    quota.leave(proxy);
+                    quota.begin_shutdown(proxy);
                 }
             }
             Fault::Die(proxy) => {
@@ -129,7 +129,7 @@
             self.actual.side[*proxy] = 1;
         }
         if let Some(quota) = &mut self.quota {
-            quota.network.cut_into(&[&even, &odd]);
+            quota.network.partition(&[&even, &odd]);
         }
     }
 
--- a/crates/experiments/src/quota/proof.rs
+++ b/crates/experiments/src/quota/proof.rs
@@ -5,7 +5,7 @@
 use crate::output::progress_bar;
 use clap::Args;
 use indicatif::ParallelProgressIterator;
-use pinetrail_simulation::model::Scope;
+use pinetrail_simulation::model::QuotaModel;
 use pinetrail_simulation::seeds;
 use rayon::prelude::*;
 use std::time::Instant;
@@ -52,7 +52,7 @@
         println!("  {line}");
     }
     let begun = Instant::now();
-    let found = Scope::new(options.faults, options.ticks, rates).explore(threads);
+    let found = QuotaModel::new(options.faults, options.ticks, rates).explore(threads);
     println!(
         "{} faults in {} ticks: {} states, {} of them different, in {:.1} s: {} properties do not hold",
         options.faults,
--- a/crates/membership/tests/hard_cases/admission.rs
+++ b/crates/membership/tests/hard_cases/admission.rs
@@ -21,7 +21,7 @@
     let known_to = |host| fleet.member(host).map_or(0, |member| member.members().len());
     let known: Vec<usize> = (0..4).map(known_to).collect();
     assert!(known.iter().all(|known| *known <= 4), "{known:?}");
-    assert!(fleet.counts(0).dropped_fleet_full > 0);
+    assert!(fleet.counters(0).dropped_fleet_full > 0);
     let is_rejection = |event: &MembershipEvent| matches!(event, MembershipEvent::FleetFull(_, 4));
     assert!(fleet.observed.iter().any(|observed| is_rejection(&observed.event)));
     assert!(fleet.false_failures() == 0, "admitted members are not affected");
@@ -57,14 +57,14 @@
             to_another.extend(datagrams(&outputs));
         }
     }
-    assert_eq!(fleet.counts(0).dropped_fleet_full, 0, "discovery takes no capacity");
+    assert_eq!(fleet.counters(0).dropped_fleet_full, 0, "discovery takes no capacity");
     // Member 0 gets messages of SWIM that are for another member: its SWIM rejects them, but their
     // names take capacity until they are pruned.
     assert_eq!(to_another.len(), 200);
     for bytes in &to_another {
         fleet.act(0, |member, now, out| member.handle_datagram(now, host_address(3), bytes, out));
     }
-    assert!(fleet.counts(0).dropped_fleet_full > 0, "the names take capacity until they are pruned");
+    assert!(fleet.counters(0).dropped_fleet_full > 0, "the names take capacity until they are pruned");
     fleet.run(2_000);
     for host in [2, 3] {
         fleet.start_member(host, 4, &[0, 1]);
@@ -97,7 +97,7 @@
         fleet.act(0, |member, now, out| member.handle_datagram(now, host_address(3), &bytes, out));
     }
     fleet.run(10_000);
-    let counts = fleet.counts(0);
+    let counts = fleet.counters(0);
     let dropped = counts.dropped_unknown_protocol
         + counts.dropped_corrupt
         + counts.dropped_unsupported_version
--- a/crates/membership/tests/hard_cases/failure_detection.rs
+++ b/crates/membership/tests/hard_cases/failure_detection.rs
@@ -50,7 +50,7 @@
         fleet.network.delay = (1, 80);
         fleet.run(120_000);
         assert_eq!(fleet.false_failures(), 0, "seed {seed}");
-        assert!(fleet.counts(0).dropped_corrupt > 0);
+        assert!(fleet.counters(0).dropped_corrupt > 0);
     }
 }
 
--- a/crates/membership/tests/hard_cases/partitions.rs
+++ b/crates/membership/tests/hard_cases/partitions.rs
@@ -12,7 +12,7 @@
 fn both_sides_of_a_partition_see_it_and_it_heals_without_a_restart() {
     for seed in 0..10 {
         let mut fleet = five_members(seed);
-        fleet.network.cut_into(&[&[0, 1, 2], &[3, 4]]);
+        fleet.network.partition(&[&[0, 1, 2], &[3, 4]]);
         assert!(
             fleet.run_until(8_000, |fleet| fleet.all_agree(&[0, 1, 2]) && fleet.all_agree(&[3, 4])),
             "seed {seed}"
@@ -48,7 +48,7 @@
         fleet.start_member_with(host, settings);
     }
     assert!(fleet.run_until(5_000, |fleet| fleet.all_agree(&[0, 1, 2, 3])));
-    fleet.network.cut_into(&[&[0, 1], &[2, 3]]);
+    fleet.network.partition(&[&[0, 1], &[2, 3]]);
     fleet.run(30_000);
     let is_forgotten = |event: &MembershipEvent| matches!(event, MembershipEvent::Forgotten(_));
     assert!(fleet.observed.iter().any(|observed| is_forgotten(&observed.event)));
@@ -62,7 +62,7 @@
 fn neither_half_of_a_fleet_of_four_is_a_majority() {
     let mut fleet = Fleet::with_members(4, 1, &[0, 1, 2, 3]);
     assert!(fleet.run_until(5_000, |fleet| fleet.all_agree(&[0, 1, 2, 3])));
-    fleet.network.cut_into(&[&[0, 1], &[2, 3]]);
+    fleet.network.partition(&[&[0, 1], &[2, 3]]);
     let minority =
         |fleet: &Fleet<Membership>| (0..4).all(|host| fleet.side(host) == Some(PartitionSide::Minority));
     assert!(fleet.run_until(10_000, minority));
@@ -73,7 +73,7 @@
 fn neither_of_two_that_lose_each_other_is_a_majority() {
     let mut fleet = Fleet::with_members(2, 1, &[0, 1]);
     assert!(fleet.run_until(5_000, |fleet| fleet.all_agree(&[0, 1])));
-    fleet.network.cut_into(&[&[0], &[1]]);
+    fleet.network.partition(&[&[0], &[1]]);
     let both_are =
         |fleet: &Fleet<Membership>, side| fleet.side(0) == Some(side) && fleet.side(1) == Some(side);
     assert!(fleet.run_until(10_000, |fleet| both_are(fleet, PartitionSide::Alone)));
--- a/crates/membership/tests/hard_cases/pauses.rs
+++ b/crates/membership/tests/hard_cases/pauses.rs
@@ -41,7 +41,7 @@
         let mut fleet = five_members(seed);
         // The member has just begun to suspect another, whose time to refute passes during the
         // pause.
-        fleet.network.cut_into(&[&[1], &[0, 2, 3, 4]]);
+        fleet.network.partition(&[&[1], &[0, 2, 3, 4]]);
         assert!(fleet.run_until(4_000, |fleet| sees_any(fleet, MemberState::Suspect)));
         fleet.pause(PAUSED);
         fleet.network.heal();
--- a/crates/membership/tests/hard_cases/suspicions.rs
+++ b/crates/membership/tests/hard_cases/suspicions.rs
@@ -22,10 +22,10 @@
 fn inject_fault(fleet: &mut Fleet<Membership>, random: &mut StdRng) {
     let host = random.random_range(0..ALL.len());
     match random.random_range(0..8) {
-        0 => fleet.network.cut_into(&[&[host], &others(host)]),
+        0 => fleet.network.partition(&[&[host], &others(host)]),
         1 => {
             let (side, rest) = ALL.split_at(random.random_range(1..ALL.len()));
-            fleet.network.cut_into(&[side, rest]);
+            fleet.network.partition(&[side, rest]);
         }
         2 => fleet.network.cut(host, random.random_range(0..ALL.len())),
         3 | 4 => fleet.network.heal(),
--- a/crates/policy-consensus/tests/simulated.rs
+++ b/crates/policy-consensus/tests/simulated.rs
@@ -7,13 +7,13 @@
 
 fn play_without_violation(plan: Plan) -> Run {
     let run = play(plan);
-    assert_eq!(run.verdict, Verdict::Good, "{}", run.log.join("\n"));
+    assert_eq!(run.verdict, Verdict::Passed, "{}", run.log.join("\n"));
     run
 }
 
 #[test]
 fn a_fleet_without_faults_commits_a_change() {
-    let plan = Plan::quiet(1, 5, 3).with_fault(PROPOSED_AT_MS, Fault::Propose(4));
+    let plan = Plan::without_faults(1, 5, 3).with_fault(PROPOSED_AT_MS, Fault::Propose(4));
 
     let run = play_without_violation(plan);
 
@@ -25,7 +25,7 @@
 #[test]
 fn a_change_that_one_host_rejects_is_rejected_for_all() {
     let fault = Fault::ProposeRejected { host: 0, rejected_by: 4 };
-    let plan = Plan::quiet(1, 5, 3).with_fault(PROPOSED_AT_MS, fault);
+    let plan = Plan::without_faults(1, 5, 3).with_fault(PROPOSED_AT_MS, fault);
 
     let run = play_without_violation(plan);
 
@@ -37,7 +37,7 @@
 fn fleets_under_seeded_faults_keep_the_invariants() {
     for seed in 0..40 {
         let run = play_seed(seed);
-        assert_eq!(run.verdict, Verdict::Good, "seed {seed}\n{}", run.log.join("\n"));
+        assert_eq!(run.verdict, Verdict::Passed, "seed {seed}\n{}", run.log.join("\n"));
     }
 }
 
--- a/crates/quota/tests/guarantees.rs
+++ b/crates/quota/tests/guarantees.rs
@@ -3,7 +3,7 @@
 
 use pinetrail_clock::whole_millis;
 use pinetrail_quota::{Parts, Process, QuotaEvent, LEASABLE_PARTS, TOTAL_PARTS};
-use pinetrail_simulation::model::{PropertyViolation, Scope};
+use pinetrail_simulation::model::{PropertyViolation, QuotaModel};
 use pinetrail_simulation::quota::QuotaSimulation;
 use pinetrail_simulation::seeds::{self, Violation};
 
@@ -52,7 +52,7 @@
 /// explore more.
 #[test]
 fn in_every_order_of_faults_quotas_never_exceed_the_whole_and_leases_become_equal() {
-    let found = Scope::new(2, 5, [1000, 1010, 990]).explore(2);
+    let found = QuotaModel::new(2, 5, [1000, 1010, 990]).explore(2);
     assert!(found.violations.is_empty() && found.unique_states > 10_000, "{found:?}");
 }
 
@@ -60,7 +60,7 @@
 /// skew break the guarantee.
 #[test]
 fn clocks_beyond_the_permitted_skew_break_the_guarantee() {
-    let found = Scope::new(1, 10, [1000, 1000, 600]).explore(2);
+    let found = QuotaModel::new(1, 10, [1000, 1000, 600]).explore(2);
     let is_over = |violation: &PropertyViolation| {
         violation.property == "quotas add up to one at the most" && violation.actions.is_some()
     };
@@ -94,7 +94,7 @@
     let mut simulation = settled_fleet(HOSTS, 8, 2);
     let minimum = simulation.settings.guaranteed_minimum();
     let processes: Vec<Process> = (0..HOSTS).map(|host| simulation.process(host)).collect();
-    simulation.network.cut_into(&[&[0, 1], &[2, 3, 4]]);
+    simulation.network.partition(&[&[0, 1], &[2, 3, 4]]);
     let cut_at = simulation.now();
 
     simulation.run(lease_millis(&simulation));
@@ -136,7 +136,7 @@
         assert!(all.iter().all(|host| simulation.usable_parts(*host) == equal), "{hosts} hosts");
 
         let (one, other) = all.split_at(hosts / 2);
-        simulation.network.cut_into(&[one, other]);
+        simulation.network.partition(&[one, other]);
         simulation.run(15_000);
         let quotas: Vec<Parts> = all.iter().map(|host| simulation.usable_parts(*host)).collect();
         let expected = quotas_in_halves(hosts, simulation.settings.guaranteed_minimum());
@@ -192,12 +192,12 @@
     for seed in 0..40 {
         let (mut simulation, leader) = fleet_of_two_voters(seed);
         let other = 1 - leader;
-        simulation.network.cut_into(&[&[leader], &[2, 3, 4]]);
+        simulation.network.partition(&[&[leader], &[2, 3, 4]]);
         start(&mut simulation, 2..HOSTS);
         simulation.run(8_000 + seed * 61);
 
         simulation.start(other);
-        simulation.network.cut_into(&[&[leader], &[other]]);
+        simulation.network.partition(&[&[leader], &[other]]);
         simulation.run(10_000);
 
         assert!(
@@ -228,7 +228,7 @@
     for seed in 0..20 {
         let (mut simulation, leader) = fleet_of_two_voters(seed);
         let other = 1 - leader;
-        simulation.network.cut_into(&[&[leader], &[other, 2, 3, 4]]);
+        simulation.network.partition(&[&[leader], &[other, 2, 3, 4]]);
         start(&mut simulation, 2..HOSTS);
         // At this moment the founder knows that it leads, and `other` does not know it yet.
         if !run_until_a_founder_leads(&mut simulation) {
@@ -237,7 +237,7 @@
         tried += 1;
 
         simulation.network.heal();
-        simulation.network.cut_into(&[&[leader, other], &[2, 3, 4]]);
+        simulation.network.partition(&[&[leader, other], &[2, 3, 4]]);
         simulation.run(15_000);
 
         assert!(
@@ -258,7 +258,7 @@
 fn a_process_that_shuts_down_is_no_voter_when_it_exits() {
     let mut simulation = settled_fleet(10, 10, 5);
     for host in 0..7 {
-        simulation.leave(host);
+        simulation.begin_shutdown(host);
     }
     simulation.run(1_500);
 
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -46,13 +46,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Pauses {
     /// How long a pause lasts.
-    pub lasts: (Time, Time),
+    pub duration: (Time, Time),
     /// How long it is from the end of a pause to the beginning of the next.
-    pub apart: (Time, Time),
+    pub interval: (Time, Time),
 }
 
 /// Pauses after which a member must not be declared failed: 200 to 450 ms every 1.7 to 6 s.
-pub const BRIEF_PAUSES: Pauses = Pauses { lasts: (200, 450), apart: (1700, 6000) };
+pub const BRIEF_PAUSES: Pauses = Pauses { duration: (200, 450), interval: (1700, 6000) };
 
 struct Host<M> {
     /// What runs on it.
--- a/crates/simulation/src/fleet/members.rs
+++ b/crates/simulation/src/fleet/members.rs
@@ -90,7 +90,7 @@
     }
 
     /// The counters of the member on a host.
-    pub fn counts(&self, host: usize) -> MembershipCounters {
+    pub fn counters(&self, host: usize) -> MembershipCounters {
         self.member(host).map_or_else(MembershipCounters::default, Membership::counters)
     }
 
--- a/crates/simulation/src/fleet/schedule.rs
+++ b/crates/simulation/src/fleet/schedule.rs
@@ -32,8 +32,8 @@
             Event::Pause { host } => {
                 if let Some(pauses) = self.pauses.filter(|_| self.hosts[host].member.is_some()) {
                     self.pause(host);
-                    let lasts = self.rng.random_range(pauses.lasts.0..=pauses.lasts.1);
-                    self.schedule(lasts, Event::Resume { host });
+                    let duration = self.rng.random_range(pauses.duration.0..=pauses.duration.1);
+                    self.schedule(duration, Event::Resume { host });
                 }
             }
             Event::Resume { host } => {
@@ -46,7 +46,7 @@
     /// Sends a datagram over the network, which may lose, repeat, delay or damage it.
     pub(super) fn send(&mut self, from: usize, to: SocketAddr, bytes: &[u8]) {
         let Some(to) = self.hosts_by_address.get(&to).copied() else { return };
-        for (delay, damaged_byte) in self.network.carry(&mut self.rng, from, to, bytes.len()) {
+        for (delay, damaged_byte) in self.network.transmit(&mut self.rng, from, to, bytes.len()) {
             let mut bytes = bytes.to_vec();
             if let Some(index) = damaged_byte {
                 bytes[index] ^= 1 << (delay % 8);
@@ -67,8 +67,8 @@
     /// Schedules the next pause of the process on a host, if processes pause at all.
     pub(super) fn schedule_pause(&mut self, host: usize) {
         if let Some(pauses) = self.pauses {
-            let apart = self.rng.random_range(pauses.apart.0..=pauses.apart.1);
-            self.schedule(apart, Event::Pause { host });
+            let interval = self.rng.random_range(pauses.interval.0..=pauses.interval.1);
+            self.schedule(interval, Event::Pause { host });
         }
     }
 
--- a/crates/simulation/src/model.rs
+++ b/crates/simulation/src/model.rs
@@ -18,7 +18,7 @@
 
 /// The bounds of an exploration.
 #[derive(Clone, Debug)]
-pub struct Scope {
+pub struct QuotaModel {
     settings: Settings,
     /// How fast each clock runs, in thousandths.
     clock_rates: [u64; HOSTS],
@@ -55,10 +55,10 @@
     pub violations: Vec<PropertyViolation>,
 }
 
-impl Scope {
+impl QuotaModel {
     /// At most `max_faults` faults within `max_ticks` ticks, with clocks that run at these rates,
     /// in thousandths.
-    pub fn new(max_faults: usize, max_ticks: u64, clock_rates: [u64; HOSTS]) -> Scope {
+    pub fn new(max_faults: usize, max_ticks: u64, clock_rates: [u64; HOSTS]) -> QuotaModel {
         let settings = Settings {
             heartbeat_period: Duration::from_millis(100),
             vote_duration: Duration::from_millis(200),
@@ -67,7 +67,7 @@
             growth_steps: 1,
             ..Settings::with_defaults((0..HOSTS).map(host_address).collect(), HOSTS)
         };
-        Scope { settings, clock_rates, max_faults, max_ticks }
+        QuotaModel { settings, clock_rates, max_faults, max_ticks }
     }
 
     /// Explores every state within the bounds. Ends with the first violation.
@@ -115,37 +115,37 @@
 }
 
 /// The properties that must hold in every state.
-fn safety_properties() -> Vec<Property<Scope>> {
+fn safety_properties() -> Vec<Property<QuotaModel>> {
     vec![
-        Property::always("quotas add up to one at the most", |scope: &Scope, state: &State| {
-            (0..HOSTS).map(|host| scope.usable_parts(state, host)).sum::<Parts>() <= TOTAL_PARTS
+        Property::always("quotas add up to one at the most", |model: &QuotaModel, state: &State| {
+            (0..HOSTS).map(|host| model.usable_parts(state, host)).sum::<Parts>() <= TOTAL_PARTS
         }),
-        Property::always("one leader at the most", |scope: &Scope, state: &State| {
-            (0..HOSTS).filter(|host| scope.is_leader(state, *host)).count() <= 1
+        Property::always("one leader at the most", |model: &QuotaModel, state: &State| {
+            (0..HOSTS).filter(|host| model.is_leader(state, *host)).count() <= 1
         }),
-        Property::always("all have equal leases once faults end", |scope: &Scope, state: &State| {
-            state.ticks < scope.max_ticks || scope.recovers(state)
+        Property::always("all have equal leases once faults end", |model: &QuotaModel, state: &State| {
+            state.ticks < model.max_ticks || model.recovers(state)
         }),
     ]
 }
 
 /// The states that must be reached, as evidence that the exploration covers them.
-fn reachable_properties() -> Vec<Property<Scope>> {
+fn reachable_properties() -> Vec<Property<QuotaModel>> {
     vec![
         Property::sometimes("the view changes", |_, state: &State| {
             state.hosts.iter().flatten().any(|leases| leases.view_number() > 2)
         }),
-        Property::sometimes("one has more than a third", |scope: &Scope, state: &State| {
-            let third = scope.settings.guaranteed_minimum() + LEASABLE_PARTS / 3;
-            (0..HOSTS).any(|host| scope.usable_parts(state, host) > third)
+        Property::sometimes("one has more than a third", |model: &QuotaModel, state: &State| {
+            let third = model.settings.guaranteed_minimum() + LEASABLE_PARTS / 3;
+            (0..HOSTS).any(|host| model.usable_parts(state, host) > third)
         }),
-        Property::sometimes("one has only its guaranteed minimum", |scope: &Scope, state: &State| {
-            (0..HOSTS).any(|host| scope.has_only_minimum(state, host))
+        Property::sometimes("one has only its guaranteed minimum", |model: &QuotaModel, state: &State| {
+            (0..HOSTS).any(|host| model.has_only_minimum(state, host))
         }),
     ]
 }
 
-impl Model for Scope {
+impl Model for QuotaModel {
     type State = State;
     type Action = Action;
 
--- a/crates/simulation/src/model/transitions.rs
+++ b/crates/simulation/src/model/transitions.rs
@@ -1,7 +1,7 @@
 //! What each action does to the state of the model.
 
 use super::state::{host_address, HOSTS};
-use super::{Action, Delivery, Link, MessageFault, Scope, State};
+use super::{Action, Delivery, Link, MessageFault, QuotaModel, State};
 use crate::Time;
 use pinetrail_quota::{Output, QuotaLeases};
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 /// Ticks within which all must have their leases after the last fault.
 const TICKS_TO_RECOVER: usize = 100;
 
-impl Scope {
+impl QuotaModel {
     /// The state after an action.
     pub(super) fn after(&self, state: &State, action: Action) -> State {
         let mut next = state.clone();
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -35,7 +35,7 @@
     }
 
     /// Partitions the network: nothing passes between hosts of different sides.
-    pub fn cut_into(&mut self, sides: &[&[usize]]) {
+    pub fn partition(&mut self, sides: &[&[usize]]) {
         for (index, side) in sides.iter().enumerate() {
             for (_, other_side) in sides.iter().enumerate().filter(|(other, _)| *other != index) {
                 for from in *side {
@@ -59,7 +59,7 @@
 
     /// The copies of a datagram of `length` bytes that arrive: how long each takes, in ms, and the
     /// index of its damaged byte, if one is damaged.
-    pub fn carry(
+    pub fn transmit(
         &self,
         rng: &mut StdRng,
         from: usize,
@@ -70,10 +70,10 @@
             return Vec::new();
         }
         let copies = if rng.random_bool(self.duplication) { 2 } else { 1 };
-        (0..copies).map(|_| self.carry_copy(rng, length)).collect()
+        (0..copies).map(|_| self.transmit_copy(rng, length)).collect()
     }
 
-    fn carry_copy(&self, rng: &mut StdRng, length: usize) -> (Time, Option<usize>) {
+    fn transmit_copy(&self, rng: &mut StdRng, length: usize) -> (Time, Option<usize>) {
         let is_damaged = length > 0 && rng.random_bool(self.corruption);
         let damaged_byte = is_damaged.then(|| rng.random_range(0..length));
         let delay = rng.random_range(self.delay.0..=self.delay.1);
--- a/crates/simulation/src/policy_consensus/fleet.rs
+++ b/crates/simulation/src/policy_consensus/fleet.rs
@@ -3,7 +3,7 @@
 use super::environment::{host_name, Environment, Proposal};
 use super::host;
 use super::plan::{DiskAtStart, Fault, Plan};
-use super::policies::{good_policy, rejected_policy};
+use super::policies::{rejected_policy, valid_policy};
 use super::run::Run;
 use super::shared::lock;
 use rand::rngs::StdRng;
@@ -46,7 +46,7 @@
             }
             Fault::Heal => self.heal(sim),
             Fault::Slow { host, latency_ms } => self.slow_down(sim, *host, *latency_ms),
-            Fault::Propose(host) => self.propose(*host, good_policy(rng.random()), now_ms),
+            Fault::Propose(host) => self.propose(*host, valid_policy(rng.random()), now_ms),
             Fault::ProposeRejected { host, rejected_by } => {
                 self.propose(*host, rejected_policy(*rejected_by, rng.random()), now_ms);
             }
--- a/crates/simulation/src/policy_consensus/plan.rs
+++ b/crates/simulation/src/policy_consensus/plan.rs
@@ -110,7 +110,7 @@
 impl Plan {
     /// A plan without faults.
     #[must_use]
-    pub fn quiet(seed: u64, hosts: usize, voters: usize) -> Plan {
+    pub fn without_faults(seed: u64, hosts: usize, voters: usize) -> Plan {
         Plan {
             seed,
             hosts,
@@ -155,24 +155,24 @@
     let mut faults = Vec::new();
     let mut at_ms = FAULTS_BEGIN_MS;
     // Of several voters only one ever loses its disk: a majority that does has lost the state.
-    let disk_loser = Some(rng.random_range(0..voters)).filter(|_| voters > 2);
+    let disk_loss_host = Some(rng.random_range(0..voters)).filter(|_| voters > 2);
     while at_ms < FAULTS_END_MS {
         at_ms += rng.random_range(20..900);
         let host = rng.random_range(0..hosts);
-        let fault = random_fault(rng, host, hosts, disk_loser);
+        let fault = random_fault(rng, host, hosts, disk_loss_host);
         faults.push(ScheduledFault { at_ms, fault });
     }
     faults
 }
 
 /// A fault at this host. `disk_loser` is the one host that may lose its disk.
-fn random_fault(rng: &mut StdRng, host: usize, hosts: usize, disk_loser: Option<usize>) -> Fault {
+fn random_fault(rng: &mut StdRng, host: usize, hosts: usize, disk_loss_host: Option<usize>) -> Fault {
     match rng.random_range(0..20) {
         0..=5 => Fault::Propose(host),
         6 => Fault::ProposeRejected { host, rejected_by: rng.random_range(0..hosts) },
         7..=9 => Fault::Crash(host),
         10..=12 => {
-            let is_lost = disk_loser == Some(host) && rng.random_bool(0.3);
+            let is_lost = disk_loss_host == Some(host) && rng.random_bool(0.3);
             let disk = if is_lost { DiskAtStart::Lost } else { DiskAtStart::Kept };
             Fault::Start { host, disk }
         }
--- a/crates/simulation/src/policy_consensus/policies.rs
+++ b/crates/simulation/src/policy_consensus/policies.rs
@@ -4,7 +4,7 @@
 const REJECTED_AT: &str = "bad at ";
 
 /// The text of a policy that every host can make active.
-pub(super) fn good_policy(unique: u32) -> String {
+pub(super) fn valid_policy(unique: u32) -> String {
     format!("rules {unique}")
 }
 
--- a/crates/simulation/src/policy_consensus/run.rs
+++ b/crates/simulation/src/policy_consensus/run.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Nothing.
-    Good,
+    Passed,
     /// A request was admitted under a version after one was under a later version.
     Overlap {
         /// The last request under the earlier version.
--- a/crates/simulation/src/policy_consensus/run_checker.rs
+++ b/crates/simulation/src/policy_consensus/run_checker.rs
@@ -131,7 +131,7 @@
 impl Observations {
     fn verdict(&self, plan: &Plan) -> Verdict {
         let checks = [self.conflict(), self.overlap(), self.unfinished(plan)];
-        checks.into_iter().flatten().next().unwrap_or(Verdict::Good)
+        checks.into_iter().flatten().next().unwrap_or(Verdict::Passed)
     }
 
     /// Two texts of one version, or two outcomes of one change.
--- a/crates/simulation/src/quota.rs
+++ b/crates/simulation/src/quota.rs
@@ -207,7 +207,7 @@
     }
 
     /// Announces to the process on a host that it ends soon. The caller kills it.
-    pub fn leave(&mut self, host: usize) {
+    pub fn begin_shutdown(&mut self, host: usize) {
         if let Some(leases) = &mut self.hosts[host].leases {
             leases.begin_shutdown();
         }
@@ -323,7 +323,7 @@
         let mut hosts = 0..self.hosts.len();
         let to = hosts.find(|host| host_address(*host) == to).expect("messages go to hosts");
         self.messages_sent += 1;
-        for (delay, _) in self.network.carry(&mut self.rng, from, to, 0) {
+        for (delay, _) in self.network.transmit(&mut self.rng, from, to, 0) {
             self.schedule(self.now + delay, |_| Event::Message { to, message: message.clone() });
         }
     }
--- a/crates/simulation/src/seeds.rs
+++ b/crates/simulation/src/seeds.rs
@@ -107,7 +107,7 @@
             simulation.network.cut(host, to);
         }
         6 => simulation.network.heal(),
-        7 => mislead(simulation, host),
+        7 => set_random_live_processes(simulation, host),
         8 | 9 => simulation.update_all_live_processes(),
         _ => {}
     }
@@ -118,7 +118,7 @@
     let sides = simulation.rng.random_range(1..31u32);
     let side = |bit: u32| -> Vec<usize> { (0..HOSTS).filter(|host| (sides >> host) & 1 == bit).collect() };
     let sides = [side(0), side(1)];
-    simulation.network.cut_into(&[&sides[0], &sides[1]]);
+    simulation.network.partition(&[&sides[0], &sides[1]]);
     let both_notice = host.is_multiple_of(2);
     if !both_notice {
         return;
@@ -132,7 +132,7 @@
 }
 
 /// Gives a process a random view of which processes are alive.
-fn mislead(simulation: &mut QuotaSimulation, host: usize) {
+fn set_random_live_processes(simulation: &mut QuotaSimulation, host: usize) {
     let believed = simulation.rng.random_range(0..32u32);
     let alive = (0..HOSTS).filter(|one| (believed >> one) & 1 == 1);
     let alive = alive.map(|one| simulation.process(one)).collect();
