--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -23,14 +23,14 @@
         /// The proxy.
         proxy: String,
         /// The figures in it.
-        figures: Figures,
+        limits: Limits,
     },
     /// A proxy received a list of nodes, from discovery or from its configuration.
     EndpointsListed {
         /// The proxy.
         proxy: String,
         /// Whether the list is complete: a node that is not in it has left.
-        whole: bool,
+        is_complete: bool,
         /// The nodes.
         nodes: Vec<Node>,
     },
@@ -69,7 +69,7 @@
         /// The request.
         request: String,
         /// The response.
-        answer: Answer,
+        outcome: ResponseOutcome,
     },
     /// The client closed its connection: no response is due any more.
     ClientDisconnected {
@@ -87,7 +87,7 @@
         /// The backend's address.
         address: String,
         /// When its first byte arrived.
-        first: Time,
+        first_byte_at: Time,
         /// How much work it is.
         work: f64,
     },
@@ -97,7 +97,7 @@
         /// The proxy; each process of one is a proxy of its own here.
         proxy: String,
         /// Its quota, from 0 to 1.
-        part: f64,
+        fraction: f64,
         /// How long attempts may run.
         longest_attempt: Time,
     },
@@ -113,7 +113,7 @@
         /// The attempt.
         attempt: u64,
         /// How.
-        end: End,
+        outcome: AttemptOutcome,
     },
 }
 
@@ -128,7 +128,7 @@
 
 /// The final response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ResponseOutcome {
     /// Served, with this value or receipt.
     Served(String),
     /// Rejected: sending the request again does no harm.
@@ -139,7 +139,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// Served, with this value or receipt.
     Served(String),
     /// The backend does not hold the key; nothing ran.
@@ -154,7 +154,7 @@
 
 /// Whether a node may get new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum NodeState {
     /// It may.
     Ready,
     /// It completes the attempts that it has, and gets no new ones.
@@ -175,26 +175,26 @@
     /// Its cell.
     pub cell: u16,
     /// Its state.
-    pub state: State,
+    pub state: NodeState,
     /// When it last started, on the history's clock; before the history's beginning if long ago.
     pub started: Time,
 }
 
 /// How often a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Any number of times.
-    Safe,
+    Idempotent,
     /// Any number of times at a group of backends within the deduplication window, in which they
     /// drop repeats.
-    Keyed,
+    IdempotencyKey,
     /// Once.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// Which backends drop the repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// All.
     All,
     /// Those of one zone.
@@ -207,32 +207,32 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// How often it may run.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Which backends drop its repeats.
-    pub scope: Scope,
+    pub scope: DeduplicationScope,
     /// For how long they do.
     pub window: Time,
 }
 
 /// The limits that the rules check.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct Limits {
     /// The classes by name.
     pub classes: BTreeMap<String, Class>,
     /// The most attempts of one request.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// Whether two attempts of a request may be in flight at once.
-    pub second_copies: bool,
+    pub allows_hedging: bool,
     /// A response counts as in time for this long after its deadline.
-    pub answer_slack: Time,
+    pub response_slack: Time,
     /// New attempts may still go to a draining node for this long after the drain was listed.
-    pub stop_within: Time,
+    pub drain_grace: Time,
     /// A node starts with this share of its capacity.
     pub start_capacity: f64,
     /// The duration of its warm-up.
-    pub cold: Time,
+    pub warm_up_time: Time,
     /// It is overloaded by work beyond this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... over a span of this length.
-    pub tip_after: Time,
+    pub overload_time: Time,
 }
--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -21,7 +21,8 @@
 mod violation;
 
 pub use history::{
-    Answer, Class, Effect, End, Figures, History, HistoryEvent, Node, ProxyEnd, Scope, State, Time,
+    AttemptOutcome, Class, DeduplicationScope, History, HistoryEvent, Idempotency, Limits, Node, NodeState,
+    ProxyEnd, ResponseOutcome, Time,
 };
 pub use policies::{check_policies, PolicyDecision};
 pub use quota::check_quota;
--- a/crates/history-checker/src/policies.rs
+++ b/crates/history-checker/src/policies.rs
@@ -43,7 +43,7 @@
         let Some((first_event, first)) = first else { continue };
         if first.answered + clock_error < decision.sent {
             violations.push(Violation {
-                reason: Reason::TwoVersions,
+                reason: Reason::VersionOverlap,
                 subject: format!(
                     "version {} at {}, {} at {}",
                     decision.version, decision.proxy, first.version, first.proxy
--- a/crates/history-checker/src/quota.rs
+++ b/crates/history-checker/src/quota.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy)]
 struct StatedQuota {
     at: Time,
-    part: f64,
+    fraction: f64,
     event: usize,
 }
 
@@ -46,25 +46,25 @@
     let mut stated: BTreeMap<&str, Vec<StatedQuota>> = BTreeMap::new();
     let mut violations = Vec::new();
     for (event, (at, seen)) in history.events.iter().enumerate() {
-        let HistoryEvent::QuotaStated { proxy, part, longest_attempt } = seen else { continue };
-        let quota = StatedQuota { at: *at, part: *part, event };
+        let HistoryEvent::QuotaStated { proxy, fraction, longest_attempt } = seen else { continue };
+        let quota = StatedQuota { at: *at, fraction: *fraction, event };
         stated.entry(proxy).or_default().push(quota);
         for quotas in stated.values_mut() {
             quotas.retain(|quota| quota.at + longest_attempt - history.clock_error > *at);
         }
         let largest: Vec<StatedQuota> = stated.values().filter_map(|quotas| largest_of(quotas)).collect();
-        if largest.iter().map(|quota| quota.part).sum::<f64>() > 1.0 + ROUNDING_TOLERANCE {
+        if largest.iter().map(|quota| quota.fraction).sum::<f64>() > 1.0 + ROUNDING_TOLERANCE {
             let mut events: Vec<usize> = largest.iter().map(|quota| quota.event).collect();
             events.sort_unstable();
             let subject = proxy.clone();
-            violations.push(Violation { reason: Reason::OverTheWhole, subject, at: *at, events });
+            violations.push(Violation { reason: Reason::QuotaSumExceeded, subject, at: *at, events });
         }
     }
     violations
 }
 
 fn largest_of(quotas: &[StatedQuota]) -> Option<StatedQuota> {
-    quotas.iter().copied().max_by(|a, b| a.part.total_cmp(&b.part))
+    quotas.iter().copied().max_by(|a, b| a.fraction.total_cmp(&b.fraction))
 }
 
 /// An attempt that is in flight.
@@ -92,7 +92,7 @@
                 if limits.get(address.as_str()).is_some_and(|limit| events.len() > *limit) {
                     events.sort_unstable();
                     let subject = address.clone();
-                    let reason = Reason::TooManyAtOnce;
+                    let reason = Reason::AttemptLimitExceeded;
                     violations.push(Violation { reason, subject, at: *at, events });
                 }
             }
--- a/crates/history-checker/src/quota/tests.rs
+++ b/crates/history-checker/src/quota/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::history::End;
+use crate::history::AttemptOutcome;
 
-fn quota_stated(at: Time, proxy: &str, part: f64) -> (Time, HistoryEvent) {
-    (at, HistoryEvent::QuotaStated { proxy: proxy.into(), part, longest_attempt: 1000.0 })
+fn quota_stated(at: Time, proxy: &str, fraction: f64) -> (Time, HistoryEvent) {
+    (at, HistoryEvent::QuotaStated { proxy: proxy.into(), fraction, longest_attempt: 1000.0 })
 }
 
 fn reasons(events: Vec<(Time, HistoryEvent)>) -> Vec<Reason> {
@@ -17,7 +17,7 @@
     assert_eq!(reasons(whole.clone()), []);
     // What "a" gave up at 500 was last seen in use at 0.
     let early = quota_stated(900.0, "b", 0.75);
-    assert_eq!(reasons([whole.clone(), vec![early]].concat()), [Reason::OverTheWhole]);
+    assert_eq!(reasons([whole.clone(), vec![early]].concat()), [Reason::QuotaSumExceeded]);
     let in_time = quota_stated(1001.0, "b", 0.75);
     assert_eq!(reasons([whole, vec![in_time]].concat()), []);
     assert_eq!(check_quota(&History::default()), Err(CheckError::Empty));
@@ -32,13 +32,13 @@
             request: format!("O{attempt}"),
             attempt,
             address: "n".into(),
-            first: at,
+            first_byte_at: at,
             work: 1.0,
         };
         (at, received)
     };
     let bound = (0.0, HistoryEvent::AttemptLimitSet { address: "n".into(), limit: 2 });
-    let closed = (2.5, HistoryEvent::AttemptEnded { attempt: 1, end: End::Missed });
+    let closed = (2.5, HistoryEvent::AttemptEnded { attempt: 1, outcome: AttemptOutcome::Missed });
     assert_eq!(reasons(vec![bound.clone(), received(1), received(2), closed, received(3)]), []);
-    assert_eq!(reasons(vec![bound, received(1), received(2), received(3)]), [Reason::TooManyAtOnce]);
+    assert_eq!(reasons(vec![bound, received(1), received(2), received(3)]), [Reason::AttemptLimitExceeded]);
 }
--- a/crates/history-checker/src/repetition.rs
+++ b/crates/history-checker/src/repetition.rs
@@ -1,7 +1,7 @@
 //! The rule that no effect happens twice: which attempts and which rejections a request may have
 //! after its earlier attempts. See [`check`].
 
-use crate::history::{Answer, Effect, History, HistoryEvent, Node, Scope, Time};
+use crate::history::{DeduplicationScope, History, HistoryEvent, Idempotency, Node, ResponseOutcome, Time};
 use crate::request_index::{Attempt, Request, RequestIndex};
 use crate::violation::{Reason, Violation};
 use std::collections::BTreeMap;
@@ -37,14 +37,14 @@
         let request = self.request;
         for (number, attempt) in request.attempts.iter().enumerate() {
             let earlier = &request.attempts[..number];
-            if number >= request.figures.attempts {
+            if number >= request.limits.max_attempts {
                 let events = vec![request.sent.event, attempt.event];
-                self.report(Reason::TooMany, attempt.began_at, events);
+                self.report(Reason::TooManyAttempts, attempt.began_at, events);
             }
-            if !request.figures.second_copies {
+            if !request.limits.allows_hedging {
                 self.check_in_flight(earlier, attempt);
             }
-            self.check_harm(earlier, attempt);
+            self.check_repeat(earlier, attempt);
         }
     }
 
@@ -54,16 +54,16 @@
         let is_in_flight = |other: &&Attempt| other.end.as_ref().is_none_or(|end| end.at > latest_end);
         if let Some(other) = earlier.iter().find(is_in_flight) {
             let events = vec![other.event, attempt.event];
-            self.report(Reason::TwoAtOnce, attempt.began_at, events);
+            self.report(Reason::ConcurrentAttempts, attempt.began_at, events);
         }
     }
 
     /// An attempt may not repeat the effect of any earlier one that may have run. It must be in the
     /// group and in the window of each of them.
-    fn check_harm(&mut self, earlier: &[Attempt], attempt: &Attempt) {
+    fn check_repeat(&mut self, earlier: &[Attempt], attempt: &Attempt) {
         let known_at = attempt.began_at + self.clock_error;
         for ran in earlier.iter().filter(|earlier| earlier.may_have_run(known_at)) {
-            if let Some(reason) = self.harm(ran, attempt) {
+            if let Some(reason) = self.repeat_violation(ran, attempt) {
                 self.report(reason, attempt.began_at, vec![ran.event, attempt.event]);
                 return;
             }
@@ -74,7 +74,7 @@
     fn check_rejections(&mut self) {
         let request = self.request;
         for response in &request.responses {
-            if *response.answer != Answer::Rejected {
+            if *response.outcome != ResponseOutcome::Rejected {
                 continue;
             }
             let at = response.received.at;
@@ -82,50 +82,52 @@
             let mut ran = request.attempts.iter().filter(may_have_run);
             if let Some(harmful) = ran.find(|ran| !self.may_reject_after(ran, at)) {
                 let events = vec![harmful.event, response.received.event];
-                self.report(Reason::Refused, at, events);
+                self.report(Reason::UnsafeRejection, at, events);
             }
         }
     }
 
     fn may_reject_after(&self, ran: &Attempt, at: Time) -> bool {
         let class = &self.request.class;
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed => {
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => false,
+            Idempotency::IdempotencyKey => {
                 let is_in_window = at - ran.began_at <= class.window + self.clock_error;
-                class.scope == Scope::All && is_in_window
+                class.scope == DeduplicationScope::All && is_in_window
             }
         }
     }
 
     /// Why an attempt could apply its effect twice after one that may have run; none if it could
     /// not.
-    fn harm(&self, ran: &Attempt, attempt: &Attempt) -> Option<Reason> {
+    fn repeat_violation(&self, ran: &Attempt, attempt: &Attempt) -> Option<Reason> {
         let class = &self.request.class;
         let elapsed = attempt.began_at - ran.began_at;
-        match class.effect {
-            Effect::Safe => None,
-            Effect::Unsafe => Some(Reason::Effect),
-            Effect::Keyed if !self.share_a_group(ran, attempt) => Some(Reason::Scope),
-            Effect::Keyed if elapsed > class.window + self.clock_error => Some(Reason::Window),
-            Effect::Keyed => None,
+        match class.idempotency {
+            Idempotency::Idempotent => None,
+            Idempotency::NotIdempotent => Some(Reason::RepeatedEffect),
+            Idempotency::IdempotencyKey if !self.share_a_group(ran, attempt) => Some(Reason::OutsideScope),
+            Idempotency::IdempotencyKey if elapsed > class.window + self.clock_error => {
+                Some(Reason::OutsideWindow)
+            }
+            Idempotency::IdempotencyKey => None,
         }
     }
 
     /// Whether the backends of two attempts drop the repeats of each other's requests.
     fn share_a_group(&self, a: &Attempt, b: &Attempt) -> bool {
         let scope = self.request.class.scope;
-        if scope == Scope::All {
+        if scope == DeduplicationScope::All {
             return true;
         }
         let (Some(a), Some(b)) = (self.nodes.get(a.address), self.nodes.get(b.address)) else {
             return false;
         };
         match scope {
-            Scope::All => true,
-            Scope::Zone => a.zone == b.zone,
-            Scope::Cell => a.cell == b.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => a.zone == b.zone,
+            DeduplicationScope::Cell => a.cell == b.cell,
         }
     }
 
--- a/crates/history-checker/src/request_index.rs
+++ b/crates/history-checker/src/request_index.rs
@@ -1,6 +1,6 @@
 //! The requests of a history, each with its attempts and responses: [`RequestIndex`].
 
-use crate::history::{Answer, Class, End, Figures, History, HistoryEvent, ProxyEnd, Time};
+use crate::history::{AttemptOutcome, Class, History, HistoryEvent, Limits, ProxyEnd, ResponseOutcome, Time};
 use crate::violation::CheckError;
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 pub(crate) struct Request<'a> {
     pub sent: Occurrence,
     pub proxy: &'a str,
-    pub figures: &'a Figures,
+    pub limits: &'a Limits,
     pub class: Class,
     /// How long its client waits.
     pub budget: Time,
@@ -25,14 +25,14 @@
     /// Since when no response was due: its client disconnected, or its proxy was killed.
     pub excused: Option<Time>,
     /// When its proxy ended by itself, which excuses nothing.
-    pub proxy_left: Option<Occurrence>,
+    pub proxy_exited: Option<Occurrence>,
     pub attempts: Vec<Attempt<'a>>,
 }
 
 /// A final response that a client received.
 pub(crate) struct Response<'a> {
     pub received: Occurrence,
-    pub answer: &'a Answer,
+    pub outcome: &'a ResponseOutcome,
 }
 
 /// An attempt of a request at a backend.
@@ -50,14 +50,14 @@
 /// How an attempt ended.
 pub(crate) struct AttemptEnd<'a> {
     pub at: Time,
-    pub end: &'a End,
+    pub outcome: &'a AttemptOutcome,
 }
 
 impl Attempt<'_> {
     /// Whether it may have run, given the events up to a time.
     pub(crate) fn may_have_run(&self, at: Time) -> bool {
-        let Some(AttemptEnd { at: ended_at, end }) = &self.end else { return true };
-        let did_not_run = matches!(end, End::Missed | End::Rejected);
+        let Some(AttemptEnd { at: ended_at, outcome }) = &self.end else { return true };
+        let did_not_run = matches!(outcome, AttemptOutcome::Missed | AttemptOutcome::Rejected);
         *ended_at > at || !did_not_run
     }
 }
@@ -111,7 +111,7 @@
 struct Builder<'a> {
     index: RequestIndex<'a>,
     /// The figures that are active at each proxy.
-    active: BTreeMap<&'a str, &'a Figures>,
+    active: BTreeMap<&'a str, &'a Limits>,
     /// Attempts by their numbers; none for those that belong to no request.
     positions: BTreeMap<u64, Option<AttemptPosition<'a>>>,
 }
@@ -119,34 +119,34 @@
 impl<'a> Builder<'a> {
     fn add(&mut self, when: Occurrence, seen: &'a HistoryEvent) -> Result<(), CheckError> {
         match seen {
-            HistoryEvent::ConfigActivated { proxy, figures } => {
-                self.active.insert(proxy, figures);
+            HistoryEvent::ConfigActivated { proxy, limits } => {
+                self.active.insert(proxy, limits);
             }
             HistoryEvent::RequestSent { proxy, request, class, budget } => {
                 let sent = self.request_sent(when, proxy, class, *budget)?;
                 if self.index.requests.insert(request, sent).is_some() {
-                    return Err(CheckError::Again(when.event));
+                    return Err(CheckError::DuplicateId(when.event));
                 }
             }
             HistoryEvent::BodyStarted { request } => {
                 self.request(when, request)?.body_began.get_or_insert(when.at);
             }
-            HistoryEvent::ResponseReceived { request, answer } => {
-                let response = Response { received: when, answer };
+            HistoryEvent::ResponseReceived { request, outcome } => {
+                let response = Response { received: when, outcome };
                 self.request(when, request)?.responses.push(response);
             }
             HistoryEvent::ClientDisconnected { request } => {
                 self.request(when, request)?.excused.get_or_insert(when.at);
             }
             HistoryEvent::ProxyEnded { proxy, how } => self.proxy_ended(when, proxy, *how),
-            HistoryEvent::AttemptReceived { request, attempt: number, address, first, .. } => {
-                let attempt = Attempt { event: when.event, address, began_at: *first, end: None };
+            HistoryEvent::AttemptReceived { request, attempt: number, address, first_byte_at, .. } => {
+                let attempt = Attempt { event: when.event, address, began_at: *first_byte_at, end: None };
                 let position = self.attempt_received(when, request, attempt);
                 if self.positions.insert(*number, position).is_some() {
-                    return Err(CheckError::Again(when.event));
+                    return Err(CheckError::DuplicateId(when.event));
                 }
             }
-            HistoryEvent::AttemptEnded { attempt, end } => self.attempt_ended(when, *attempt, end)?,
+            HistoryEvent::AttemptEnded { attempt, outcome } => self.attempt_ended(when, *attempt, outcome)?,
             HistoryEvent::EndpointsListed { .. }
             | HistoryEvent::BackendStarted { .. }
             | HistoryEvent::QuotaStated { .. }
@@ -156,7 +156,7 @@
     }
 
     fn request(&mut self, when: Occurrence, id: &str) -> Result<&mut Request<'a>, CheckError> {
-        self.index.requests.get_mut(id).ok_or(CheckError::Unknown(when.event))
+        self.index.requests.get_mut(id).ok_or(CheckError::UnknownSubject(when.event))
     }
 
     fn request_sent(
@@ -166,19 +166,19 @@
         class: &str,
         budget: Time,
     ) -> Result<Request<'a>, CheckError> {
-        let unknown = CheckError::Unknown(sent.event);
-        let figures = *self.active.get(proxy).ok_or(unknown.clone())?;
-        let class = *figures.classes.get(class).ok_or(unknown)?;
+        let unknown = CheckError::UnknownSubject(sent.event);
+        let limits = *self.active.get(proxy).ok_or(unknown.clone())?;
+        let class = *limits.classes.get(class).ok_or(unknown)?;
         Ok(Request {
             sent,
             proxy,
-            figures,
+            limits,
             class,
             budget,
             body_began: None,
             responses: Vec::new(),
             excused: None,
-            proxy_left: None,
+            proxy_exited: None,
             attempts: Vec::new(),
         })
     }
@@ -191,7 +191,7 @@
                     request.excused.get_or_insert(when.at);
                 }
                 ProxyEnd::Exited => {
-                    request.proxy_left.get_or_insert(when);
+                    request.proxy_exited.get_or_insert(when);
                 }
             }
         }
@@ -211,12 +211,17 @@
         Some(AttemptPosition { request: id, number: request.attempts.len() - 1 })
     }
 
-    fn attempt_ended(&mut self, when: Occurrence, attempt: u64, end: &'a End) -> Result<(), CheckError> {
-        let position = self.positions.get(&attempt).ok_or(CheckError::Unknown(when.event))?;
+    fn attempt_ended(
+        &mut self,
+        when: Occurrence,
+        attempt: u64,
+        outcome: &'a AttemptOutcome,
+    ) -> Result<(), CheckError> {
+        let position = self.positions.get(&attempt).ok_or(CheckError::UnknownSubject(when.event))?;
         let Some(AttemptPosition { request, number }) = *position else { return Ok(()) };
         let request = self.index.requests.get_mut(request);
         if let Some(attempt) = request.and_then(|request| request.attempts.get_mut(number)) {
-            attempt.end.get_or_insert(AttemptEnd { at: when.at, end });
+            attempt.end.get_or_insert(AttemptEnd { at: when.at, outcome });
         }
         Ok(())
     }
--- a/crates/history-checker/src/responses.rs
+++ b/crates/history-checker/src/responses.rs
@@ -1,6 +1,6 @@
 //! The rule that each request has one final response, in time, from a backend: [`check`].
 
-use crate::history::{Answer, End, History, Time};
+use crate::history::{AttemptOutcome, History, ResponseOutcome, Time};
 use crate::request_index::{Request, RequestIndex, Response};
 use crate::violation::{CheckError, Reason, Violation};
 
@@ -17,7 +17,7 @@
     }
     for stray in &index.stray_attempts {
         violations.push(Violation {
-            reason: Reason::Unasked,
+            reason: Reason::AttemptWithoutRequest,
             subject: stray.request.to_owned(),
             at: stray.received.at,
             events: vec![stray.received.event],
@@ -47,8 +47,8 @@
 
     /// The latest time of a response.
     fn due(&self) -> Time {
-        let Request { sent, budget, figures, .. } = self.request;
-        sent.at + budget + figures.answer_slack + self.history.clock_error
+        let Request { sent, budget, limits, .. } = self.request;
+        sent.at + budget + limits.response_slack + self.history.clock_error
     }
 
     /// There is no response.
@@ -59,15 +59,15 @@
             return Ok(());
         }
         let sent = self.request.sent.event;
-        if let Some(left) = self.request.proxy_left {
-            self.report(Reason::Lost, left.at, vec![sent, left.event]);
+        if let Some(left) = self.request.proxy_exited {
+            self.report(Reason::MissingResponse, left.at, vec![sent, left.event]);
             return Ok(());
         }
         let end = self.history.events.last().map_or(0.0, |event| event.0);
         if end <= due {
             return Err(CheckError::Unfinished(self.id.to_owned()));
         }
-        self.report(Reason::Lost, due, vec![sent]);
+        self.report(Reason::MissingResponse, due, vec![sent]);
         Ok(())
     }
 
@@ -76,10 +76,10 @@
         let events = vec![self.request.sent.event, received.event];
         // There is no deadline once the body has begun.
         if self.request.body_began.unwrap_or(received.at) > self.due() {
-            self.report(Reason::Late, received.at, events.clone());
+            self.report(Reason::LateResponse, received.at, events.clone());
         }
-        if !is_from_backend(self.request, response.answer) {
-            self.report(Reason::MadeUp, received.at, events);
+        if !is_from_backend(self.request, response.outcome) {
+            self.report(Reason::FabricatedResponse, received.at, events);
         }
     }
 
@@ -87,13 +87,13 @@
     fn check_afterwards(&mut self, first: &Response, repeated: &[Response]) {
         let first = first.received;
         for Response { received, .. } in repeated {
-            self.report(Reason::Twice, received.at, vec![first.event, received.event]);
+            self.report(Reason::DuplicateResponse, received.at, vec![first.event, received.event]);
         }
         let request = self.request;
         let end = first.at + self.history.clock_error;
         for attempt in request.attempts.iter().filter(|attempt| attempt.began_at > end) {
             let events = vec![first.event, attempt.event];
-            self.report(Reason::AfterTheEnd, attempt.began_at, events);
+            self.report(Reason::AttemptAfterResponse, attempt.began_at, events);
         }
     }
 
@@ -103,10 +103,10 @@
 }
 
 /// Whether a value that was served came from a backend, for this request.
-fn is_from_backend(request: &Request, answer: &Answer) -> bool {
-    let Answer::Served(value) = answer else { return true };
+fn is_from_backend(request: &Request, outcome: &ResponseOutcome) -> bool {
+    let ResponseOutcome::Served(value) = outcome else { return true };
     request.attempts.iter().any(|attempt| {
-        let end = attempt.end.as_ref().map(|end| end.end);
-        matches!(end, Some(End::Served(given)) if given == value)
+        let outcome = attempt.end.as_ref().map(|end| end.outcome);
+        matches!(outcome, Some(AttemptOutcome::Served(given)) if given == value)
     })
 }
--- a/crates/history-checker/src/slow_start.rs
+++ b/crates/history-checker/src/slow_start.rs
@@ -1,7 +1,7 @@
 //! The rule that all proxies together send a node that is warming up no more work than it can take,
 //! over any span of the stated length: [`check`].
 
-use crate::history::{Figures, History, HistoryEvent, Node, Time};
+use crate::history::{History, HistoryEvent, Limits, Node, Time};
 use crate::violation::{Reason, Violation};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -30,7 +30,7 @@
 struct Checker<'a> {
     clock_error: Time,
     /// The figures that became active last, at any proxy.
-    figures: Option<&'a Figures>,
+    limits: Option<&'a Limits>,
     /// Processes by their addresses.
     processes: BTreeMap<&'a str, NodeProcess>,
     /// Pairs of a proxy and the address of a node whose last start the proxy knows.
@@ -43,7 +43,7 @@
     let mut checker = Checker { clock_error: history.clock_error, ..Checker::default() };
     for (event, (at, seen)) in history.events.iter().enumerate() {
         match seen {
-            HistoryEvent::ConfigActivated { figures, .. } => checker.figures = Some(figures),
+            HistoryEvent::ConfigActivated { limits, .. } => checker.limits = Some(limits),
             HistoryEvent::BackendStarted { address, capacity } => checker.started(*at, address, *capacity),
             HistoryEvent::EndpointsListed { proxy, nodes, .. } => checker.listed(proxy, nodes),
             HistoryEvent::AttemptReceived { proxy, address, work, .. } => {
@@ -73,11 +73,11 @@
     }
 
     fn received(&mut self, address: &str, sent: SentWork) {
-        let Some(figures) = self.figures else { return };
+        let Some(limits) = self.limits else { return };
         let Some(process) = self.processes.get_mut(address) else { return };
         let at = sent.at;
         process.sent.push_back(sent);
-        if let Some(events) = process.overloaded_by(at, figures) {
+        if let Some(events) = process.overloaded_by(at, limits) {
             process.sent.clear();
             let subject = address.to_owned();
             self.violations.push(Violation { reason: Reason::Overloaded, subject, at, events });
@@ -87,21 +87,21 @@
 
 impl NodeProcess {
     /// The events of the last span, if their work is more than the process can take.
-    fn overloaded_by(&mut self, now: Time, figures: &Figures) -> Option<Vec<usize>> {
-        let span = figures.tip_after;
+    fn overloaded_by(&mut self, now: Time, limits: &Limits) -> Option<Vec<usize>> {
+        let span = limits.overload_time;
         while self.sent.front().is_some_and(|sent| sent.at <= now - span) {
             self.sent.pop_front();
         }
         let age = now - self.started;
-        if age >= figures.cold + span {
+        if age >= limits.warm_up_time + span {
             return None;
         }
-        let warm_fraction = (age / figures.cold.max(1.0)).clamp(0.0, 1.0);
-        let present = figures.start_capacity + (1.0 - figures.start_capacity) * warm_fraction;
-        let bearable = figures.fall_multiple * present * self.capacity * span;
+        let warm_fraction = (age / limits.warm_up_time.max(1.0)).clamp(0.0, 1.0);
+        let capacity_fraction = limits.start_capacity + (1.0 - limits.start_capacity) * warm_fraction;
+        let max_work = limits.overload_multiple * capacity_fraction * self.capacity * span;
         let work: f64 = self.sent.iter().map(|sent| sent.work).sum();
         let informed_work: f64 = self.sent.iter().filter(|sent| sent.is_informed).map(|sent| sent.work).sum();
-        let is_overloaded = work > bearable && informed_work >= work * INFORMED_SHARE;
+        let is_overloaded = work > max_work && informed_work >= work * INFORMED_SHARE;
         is_overloaded.then(|| self.sent.iter().map(|sent| sent.event).collect())
     }
 }
--- a/crates/history-checker/src/violation.rs
+++ b/crates/history-checker/src/violation.rs
@@ -8,47 +8,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// Each request that a proxy accepts has exactly one final response, in time.
-    OneAnswer,
+    OneResponse,
     /// No effect happens twice, nor does a rejection risk that; attempts are limited.
-    NoRepeat,
+    NoRepeatedEffect,
     /// No new attempt goes to a node that is draining, has left, or was never listed.
-    Drains,
+    Draining,
     /// A node that is warming up gets no more work than it can take.
-    Cold,
+    SlowStart,
     /// The quotas of all proxies never add up to more than the total.
-    Shares,
+    Quota,
     /// Each policy version becomes active at one moment everywhere.
-    OneMoment,
+    PolicyActivation,
 }
 
 /// How a rule is violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
     /// A request never had its response.
-    Lost,
+    MissingResponse,
     /// Its response came too late.
-    Late,
+    LateResponse,
     /// It had more than one response.
-    Twice,
+    DuplicateResponse,
     /// No backend gave the value or receipt for this request.
-    MadeUp,
+    FabricatedResponse,
     /// An attempt was made after the final response.
-    AfterTheEnd,
+    AttemptAfterResponse,
     /// An attempt was made for which there was no request.
-    Unasked,
+    AttemptWithoutRequest,
     /// An attempt was made though an earlier one may have run, and the effect forbids that.
-    Effect,
+    RepeatedEffect,
     /// The same, at a backend outside the group that drops repeats.
-    Scope,
+    OutsideScope,
     /// The same, after the deduplication window.
-    Window,
+    OutsideWindow,
     /// The request was rejected, which promises that a retry is harmless, though an attempt may
     /// have run.
-    Refused,
+    UnsafeRejection,
     /// Two attempts of a request were in flight at once.
-    TwoAtOnce,
+    ConcurrentAttempts,
     /// A request had more attempts than are allowed.
-    TooMany,
+    TooManyAttempts,
     /// A new attempt went to a node that is draining.
     Draining,
     /// A new attempt went to a node that has left.
@@ -58,11 +58,11 @@
     /// A node that is warming up was sent more work than it can take.
     Overloaded,
     /// Quotas added up to more than one.
-    OverTheWhole,
+    QuotaSumExceeded,
     /// A backend had more attempts at once than all proxies together may make.
-    TooManyAtOnce,
+    AttemptLimitExceeded,
     /// A request was decided by a version after another one was decided by a later version.
-    TwoVersions,
+    VersionOverlap,
 }
 
 impl Reason {
@@ -70,12 +70,18 @@
     pub fn rule(self) -> Rule {
         use Reason::*;
         match self {
-            Lost | Late | Twice | MadeUp | AfterTheEnd | Unasked => Rule::OneAnswer,
-            Effect | Scope | Window | Refused | TwoAtOnce | TooMany => Rule::NoRepeat,
-            Draining | Gone | NeverListed => Rule::Drains,
-            Overloaded => Rule::Cold,
-            OverTheWhole | TooManyAtOnce => Rule::Shares,
-            TwoVersions => Rule::OneMoment,
+            MissingResponse
+            | LateResponse
+            | DuplicateResponse
+            | FabricatedResponse
+            | AttemptAfterResponse
+            | AttemptWithoutRequest => Rule::OneResponse,
+            RepeatedEffect | OutsideScope | OutsideWindow | UnsafeRejection | ConcurrentAttempts
+            | TooManyAttempts => Rule::NoRepeatedEffect,
+            Draining | Gone | NeverListed => Rule::Draining,
+            Overloaded => Rule::SlowStart,
+            QuotaSumExceeded | AttemptLimitExceeded => Rule::Quota,
+            VersionOverlap => Rule::PolicyActivation,
         }
     }
 }
@@ -114,10 +120,10 @@
     OutOfOrder(usize),
     /// An event is about a proxy, class, request or attempt that was not seen before.
     #[error("event {0} is about something that was not seen before")]
-    Unknown(usize),
+    UnknownSubject(usize),
     /// An event uses an id again.
     #[error("event {0} uses an id again")]
-    Again(usize),
+    DuplicateId(usize),
     /// The history ends before the response of this request is due.
     #[error("the history ends before the response of request {0} is due")]
     Unfinished(String),
--- a/crates/test-harness/src/recorder.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -5,7 +5,7 @@
 mod from_json;
 
 use pinetrail_history_checker::{
-    check, check_quota, Answer, End, History, HistoryEvent, ProxyEnd, Time, Violation,
+    check, check_quota, AttemptOutcome, History, HistoryEvent, ProxyEnd, ResponseOutcome, Time, Violation,
 };
 use serde_json::Value;
 use std::sync::{Arc, Mutex};
@@ -73,8 +73,8 @@
     /// If the configuration is not one that the proxy accepts.
     pub fn record_active_config(&self, config: &str) {
         let config: Value = serde_json::from_str(config).unwrap();
-        let figures = from_json::figures(&config["settings"]);
-        self.record(HistoryEvent::ConfigActivated { proxy: PROXY.into(), figures });
+        let limits = from_json::figures(&config["settings"]);
+        self.record(HistoryEvent::ConfigActivated { proxy: PROXY.into(), limits });
         self.record_endpoint_list(&config["known"].to_string());
     }
 
@@ -87,8 +87,8 @@
         let Ok(list) = serde_json::from_str::<Value>(list) else { return };
         let entries = list["instances"].as_array().into_iter().flatten();
         let nodes = entries.map(|entry| from_json::node(entry, self.start_unix_ms)).collect();
-        let whole = list["reset"].as_bool().unwrap_or(false);
-        self.record(HistoryEvent::EndpointsListed { proxy: PROXY.into(), whole, nodes });
+        let is_complete = list["reset"].as_bool().unwrap_or(false);
+        self.record(HistoryEvent::EndpointsListed { proxy: PROXY.into(), is_complete, nodes });
     }
 
     /// Records that a client's command is about to be sent.
@@ -109,12 +109,12 @@
     pub fn record_response(&self, command: &str, line: &str, value: &str) {
         let request = crate::opaque(command).to_owned();
         let answer = match line.split(' ').next() {
-            Some("VA") => Answer::Served(value.trim_end().to_owned()),
-            Some("HD") => Answer::Served(line.trim_end().rsplit_once(" c").unwrap().1.to_owned()),
-            _ if line.starts_with("SERVER_ERROR busy") => Answer::Rejected,
-            _ => Answer::Failed,
+            Some("VA") => ResponseOutcome::Served(value.trim_end().to_owned()),
+            Some("HD") => ResponseOutcome::Served(line.trim_end().rsplit_once(" c").unwrap().1.to_owned()),
+            _ if line.starts_with("SERVER_ERROR busy") => ResponseOutcome::Rejected,
+            _ => ResponseOutcome::Failed,
         };
-        self.record(HistoryEvent::ResponseReceived { request, answer });
+        self.record(HistoryEvent::ResponseReceived { request, outcome: answer });
     }
 
     /// Records that a client closes its connection.
@@ -141,7 +141,7 @@
             request,
             attempt,
             address: address.to_owned(),
-            first: self.now(),
+            first_byte_at: self.now(),
             work: 1.0,
         });
         attempt
@@ -159,15 +159,15 @@
     /// # Panics
     /// If an HTTP response has no end of its head.
     pub fn record_backend_response(&self, attempt: u64, text: Option<&str>) {
-        let end = text.map_or(End::Broken, end_of_attempt);
-        self.record(HistoryEvent::AttemptEnded { attempt, end });
+        let end = text.map_or(AttemptOutcome::Broken, end_of_attempt);
+        self.record(HistoryEvent::AttemptEnded { attempt, outcome: end });
     }
 
     /// Records that a process reported its quota, from 0 to 1; its attempts run for at most
     /// `longest_attempt` ms.
     pub fn record_quota(&self, proxy: &str, part: f64, longest_attempt: Time) {
         let proxy = proxy.to_owned();
-        self.record(HistoryEvent::QuotaStated { proxy, part, longest_attempt });
+        self.record(HistoryEvent::QuotaStated { proxy, fraction: part, longest_attempt });
     }
 
     /// Records how many attempts all proxies together may have in flight at a backend.
@@ -207,19 +207,19 @@
 }
 
 /// How a backend ends an attempt with this response.
-fn end_of_attempt(text: &str) -> End {
+fn end_of_attempt(text: &str) -> AttemptOutcome {
     if text.starts_with("VA ") {
-        End::Served(text.lines().nth(1).unwrap_or_default().to_owned())
+        AttemptOutcome::Served(text.lines().nth(1).unwrap_or_default().to_owned())
     } else if text.starts_with("EN ") {
-        End::Missed
+        AttemptOutcome::Missed
     } else if text.starts_with("SERVER_ERROR busy") {
-        End::Rejected
+        AttemptOutcome::Rejected
     } else if text.starts_with("HTTP/1.1 200") {
-        End::Served(text.split_once("\r\n\r\n").unwrap().1.to_owned())
+        AttemptOutcome::Served(text.split_once("\r\n\r\n").unwrap().1.to_owned())
     } else if text.contains("X-Turned-Away: 1") {
-        End::Rejected
+        AttemptOutcome::Rejected
     } else {
-        End::Failed
+        AttemptOutcome::Failed
     }
 }
 
--- a/crates/test-harness/src/recorder/from_json.rs
+++ b/crates/test-harness/src/recorder/from_json.rs
@@ -1,6 +1,6 @@
 //! Reads what the history checker needs from a configuration and from an endpoint list.
 
-use pinetrail_history_checker::{Class, Effect, Figures, Node, Scope, State};
+use pinetrail_history_checker::{Class, DeduplicationScope, Idempotency, Limits, Node, NodeState};
 use serde_json::Value;
 
 /// A response counts as in time for this long after its deadline.
@@ -18,46 +18,46 @@
         zone: u16::from(text("zone") != "a"),
         cell: entry["cell"].as_u64().unwrap() as u16,
         state: match &*text("lifecycle") {
-            "ready" => State::Ready,
-            "draining" => State::Draining,
-            _ => State::Gone,
+            "ready" => NodeState::Ready,
+            "draining" => NodeState::Draining,
+            _ => NodeState::Gone,
         },
         started: entry["startedAtMs"].as_f64().unwrap() - start_unix_ms,
     }
 }
 
 /// The figures in the settings of a configuration.
-pub(super) fn figures(settings: &Value) -> Figures {
+pub(super) fn figures(settings: &Value) -> Limits {
     let permissions = &settings["Permissions"];
     let safety = &settings["Safety"];
     let safety_figure = |name: &str| safety[name].as_f64().unwrap();
     let grades = settings["Grades"].as_array().unwrap();
     let name = |grade: &Value| grade["Name"].as_str().unwrap_or_default().to_owned();
-    Figures {
+    Limits {
         classes: grades.iter().map(|grade| (name(grade), class(grade))).collect(),
-        attempts: permissions["MaxAttempts"].as_u64().unwrap() as usize,
-        second_copies: permissions["SecondCopies"].as_bool().unwrap(),
-        answer_slack: ANSWER_SLACK_MS,
-        stop_within: DRAIN_GRACE_MS,
+        max_attempts: permissions["MaxAttempts"].as_u64().unwrap() as usize,
+        allows_hedging: permissions["SecondCopies"].as_bool().unwrap(),
+        response_slack: ANSWER_SLACK_MS,
+        drain_grace: DRAIN_GRACE_MS,
         start_capacity: safety_figure("StartCapacity"),
-        cold: safety_figure("Cold"),
-        fall_multiple: safety_figure("FallMultiple"),
-        tip_after: safety_figure("TipAfter"),
+        warm_up_time: safety_figure("Cold"),
+        overload_multiple: safety_figure("FallMultiple"),
+        overload_time: safety_figure("TipAfter"),
     }
 }
 
 fn class(grade: &Value) -> Class {
     let text = |key: &str| grade[key].as_str().unwrap_or_default();
     Class {
-        effect: match text("Semantics") {
-            "safe" => Effect::Safe,
-            "keyed" => Effect::Keyed,
-            _ => Effect::Unsafe,
+        idempotency: match text("Semantics") {
+            "safe" => Idempotency::Idempotent,
+            "keyed" => Idempotency::IdempotencyKey,
+            _ => Idempotency::NotIdempotent,
         },
         scope: match text("DedupScope") {
-            "all" => Scope::All,
-            "zone" => Scope::Zone,
-            _ => Scope::Cell,
+            "all" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Cell,
         },
         window: grade["RepeatWindow"].as_f64().unwrap_or(0.0),
     }
--- a/tests/common/edited_history.rs
+++ b/tests/common/edited_history.rs
@@ -2,7 +2,9 @@
 //! repeated.
 
 use super::fleet::{play, Fault};
-use pinetrail_history_checker::{check, Answer, End, History, HistoryEvent, Reason, Time};
+use pinetrail_history_checker::{
+    check, AttemptOutcome, History, HistoryEvent, Reason, ResponseOutcome, Time,
+};
 
 pub(crate) fn kept(history: &History) {
     let breaches = check(history).expect("it can be judged");
@@ -44,10 +46,10 @@
             .collect();
         let [(received, attempt)] = calls[..] else { return None };
         let closed = events().position(
-            |(_, (_, seen))| matches!(seen, HistoryEvent::AttemptEnded { attempt: of, end: End::Served(_) } if *of == attempt),
+            |(_, (_, seen))| matches!(seen, HistoryEvent::AttemptEnded { attempt: of, outcome: AttemptOutcome::Served(_) } if *of == attempt),
         )?;
         let answered = events().position(|(_, (_, seen))| {
-            matches!(seen, HistoryEvent::ResponseReceived { request, answer: Answer::Served(_) } if request == id)
+            matches!(seen, HistoryEvent::ResponseReceived { request, outcome: ResponseOutcome::Served(_) } if request == id)
         })?;
         Some((id.clone(), [asked, received, closed, answered]))
     });
@@ -80,12 +82,12 @@
         panic!()
     };
     let (address, attempt) = (address.to_owned(), 1 << 40);
-    let closed = HistoryEvent::AttemptEnded { attempt, end: End::Failed };
+    let closed = HistoryEvent::AttemptEnded { attempt, outcome: AttemptOutcome::Failed };
     with(
         &with(
             history,
             at,
-            HistoryEvent::AttemptReceived { proxy, request, attempt, address, first: at, work },
+            HistoryEvent::AttemptReceived { proxy, request, attempt, address, first_byte_at: at, work },
         ),
         at + 0.05,
         closed,
@@ -105,9 +107,10 @@
     let end = history.events[answered].0 + 2000.0;
     let mut history = moved(&history, answered, end);
     let end = end + 5000.0;
-    history
-        .events
-        .push((end, HistoryEvent::EndpointsListed { proxy: "p0".into(), whole: false, nodes: Vec::new() }));
+    history.events.push((
+        end,
+        HistoryEvent::EndpointsListed { proxy: "p0".into(), is_complete: false, nodes: Vec::new() },
+    ));
     kept(&history);
     let answered = history.events.iter().position(
         |event| matches!(&event.1, HistoryEvent::ResponseReceived { request, .. } if *request == id),
@@ -116,10 +119,11 @@
 }
 
 pub(crate) fn sent_first(history: &History, received: usize) -> (Time, String) {
-    let HistoryEvent::AttemptReceived { address, first, .. } = history.events[received].1.clone() else {
+    let HistoryEvent::AttemptReceived { address, first_byte_at, .. } = history.events[received].1.clone()
+    else {
         panic!()
     };
-    (first, address)
+    (first_byte_at, address)
 }
 
 /// A node that is in the same zone or cell as another, or is not.
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -10,7 +10,7 @@
 
 use super::recorded_events::EventRecorder;
 use super::*;
-use pinetrail_history_checker::{Answer, History, HistoryEvent, ProxyEnd};
+use pinetrail_history_checker::{History, HistoryEvent, ProxyEnd, ResponseOutcome};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -234,8 +234,8 @@
                 Action::StartAttempt { request: id, backend: server, timeout: limit, .. } => {
                     self.send(proxy, id.0, server.0, limit.as_ms())
                 }
-                Action::Reject { request: id, .. } => self.answer(proxy, id.0, Answer::Rejected),
-                Action::Fail { request: id, .. } => self.answer(proxy, id.0, Answer::Failed),
+                Action::Reject { request: id, .. } => self.answer(proxy, id.0, ResponseOutcome::Rejected),
+                Action::Fail { request: id, .. } => self.answer(proxy, id.0, ResponseOutcome::Failed),
                 Action::SetTimer { delay: wait, token }
                 | Action::SetRequestTimer { delay: wait, token, .. } => {
                     self.at(wait.as_ms().max(0.001), FleetEvent::TimerFires(proxy, incarnation, token));
@@ -245,7 +245,7 @@
         }
     }
 
-    fn answer(&mut self, proxy: usize, id: RequestNumber, answer: Answer) {
+    fn answer(&mut self, proxy: usize, id: RequestNumber, answer: ResponseOutcome) {
         self.proxies[proxy].open.remove(&id);
         self.recorder.record_response(self.now, &request(proxy, id), answer);
     }
@@ -324,7 +324,7 @@
                 self.recorder.record_response(
                     self.now,
                     &request(attempt.proxy, attempt.id),
-                    Answer::Served(value),
+                    ResponseOutcome::Served(value),
                 );
             }
             _ => {}
@@ -358,8 +358,8 @@
         let state = &mut self.proxies[proxy];
         state.balancer = balancer(proxy, state.incarnation);
         state.alive = true;
-        let (incarnation, figures) = (state.incarnation, recorded_events::figures());
-        self.recorder.record(self.now, HistoryEvent::ConfigActivated { proxy: name(proxy), figures });
+        let (incarnation, limits) = (state.incarnation, recorded_events::figures());
+        self.recorder.record(self.now, HistoryEvent::ConfigActivated { proxy: name(proxy), limits });
         self.recorder.record_list(self.now, &name(proxy), true, &list);
         self.feed(proxy, incarnation, Event::EndpointList { form: ListForm::Full, endpoints: list });
     }
--- a/tests/common/recorded_events.rs
+++ b/tests/common/recorded_events.rs
@@ -3,7 +3,9 @@
 use super::{settings_json, BackendNumber, Milliseconds, CLASSES};
 use pinetrail::interface::{EndpointInfo, EndpointState, Outcome};
 use pinetrail_history_checker as seen;
-use pinetrail_history_checker::{Class, Effect, End, Figures, History, HistoryEvent, Node, Scope};
+use pinetrail_history_checker::{
+    AttemptOutcome, Class, DeduplicationScope, History, HistoryEvent, Idempotency, Limits, Node,
+};
 
 /// Events, in the order in which they were seen. Of an attempt nothing is seen where no connection
 /// came about: its place is kept until its end is known.
@@ -34,7 +36,7 @@
             request: request.to_owned(),
             attempt,
             address: place(server),
-            first: at,
+            first_byte_at: at,
             work,
         };
         self.attempts.push((self.events.len(), Some((at, received))));
@@ -47,29 +49,29 @@
         let (place, received) = &mut self.attempts[attempt as usize];
         let end = match outcome {
             Outcome::ConnectFailed | Outcome::Moot => return *received = None,
-            Outcome::Ok => End::Served(value.to_owned()),
-            Outcome::Miss => End::Missed,
-            Outcome::Full => End::Rejected,
-            Outcome::Error => End::Failed,
-            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => End::Broken,
+            Outcome::Ok => AttemptOutcome::Served(value.to_owned()),
+            Outcome::Miss => AttemptOutcome::Missed,
+            Outcome::Full => AttemptOutcome::Rejected,
+            Outcome::Error => AttemptOutcome::Failed,
+            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => AttemptOutcome::Broken,
         };
         self.events[*place] = received.take();
-        self.record(at, HistoryEvent::AttemptEnded { attempt, end });
+        self.record(at, HistoryEvent::AttemptEnded { attempt, outcome: end });
     }
 
     pub(crate) fn record_list(
         &mut self,
         at: Milliseconds,
         proxy: &str,
-        whole: bool,
+        is_complete: bool,
         members: &[EndpointInfo],
     ) {
         let nodes = members.iter().map(node).collect();
-        self.record(at, HistoryEvent::EndpointsListed { proxy: proxy.to_owned(), whole, nodes });
+        self.record(at, HistoryEvent::EndpointsListed { proxy: proxy.to_owned(), is_complete, nodes });
     }
 
-    pub(crate) fn record_response(&mut self, at: Milliseconds, request: &str, answer: seen::Answer) {
-        self.record(at, HistoryEvent::ResponseReceived { request: request.to_owned(), answer });
+    pub(crate) fn record_response(&mut self, at: Milliseconds, request: &str, answer: seen::ResponseOutcome) {
+        self.record(at, HistoryEvent::ResponseReceived { request: request.to_owned(), outcome: answer });
     }
 
     /// All that was recorded, by time.
@@ -96,36 +98,36 @@
         zone: member.zone,
         cell: member.cell,
         state: match member.state {
-            EndpointState::Ready => seen::State::Ready,
-            EndpointState::Draining => seen::State::Draining,
-            EndpointState::Gone => seen::State::Gone,
+            EndpointState::Ready => seen::NodeState::Ready,
+            EndpointState::Draining => seen::NodeState::Draining,
+            EndpointState::Gone => seen::NodeState::Gone,
         },
         started: member.started_at.as_ms(),
     }
 }
 
 /// The figures that [`settings_json`] states, read from it anew.
-pub(crate) fn figures() -> Figures {
+pub(crate) fn figures() -> Limits {
     let settings: serde_json::Value = serde_json::from_str(&settings_json(true)).unwrap();
     let figure = |group: &str, name: &str| settings[group][name].as_f64().unwrap();
     let effects = [
-        (Effect::Safe, Scope::All),
-        (Effect::Keyed, Scope::All),
-        (Effect::Keyed, Scope::Zone),
-        (Effect::Keyed, Scope::Cell),
-        (Effect::Unsafe, Scope::All),
+        (Idempotency::Idempotent, DeduplicationScope::All),
+        (Idempotency::IdempotencyKey, DeduplicationScope::All),
+        (Idempotency::IdempotencyKey, DeduplicationScope::Zone),
+        (Idempotency::IdempotencyKey, DeduplicationScope::Cell),
+        (Idempotency::NotIdempotent, DeduplicationScope::All),
     ];
     let window = settings["Grades"][0]["RepeatWindow"].as_f64().unwrap();
-    let class = |(effect, scope)| Class { effect, scope, window };
-    Figures {
+    let class = |(effect, scope)| Class { idempotency: effect, scope, window };
+    Limits {
         classes: CLASSES.iter().map(|name| (*name).to_owned()).zip(effects.map(class)).collect(),
-        attempts: figure("Permissions", "MaxAttempts") as usize,
-        second_copies: settings["Permissions"]["SecondCopies"].as_bool().unwrap(),
-        answer_slack: figure("Safety", "AnswerSlack"),
-        stop_within: figure("Safety", "StopSendingWithin"),
+        max_attempts: figure("Permissions", "MaxAttempts") as usize,
+        allows_hedging: settings["Permissions"]["SecondCopies"].as_bool().unwrap(),
+        response_slack: figure("Safety", "AnswerSlack"),
+        drain_grace: figure("Safety", "StopSendingWithin"),
         start_capacity: figure("Safety", "StartCapacity"),
-        cold: figure("Safety", "Cold"),
-        fall_multiple: figure("Safety", "FallMultiple"),
-        tip_after: figure("Safety", "TipAfter"),
+        warm_up_time: figure("Safety", "Cold"),
+        overload_multiple: figure("Safety", "FallMultiple"),
+        overload_time: figure("Safety", "TipAfter"),
     }
 }
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -8,7 +8,7 @@
 use common::fleet::{play, script};
 use common::recorded_events::figures;
 use pinetrail_history_checker::{
-    check, Answer, CheckError, End, History, HistoryEvent, ProxyEnd, Reason, Time,
+    check, AttemptOutcome, CheckError, History, HistoryEvent, ProxyEnd, Reason, ResponseOutcome, Time,
 };
 
 const DAY: Time = 6000.0;
@@ -51,20 +51,22 @@
 #[test]
 fn an_answer_that_is_missing_twice_late_or_made_up_is_refused() {
     let (history, [asked, _, _, answered], id) = calm();
-    refused(&without(&history, answered), Reason::Lost, &id);
+    refused(&without(&history, answered), Reason::MissingResponse, &id);
     let (at, answer) = history.events[answered].clone();
-    refused(&with(&history, at, answer.clone()), Reason::Twice, &id);
+    refused(&with(&history, at, answer.clone()), Reason::DuplicateResponse, &id);
     let HistoryEvent::RequestSent { budget, .. } = history.events[asked].1 else { panic!() };
-    let due = history.events[asked].0 + budget + figures().answer_slack;
+    let due = history.events[asked].0 + budget + figures().response_slack;
     kept(&moved(&history, answered, due));
-    refused(&moved(&history, answered, due + 0.001), Reason::Late, &id);
-    let other =
-        HistoryEvent::ResponseReceived { request: id.clone(), answer: Answer::Served("of another".into()) };
-    refused(&with(&without(&history, answered), at, other), Reason::MadeUp, &id);
+    refused(&moved(&history, answered, due + 0.001), Reason::LateResponse, &id);
+    let other = HistoryEvent::ResponseReceived {
+        request: id.clone(),
+        outcome: ResponseOutcome::Served("of another".into()),
+    };
+    refused(&with(&without(&history, answered), at, other), Reason::FabricatedResponse, &id);
     // Who has left is owed nothing; who left after its time was.
     let left = HistoryEvent::ClientDisconnected { request: id.clone() };
     kept(&with(&without(&history, answered), due, left.clone()));
-    refused(&with(&without(&history, answered), due + 0.001, left), Reason::Lost, &id);
+    refused(&with(&without(&history, answered), due + 0.001, left), Reason::MissingResponse, &id);
 }
 
 #[test]
@@ -87,7 +89,7 @@
         short.events.retain(|event| about(&event.1) && event.0 <= at);
         let ended = with(&short, at, HistoryEvent::ProxyEnded { proxy: proxy.clone(), how });
         if lost {
-            refused(&ended, Reason::Lost, &id)
+            refused(&ended, Reason::MissingResponse, &id)
         } else {
             kept(&ended)
         }
@@ -100,12 +102,14 @@
     let HistoryEvent::AttemptReceived { address, .. } = history.events[received].1.clone() else { panic!() };
     let end = history.events[answered].0;
     kept(&again(&history, received, &address, end));
-    refused(&again(&history, received, &address, end + 0.001), Reason::AfterTheEnd, &id);
+    refused(&again(&history, received, &address, end + 0.001), Reason::AttemptAfterResponse, &id);
     let mut unasked = history.clone();
     let HistoryEvent::AttemptReceived { request, .. } = &mut unasked.events[received].1 else { panic!() };
     *request = "nobody".into();
     let breaches = check(&unasked).unwrap();
-    assert!(breaches.iter().any(|breach| (breach.reason, &*breach.subject) == (Reason::Unasked, "nobody")));
+    assert!(breaches
+        .iter()
+        .any(|breach| (breach.reason, &*breach.subject) == (Reason::AttemptWithoutRequest, "nobody")));
 }
 
 #[test]
@@ -118,10 +122,10 @@
         let beyond = again(&history, received, &address, first + window + 0.001);
         match class {
             "safe" => [within, beyond].iter().for_each(kept),
-            "unsafe" => [within, beyond].iter().for_each(|h| refused(h, Reason::Effect, &id)),
+            "unsafe" => [within, beyond].iter().for_each(|h| refused(h, Reason::RepeatedEffect, &id)),
             _ => {
                 kept(&within);
-                refused(&beyond, Reason::Window, &id);
+                refused(&beyond, Reason::OutsideWindow, &id);
             }
         }
         let group: Option<fn(u32) -> u32> = match class {
@@ -132,7 +136,7 @@
         if let Some(group) = group {
             let elsewhere = |same| again(&history, received, &neighbour(&address, group, same), first + 50.0);
             kept(&elsewhere(true));
-            refused(&elsewhere(false), Reason::Scope, &id);
+            refused(&elsewhere(false), Reason::OutsideScope, &id);
         }
     }
 }
@@ -150,21 +154,24 @@
         let (history, received, answered, id) = roomy(class);
         let first = sent_first(&history, received).0;
         for (at, harmless) in [(first + window, in_time), (first + window + 0.001, late)] {
-            let refusal = HistoryEvent::ResponseReceived { request: id.clone(), answer: Answer::Rejected };
+            let refusal =
+                HistoryEvent::ResponseReceived { request: id.clone(), outcome: ResponseOutcome::Rejected };
             let changed = with(&without(&history, answered), at, refusal);
             if harmless {
                 kept(&changed)
             } else {
-                refused(&changed, Reason::Refused, &id)
+                refused(&changed, Reason::UnsafeRejection, &id)
             }
         }
         // What was turned away never ran: then every class may be refused.
         let mut turned = history.clone();
         let HistoryEvent::AttemptReceived { attempt, .. } = turned.events[received].1 else { panic!() };
         turned.events.iter_mut().for_each(|event| match &mut event.1 {
-            HistoryEvent::AttemptEnded { attempt: of, end } if *of == attempt => *end = End::Rejected,
-            HistoryEvent::ResponseReceived { request, answer } if *request == id => {
-                *answer = Answer::Rejected
+            HistoryEvent::AttemptEnded { attempt: of, outcome: end } if *of == attempt => {
+                *end = AttemptOutcome::Rejected
+            }
+            HistoryEvent::ResponseReceived { request, outcome: answer } if *request == id => {
+                *answer = ResponseOutcome::Rejected
             }
             _ => {}
         });
@@ -176,7 +183,7 @@
 fn more_calls_than_allowed_or_two_at_once_are_refused() {
     let (mut history, received, _, id) = roomy("safe");
     let (first, address) = sent_first(&history, received);
-    for n in 1..figures().attempts {
+    for n in 1..figures().max_attempts {
         kept(&history);
         history = again(&history, received, &address, first + 100.0 * n as Time);
         let last = history.events.iter_mut().filter_map(|event| match &mut event.1 {
@@ -190,17 +197,17 @@
         last.for_each(|attempt| *attempt = (1 << 41) + n as u64);
     }
     kept(&history);
-    refused(&again(&history, received, &address, first + 900.0), Reason::TooMany, &id);
+    refused(&again(&history, received, &address, first + 900.0), Reason::TooManyAttempts, &id);
     // Where two at once are not allowed, one more must wait for the end of the one before.
     let (mut history, received, _, id) = roomy("safe");
     history.events.iter_mut().for_each(|event| {
-        if let HistoryEvent::ConfigActivated { figures, .. } = &mut event.1 {
-            figures.second_copies = false;
+        if let HistoryEvent::ConfigActivated { limits, .. } = &mut event.1 {
+            limits.allows_hedging = false;
         }
     });
     let HistoryEvent::AttemptReceived { attempt, .. } = history.events[received].1 else { panic!() };
     let is_end = |event: &(Time, HistoryEvent)| matches!(event.1, HistoryEvent::AttemptEnded { attempt: of, .. } if of == attempt);
     let end = history.events.iter().find(|event| is_end(event)).unwrap().0;
     kept(&again(&history, received, &address, end));
-    refused(&again(&history, received, &address, end - 0.001), Reason::TwoAtOnce, &id);
+    refused(&again(&history, received, &address, end - 0.001), Reason::ConcurrentAttempts, &id);
 }
--- a/tests/node_histories.rs
+++ b/tests/node_histories.rs
@@ -6,14 +6,14 @@
 use common::edited_history::*;
 use common::fleet::{play, Fault};
 use common::recorded_events::figures;
-use pinetrail_history_checker::{Figures, HistoryEvent, Node, Reason, State, Time};
+use pinetrail_history_checker::{HistoryEvent, Limits, Node, NodeState, Reason, Time};
 
 #[test]
 fn what_is_sent_to_who_drains_is_gone_or_was_never_listed_is_refused() {
     let (history, received, _, _) = roomy("safe");
     let (first, address) = sent_first(&history, received);
     let HistoryEvent::AttemptReceived { proxy, .. } = history.events[received].1.clone() else { panic!() };
-    let limit = figures().stop_within;
+    let limit = figures().drain_grace;
     let node = history.events.iter().find_map(|event| match &event.1 {
         HistoryEvent::EndpointsListed { nodes, .. } => {
             nodes.iter().find(|node| node.address == address).cloned()
@@ -36,10 +36,14 @@
         _ => true,
     });
     kept(&alone);
-    for (state, reason) in [(State::Draining, Reason::Draining), (State::Gone, Reason::Gone)] {
+    for (state, reason) in [(NodeState::Draining, Reason::Draining), (NodeState::Gone, Reason::Gone)] {
         let told = |at| {
             let nodes = vec![Node { state, ..node.clone() }];
-            with(&alone, at, HistoryEvent::EndpointsListed { proxy: proxy.clone(), whole: false, nodes })
+            with(
+                &alone,
+                at,
+                HistoryEvent::EndpointsListed { proxy: proxy.clone(), is_complete: false, nodes },
+            )
         };
         kept(&told(first - limit));
         refused(&told(first - limit - 0.001), reason, &address);
@@ -49,16 +53,19 @@
             first - 1.0,
             HistoryEvent::EndpointsListed {
                 proxy: proxy.clone(),
-                whole: false,
+                is_complete: false,
                 nodes: vec![Node { state, ..node.clone() }],
             },
         );
         refused(&twice, reason, &address);
-        let back =
-            HistoryEvent::EndpointsListed { proxy: proxy.clone(), whole: false, nodes: vec![node.clone()] };
+        let back = HistoryEvent::EndpointsListed {
+            proxy: proxy.clone(),
+            is_complete: false,
+            nodes: vec![node.clone()],
+        };
         kept(&with(&told(first - limit - 0.001), first - 1.0, back));
     }
-    let absent = HistoryEvent::EndpointsListed { proxy: proxy.clone(), whole: true, nodes: Vec::new() };
+    let absent = HistoryEvent::EndpointsListed { proxy: proxy.clone(), is_complete: true, nodes: Vec::new() };
     refused(&with(&alone, first - limit - 0.001, absent), Reason::Gone, &address);
     let mut never = alone;
     never.events.iter_mut().for_each(|event| {
@@ -74,17 +81,17 @@
 fn a_cold_node_that_is_sent_more_than_it_bears_is_refused() {
     let history = play(11, 5000.0, &[(1000.0, Fault::Restart(2))]);
     kept(&history);
-    let Figures { start_capacity, cold, fall_multiple, tip_after, .. } = figures();
+    let Limits { start_capacity, warm_up_time, overload_multiple, overload_time, .. } = figures();
     let found = history.events.iter().find_map(|(at, seen)| match seen {
         HistoryEvent::BackendStarted { capacity, .. } => Some((*at, *capacity)),
         _ => None,
     });
     let (started, capacity) = found.unwrap();
     let at = started + 1400.0;
-    let bears = fall_multiple
+    let bears = overload_multiple
         * capacity
-        * tip_after
-        * (start_capacity + (1.0 - start_capacity) * (at - started) / cold);
+        * overload_time
+        * (start_capacity + (1.0 - start_capacity) * (at - started) / warm_up_time);
     let sent: f64 =
         history.events.iter().filter(|event| event.0 <= at && event.0 >= started).fold(0.0, |sum, event| {
             match &event.1 {
@@ -116,8 +123,9 @@
             HistoryEvent::AttemptReceived { address, .. } => address == "n2" && event.0 <= at,
             _ => false,
         });
-        let warmth = (received.unwrap().0 - started) / cold;
-        fall_multiple * capacity * tip_after * (start_capacity + (1.0 - start_capacity) * warmth) - sent
+        let warmth = (received.unwrap().0 - started) / warm_up_time;
+        overload_multiple * capacity * overload_time * (start_capacity + (1.0 - start_capacity) * warmth)
+            - sent
     };
     kept(&last(room - 0.001));
     refused(&last(room + 0.001), Reason::Overloaded, "n2");
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -8,7 +8,7 @@
 use pinetrail::interface::*;
 use pinetrail::settings::Settings;
 use pinetrail::time::TimeSpan;
-use pinetrail_history_checker::{check, Answer, CheckError, Figures, HistoryEvent};
+use pinetrail_history_checker::{check, CheckError, HistoryEvent, Limits, ResponseOutcome};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
@@ -87,9 +87,8 @@
     fn record_active_settings(&mut self, attempts: usize) {
         // A proxy that knows of a drain sends nothing more to the backend at once. The time that
         // the rules allow for this is meant for the network.
-        let figures = Figures { attempts, stop_within: 0.0, ..recorded_events::figures() };
-        self.recorder
-            .record(self.harness.now, HistoryEvent::ConfigActivated { proxy: PROXY.into(), figures });
+        let limits = Limits { max_attempts: attempts, drain_grace: 0.0, ..recorded_events::figures() };
+        self.recorder.record(self.harness.now, HistoryEvent::ConfigActivated { proxy: PROXY.into(), limits });
     }
 
     fn feed(&mut self, event: Event) {
@@ -106,8 +105,8 @@
                     self.in_flight.push(SentAttempt { id, ordinal: *attempts, server, sent: now, number });
                     *attempts += 1;
                 }
-                Action::Reject { request: id, .. } => self.answer(id.0, Answer::Rejected),
-                Action::Fail { request: id, .. } => self.answer(id.0, Answer::Failed),
+                Action::Reject { request: id, .. } => self.answer(id.0, ResponseOutcome::Rejected),
+                Action::Fail { request: id, .. } => self.answer(id.0, ResponseOutcome::Failed),
                 Action::SetTimer { delay, token } | Action::SetRequestTimer { delay, token, .. } => {
                     self.timers.push((self.harness.now + delay.as_ms().max(0.0), token));
                 }
@@ -116,7 +115,7 @@
         }
     }
 
-    fn answer(&mut self, id: RequestNumber, answer: Answer) {
+    fn answer(&mut self, id: RequestNumber, answer: ResponseOutcome) {
         self.open.remove(&id);
         self.recorder.record_response(self.harness.now, &id.to_string(), answer);
     }
@@ -194,7 +193,7 @@
         let value = format!("{id} {}", attempt.ordinal);
         self.recorder.record_end(self.harness.now, attempt.number, outcome, &value);
         if outcome == Outcome::Ok && self.open.contains_key(&id) {
-            self.answer(id, Answer::Served(value));
+            self.answer(id, ResponseOutcome::Served(value));
         }
         self.feed(Event::AttemptEnd(AttemptEnd {
             id: RequestId(id),
--- a/tests/sockets/faults.rs
+++ b/tests/sockets/faults.rs
@@ -1,7 +1,7 @@
 //! Error paths, each checked on what the harness observed of the real process from outside.
 
 use crate::ms;
-use pinetrail_history_checker::{check, History, HistoryEvent, Reason, State, Time};
+use pinetrail_history_checker::{check, History, HistoryEvent, NodeState, Reason, Time};
 use pinetrail_test_harness::recorder::Recorder;
 use pinetrail_test_harness::*;
 use std::io::Write;
@@ -216,7 +216,7 @@
 
     assert_eq!(
         found.iter().map(|b| (b.reason, b.subject.clone())).collect::<Vec<_>>(),
-        [(Reason::Lost, request)]
+        [(Reason::MissingResponse, request)]
     );
 }
 
@@ -226,10 +226,10 @@
     let mut drained = History { clock_error: 0.0, ..history };
     for (_, event) in &mut drained.events {
         match event {
-            HistoryEvent::ConfigActivated { figures, .. } => figures.stop_within = 0.0,
+            HistoryEvent::ConfigActivated { limits, .. } => limits.drain_grace = 0.0,
             HistoryEvent::EndpointsListed { nodes, .. } => {
                 for node in nodes.iter_mut().filter(|node| node.address == draining) {
-                    node.state = State::Draining;
+                    node.state = NodeState::Draining;
                 }
             }
             _ => {}
