--- a/crates/experiments/src/chart.rs
+++ b/crates/experiments/src/chart.rs
@@ -1,4 +1,4 @@
-//! Line plots as SVG files: [`lines`].
+//! Line plots as SVG files: [`draw_lines`].
 
 use plotters::prelude::*;
 use std::io;
@@ -20,7 +20,7 @@
 pub(crate) type Line = (&'static str, Vec<(f64, f64)>);
 
 /// Draws up to three lines.
-pub(crate) fn lines(path: &Path, title: &str, x: &str, lines: &[Line]) -> Result<(), ChartError> {
+pub(crate) fn draw_lines(path: &Path, title: &str, x: &str, lines: &[Line]) -> Result<(), ChartError> {
     const COLOURS: [RGBColor; 3] = [BLUE, GREEN, RED];
     let points = || lines.iter().flat_map(|(_, points)| points);
     let right = points().map(|point| point.0).fold(1.0, f64::max);
--- a/crates/experiments/src/cost/mod.rs
+++ b/crates/experiments/src/cost/mod.rs
@@ -4,7 +4,7 @@
 mod core;
 
 use crate::error::ExperimentError;
-use crate::load::{Done, Load};
+use crate::load::{Load, LoadResult};
 use crate::table;
 use clap::Args;
 use hdrhistogram::Histogram;
@@ -56,7 +56,7 @@
 }
 
 /// When members knew of a death, in ms after it.
-struct Known {
+struct DetectionTimes {
     first_ms: u128,
     last_ms: u128,
 }
@@ -64,36 +64,36 @@
 /// The figures of one round.
 struct Round {
     /// The processor time of each proxy without load, in percent of a core.
-    idle: f64,
+    idle_percent: f64,
     /// The processor time for each request, in microseconds.
-    us_a_request: f64,
+    us_per_request: f64,
     /// Latencies, in ms.
-    p50: f64,
-    p99: f64,
+    p50_ms: f64,
+    p99_ms: f64,
     /// None without a fleet.
-    known: Option<Known>,
+    detection: Option<DetectionTimes>,
 }
 
 /// Measures and prints.
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
-    let own = std::env::current_exe().map_err(ExperimentError::OwnPath)?;
-    set_program(own, &["proxy"]);
+    let program_path = std::env::current_exe().map_err(ExperimentError::CurrentExe)?;
+    set_program(program_path, &["proxy"]);
     let mut rows = Vec::new();
     for round in 0..options.rounds {
         for fleet_kind in [FleetKind::WithFleet, FleetKind::WithoutFleet] {
-            let seen = measure(options, fleet_kind, round as u64)?;
+            let figures = measure(options, fleet_kind, round as u64)?;
             rows.push(vec![
                 fleet_kind.label().to_owned(),
-                format!("{:.3}", seen.idle),
-                format!("{:.0}", seen.us_a_request),
-                format!("{:.2}", seen.p50),
-                format!("{:.2}", seen.p99),
-                seen.known.map_or("-".to_owned(), |known| format!("{} {}", known.first_ms, known.last_ms)),
+                format!("{:.3}", figures.idle_percent),
+                format!("{:.0}", figures.us_per_request),
+                format!("{:.2}", figures.p50_ms),
+                format!("{:.2}", figures.p99_ms),
+                figures.detection.map_or("-".to_owned(), |at| format!("{} {}", at.first_ms, at.last_ms)),
             ]);
         }
     }
     rows.sort_by(|a, b| a[0].cmp(&b[0]));
-    core::print(options.model);
+    core::print_core_cost(options.model);
     println!(
         "{} proxies, {} requests a second; each line a round, with and without in turn",
         options.members, options.rate
@@ -111,27 +111,27 @@
     let mut fleet = start(members, fleet_kind, seed)?;
     sleep(SETTLE_TIME);
     let duration = Duration::from_secs(options.seconds);
-    let before = ticks(&fleet);
+    let before = cpu_ticks(&fleet);
     sleep(duration);
-    let idle = ticks(&fleet) - before;
+    let idle = cpu_ticks(&fleet) - before;
     let proxies = (0..members).map(|member| fleet.process(member).client_address).collect();
-    let before = ticks(&fleet);
-    let done: Done = Load::start(proxies, options.rate, duration, seed).wait();
-    let busy = ticks(&fleet) - before;
+    let before = cpu_ticks(&fleet);
+    let result: LoadResult = Load::start(proxies, options.rate, duration, seed).wait();
+    let busy = cpu_ticks(&fleet) - before;
     let mut histogram = Histogram::<u64>::new(3)?;
-    for us in &done.latencies {
+    for us in &result.latencies_us {
         histogram.record(*us)?;
     }
-    let known = match fleet_kind {
-        FleetKind::WithFleet => Some(measure_death(&mut fleet, members)),
+    let detection = match fleet_kind {
+        FleetKind::WithFleet => Some(measure_detection(&mut fleet, members)),
         FleetKind::WithoutFleet => None,
     };
     Ok(Round {
-        idle: seconds(idle) / duration.as_secs_f64() / members as f64 * 100.0,
-        us_a_request: seconds(busy) * 1e6 / done.requests.max(1) as f64,
-        p50: histogram.value_at_quantile(0.5) as f64 / 1000.0,
-        p99: histogram.value_at_quantile(0.99) as f64 / 1000.0,
-        known,
+        idle_percent: seconds(idle) / duration.as_secs_f64() / members as f64 * 100.0,
+        us_per_request: seconds(busy) * 1e6 / result.requests.max(1) as f64,
+        p50_ms: histogram.value_at_quantile(0.5) as f64 / 1000.0,
+        p99_ms: histogram.value_at_quantile(0.99) as f64 / 1000.0,
+        detection,
     })
 }
 
@@ -144,7 +144,7 @@
     for member in 0..members {
         if fleet_kind == FleetKind::WithoutFleet {
             let mut config = fleet.config(member, &[]);
-            config.as_object_mut().ok_or(ExperimentError::ConfigIsNoObject)?.remove("fleet");
+            config.as_object_mut().ok_or(ExperimentError::ConfigNotObject)?.remove("fleet");
             fleet.set_config(member, &config);
         }
         fleet.start(member);
@@ -157,17 +157,18 @@
 }
 
 /// Kills the last member; returns when the first and the last of the others knew of it.
-fn measure_death(fleet: &mut Fleet, members: usize) -> Known {
-    let died = fleet.timeline.elapsed_ms();
+fn measure_detection(fleet: &mut Fleet, members: usize) -> DetectionTimes {
+    let killed_at = fleet.timeline.elapsed_ms();
     let dead = members - 1;
     fleet.kill(dead);
     let text = format!("fleet: {} at ", Fleet::name(dead));
     let knows = |fleet: &Fleet, member: usize| {
-        fleet.timeline.first_match_of_both(&Fleet::name(member), &text, "-> failed", died)
+        fleet.timeline.first_match_of_both(&Fleet::name(member), &text, "-> failed", killed_at)
     };
     fleet.wait_until("all know", |fleet| (0..dead).all(|member| knows(fleet, member).is_some()));
-    let times: Vec<u128> = (0..dead).filter_map(|member| knows(fleet, member)).map(|at| at - died).collect();
-    Known {
+    let times: Vec<u128> =
+        (0..dead).filter_map(|member| knows(fleet, member)).map(|at| at - killed_at).collect();
+    DetectionTimes {
         first_ms: times.iter().copied().min().unwrap_or(0),
         last_ms: times.iter().copied().max().unwrap_or(0),
     }
@@ -179,7 +180,7 @@
 }
 
 /// The processor time of all proxies, in ticks.
-fn ticks(fleet: &Fleet) -> u64 {
+fn cpu_ticks(fleet: &Fleet) -> u64 {
     let of = |member: usize| {
         let path = format!("/proc/{}/stat", fleet.process(member).id());
         let stat = std::fs::read_to_string(path).unwrap_or_default();
--- a/crates/experiments/src/demo/figures.rs
+++ b/crates/experiments/src/demo/figures.rs
@@ -2,7 +2,7 @@
 
 use super::notices::Notice;
 use super::Options;
-use crate::load::Done;
+use crate::load::LoadResult;
 use crate::table;
 use hdrhistogram::Histogram;
 use pinetrail_history_checker::check;
@@ -11,13 +11,13 @@
 use std::collections::BTreeMap;
 
 /// All figures of a run.
-pub(super) fn collect(options: &Options, done: &Done, notices: &[Notice]) -> Value {
+pub(super) fn collect(options: &Options, result: &LoadResult, notices: &[Notice]) -> Value {
     let broken: Vec<String> = match check(&Recorder::current().history()) {
         Ok(violations) => violations.iter().map(ToString::to_string).collect(),
         Err(error) => vec![format!("not checked: {error:?}")],
     };
     let mut histogram = Histogram::<u64>::new(3).expect("three digits are possible");
-    for us in &done.latencies {
+    for us in &result.latencies_us {
         histogram.record(*us).expect("it grows as needed");
     }
     let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
@@ -25,11 +25,11 @@
     json!({
         "seconds": options.seconds,
         "seed": options.seed,
-        "requests": done.requests,
-        "answers": done.answers,
-        "asked_again": done.asked_again,
-        "without_answer": done.without_answer,
-        "answered_twice": done.answered_twice,
+        "requests": result.requests,
+        "answers": result.responses,
+        "asked_again": result.retries,
+        "without_answer": result.unanswered,
+        "answered_twice": result.duplicate_responses,
         "latency_ms": {"p50": at(0.5), "p99": at(0.99), "max": histogram.max() as f64 / 1000.0},
         "known": known,
         "rules_broken": broken,
@@ -37,8 +37,8 @@
 }
 
 fn notice_json(notice: &Notice) -> Value {
-    let Notice { member, of, what, after_ms } = notice;
-    json!({"member": member, "of": of, "what": what, "after_ms": after_ms.map(|ms| ms as u64)})
+    let Notice { member, subject, event, after_ms } = notice;
+    json!({"member": member, "of": subject, "what": event, "after_ms": after_ms.map(|ms| ms as u64)})
 }
 
 /// Prints the figures.
@@ -61,9 +61,9 @@
     println!();
     let rows: Vec<Vec<String>> = notices
         .iter()
-        .map(|Notice { member, of, what, after_ms }| {
+        .map(|Notice { member, subject, event, after_ms }| {
             let ms = after_ms.map_or("never".to_owned(), |ms| ms.to_string());
-            vec![format!("{member} noticed that {of} was {what}"), ms]
+            vec![format!("{member} noticed that {subject} was {event}"), ms]
         })
         .collect();
     table::print(&["", "ms after"], &rows);
--- a/crates/experiments/src/demo/mod.rs
+++ b/crates/experiments/src/demo/mod.rs
@@ -48,11 +48,12 @@
 /// Runs the demo; returns whether each request had exactly one final response and no rule was
 /// violated.
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
-    let own = std::env::current_exe().map_err(ExperimentError::OwnPath)?;
-    set_program(own, &["proxy"]);
-    let stopped = Arc::new(AtomicBool::new(false));
+    let program_path = std::env::current_exe().map_err(ExperimentError::CurrentExe)?;
+    set_program(program_path, &["proxy"]);
+    let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
-        signal_hook::flag::register(signal, Arc::clone(&stopped)).map_err(ExperimentError::SignalHandler)?;
+        signal_hook::flag::register(signal, Arc::clone(&interrupted))
+            .map_err(ExperimentError::SignalHandler)?;
     }
     println!(
         "{PROXIES} proxies, {NODES} cache nodes, an origin and discovery, all on loopback; {} s",
@@ -68,15 +69,15 @@
     let start = fleet.timeline.elapsed_ms();
     let addresses = all.iter().map(|proxy| fleet.process(*proxy).client_address).collect();
     let load = Load::start(addresses, options.rate, Duration::from_secs(options.seconds), options.seed);
-    let is_complete = play(&mut fleet, &script, options.seconds, &stopped)?;
-    if !is_complete {
+    let was_completed = play(&mut fleet, &script, options.seconds, &interrupted)?;
+    if !was_completed {
         load.cancel();
-        return Err(ExperimentError::Stopped);
+        return Err(ExperimentError::Interrupted);
     }
-    let done = load.wait();
+    let result = load.wait();
     fleet.wait_until("the proxies agree again", |fleet| fleet.all_agree(&all));
     let notices = notices::find(&fleet, &script, start);
-    let figures = figures::collect(options, &done, &notices);
+    let figures = figures::collect(options, &result, &notices);
     figures::show(&figures, &notices);
     if options.timeline {
         println!("\n{}", fleet.timeline);
@@ -84,7 +85,7 @@
     if let Some(path) = &options.json {
         write_json(path, &figures)?;
     }
-    Ok(done.is_sound() && figures["rules_broken"].as_array().is_some_and(Vec::is_empty))
+    Ok(result.answered_exactly_once() && figures["rules_broken"].as_array().is_some_and(Vec::is_empty))
 }
 
 /// Records the settings for the history checker, with the nodes' own addresses in place of those of
@@ -113,22 +114,22 @@
     Script { steps }
 }
 
-/// Plays the script and waits for the end; false if it was stopped before.
+/// Plays the script and waits for the end; false if it was interrupted before.
 fn play(
     fleet: &mut Fleet,
     script: &Script,
     seconds: u64,
-    stopped: &AtomicBool,
+    interrupted: &AtomicBool,
 ) -> Result<bool, ExperimentError> {
     let bar = progress_bar(seconds * 10, "{bar:40} {elapsed}  {msg}")?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut faults = script.steps.iter().peekable();
-    while begun.elapsed() < Duration::from_secs(seconds) {
-        if stopped.load(Ordering::Acquire) {
+    while started_at.elapsed() < Duration::from_secs(seconds) {
+        if interrupted.load(Ordering::Acquire) {
             bar.abandon();
             return Ok(false);
         }
-        let now = begun.elapsed().as_millis();
+        let now = started_at.elapsed().as_millis();
         while let Some(ScriptStep { fault, .. }) = faults.next_if(|step| u128::from(step.at_ms) <= now) {
             bar.set_message(fault.to_string());
             fleet.inject(fault);
--- a/crates/experiments/src/demo/notices.rs
+++ b/crates/experiments/src/demo/notices.rs
@@ -9,9 +9,9 @@
     /// The member that noticed it.
     pub(super) member: String,
     /// The member that crashed or restarted.
-    pub(super) of: String,
+    pub(super) subject: String,
     /// `dead` or `back`.
-    pub(super) what: &'static str,
+    pub(super) event: &'static str,
     /// The delay in ms; none if it was never noticed.
     pub(super) after_ms: Option<u128>,
 }
@@ -21,7 +21,7 @@
 pub(super) fn find(fleet: &Fleet, script: &Script, start: u128) -> Vec<Notice> {
     let mut notices = Vec::new();
     for ScriptStep { at_ms: at, fault } in &script.steps {
-        let (of, what, text, suffix) = match fault {
+        let (subject, event, text, suffix) = match fault {
             Fault::Kill(member) => {
                 (*member, "dead", format!("fleet: {} at ", Fleet::name(*member)), "-> failed")
             }
@@ -31,13 +31,13 @@
             _ => continue,
         };
         // The time at which the harness logged the fault.
-        let injected = fleet.timeline.first_match("harness", &fault.to_string(), start + u128::from(*at));
-        let happened = injected.unwrap_or(start);
-        for member in (0..PROXIES).filter(|member| *member != of) {
+        let logged_at = fleet.timeline.first_match("harness", &fault.to_string(), start + u128::from(*at));
+        let injected_at = logged_at.unwrap_or(start);
+        for member in (0..PROXIES).filter(|member| *member != subject) {
             let member = Fleet::name(member);
-            let seen_at = fleet.timeline.first_match_of_both(&member, &text, suffix, happened);
-            let after_ms = seen_at.map(|seen_at| seen_at - happened);
-            notices.push(Notice { member, of: Fleet::name(of), what, after_ms });
+            let seen_at = fleet.timeline.first_match_of_both(&member, &text, suffix, injected_at);
+            let after_ms = seen_at.map(|seen_at| seen_at - injected_at);
+            notices.push(Notice { member, subject: Fleet::name(subject), event, after_ms });
         }
     }
     notices
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -12,10 +12,10 @@
 pub(crate) enum ExperimentError {
     /// The path of this program, which is started for each proxy, cannot be determined.
     #[error("the path of this program cannot be determined: {0}")]
-    OwnPath(#[source] io::Error),
+    CurrentExe(#[source] io::Error),
     /// A backend of the soak cannot listen.
     #[error("soak: {0}")]
-    Soak(#[source] io::Error),
+    SoakSetup(#[source] io::Error),
     /// The range of seeds is empty.
     #[error("--first {first} --last {last}: no seed to play; the last seed must not be below the first")]
     EmptySeedRange {
@@ -64,7 +64,7 @@
     Json(#[from] serde_json::Error),
     /// The threads cannot be started.
     #[error("{0}")]
-    Threads(#[from] rayon::ThreadPoolBuildError),
+    ThreadPool(#[from] rayon::ThreadPoolBuildError),
     /// The progress bar's template is wrong.
     #[error("{0}")]
     ProgressBar(#[from] TemplateError),
@@ -76,10 +76,10 @@
     HistogramRange(#[from] hdrhistogram::RecordError),
     /// A signal stopped it.
     #[error("stopped; its processes have ended")]
-    Stopped,
+    Interrupted,
     /// A configuration is not a JSON object.
     #[error("a configuration is an object")]
-    ConfigIsNoObject,
+    ConfigNotObject,
     /// The number of rates differs from that of clocks.
     #[error("three rates are needed")]
     RateCount,
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -1,5 +1,5 @@
 //! Clients that send requests at a fixed rate, independent of the responses (an open loop):
-//! latencies count from the time at which a request was due. [`Load`] runs them; [`Done`] is the
+//! latencies count from the time at which a request was due. [`Load`] runs them; [`LoadResult`] is the
 //! result.
 
 use pinetrail_test_harness::recorder::Recorder;
@@ -17,7 +17,7 @@
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(900);
 /// The most attempts of a request whose connections break without a response.
 const MAX_ATTEMPTS: usize = 20;
-const KEYS: u64 = 200;
+const KEY_COUNT: u64 = 200;
 /// One request in this many is a write.
 const WRITES_ONE_IN: u64 = 20;
 /// How long a client waits before it retries.
@@ -28,28 +28,28 @@
 
 /// The result of a load.
 #[derive(Debug, Default)]
-pub(crate) struct Done {
+pub(crate) struct LoadResult {
     /// Requests that were due.
     pub requests: u64,
     /// Final responses by kind.
-    pub answers: BTreeMap<&'static str, u64>,
+    pub responses: BTreeMap<&'static str, u64>,
     /// Retries after a broken connection.
-    pub asked_again: u64,
+    pub retries: u64,
     /// Requests without a final response.
-    pub without_answer: u64,
+    pub unanswered: u64,
     /// Requests with more than one final response.
-    pub answered_twice: u64,
+    pub duplicate_responses: u64,
     /// Time from when each was due until its response, in microseconds.
-    pub latencies: Vec<u64>,
+    pub latencies_us: Vec<u64>,
 }
 
-impl Done {
+impl LoadResult {
     /// Whether each request had exactly one final response.
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn answered_exactly_once(&self) -> bool {
         self.requests > 0
-            && self.answers.values().sum::<u64>() == self.requests
-            && self.without_answer == 0
-            && self.answered_twice == 0
+            && self.responses.values().sum::<u64>() == self.requests
+            && self.unanswered == 0
+            && self.duplicate_responses == 0
     }
 }
 
@@ -58,10 +58,10 @@
     rate: u64,
     total: u64,
     seed: u64,
-    begun: Instant,
+    started_at: Instant,
     next: AtomicU64,
     recorder: Recorder,
-    done: Mutex<Done>,
+    result: Mutex<LoadResult>,
 }
 
 /// Running clients.
@@ -72,21 +72,21 @@
 
 impl Load {
     /// Starts clients of these proxies, with `rate` requests a second for this time.
-    pub(crate) fn start(proxies: Vec<SocketAddr>, rate: u64, lasts: Duration, seed: u64) -> Load {
-        let total = rate * lasts.as_secs();
+    pub(crate) fn start(proxies: Vec<SocketAddr>, rate: u64, duration: Duration, seed: u64) -> Load {
+        let total = rate * duration.as_secs();
         let shared = Arc::new(Shared {
             proxies,
             rate,
             total,
             seed,
-            begun: Instant::now(),
+            started_at: Instant::now(),
             next: AtomicU64::new(0),
             recorder: Recorder::current(),
-            done: Mutex::default(),
+            result: Mutex::default(),
         });
         let client = |_| {
             let shared = Arc::clone(&shared);
-            thread::spawn(move || Client { shared: &shared, open: BTreeMap::new() }.run())
+            thread::spawn(move || Client { shared: &shared, connections: BTreeMap::new() }.run())
         };
         let threads = (0..MAX_OPEN_REQUESTS).map(client).collect();
         Load { shared, threads }
@@ -99,18 +99,18 @@
     }
 
     /// Waits until all requests that were due have a response; returns the result.
-    pub(crate) fn wait(self) -> Done {
+    pub(crate) fn wait(self) -> LoadResult {
         for thread in self.threads {
             // A client that panicked has printed why, and has poisoned the lock.
             let _ = thread.join();
         }
-        std::mem::take(&mut *self.shared.done.lock().expect("no client panicked"))
+        std::mem::take(&mut *self.shared.result.lock().expect("no client panicked"))
     }
 }
 
 struct Client<'a> {
     shared: &'a Shared,
-    open: BTreeMap<usize, BufReader<TcpStream>>,
+    connections: BTreeMap<usize, BufReader<TcpStream>>,
 }
 
 /// The result of one attempt.
@@ -128,42 +128,42 @@
             if n >= self.shared.total {
                 return;
             }
-            let due = self.shared.begun + Duration::from_micros(n * 1_000_000 / self.shared.rate);
+            let due = self.shared.started_at + Duration::from_micros(n * 1_000_000 / self.shared.rate);
             thread::sleep(due.saturating_duration_since(Instant::now()));
             let mixed = (n ^ self.shared.seed).wrapping_mul(MIX_MULTIPLIER) >> 32;
-            let key = format!("k{}", mixed % KEYS);
-            let writes = mixed.is_multiple_of(WRITES_ONE_IN);
+            let key = format!("k{}", mixed % KEY_COUNT);
+            let is_write = mixed.is_multiple_of(WRITES_ONE_IN);
             let mut answer = None;
             for attempt in 0..MAX_ATTEMPTS {
                 let proxy = (n as usize + attempt) % self.shared.proxies.len();
-                match self.send_attempt(proxy, &key, writes, n, attempt) {
+                match self.send_attempt(proxy, &key, is_write, n, attempt) {
                     AttemptResult::Final(kind) => {
                         answer = Some(kind);
                         break;
                     }
                     AttemptResult::Broken => {
-                        self.open.remove(&proxy);
-                        self.note(|done| done.asked_again += 1);
+                        self.connections.remove(&proxy);
+                        self.update(|result| result.retries += 1);
                         thread::sleep(RETRY_DELAY);
                     }
                 }
             }
-            let late = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
-            self.note(|done| {
-                done.requests += 1;
+            let latency_us = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
+            self.update(|result| {
+                result.requests += 1;
                 match answer {
                     Some(kind) => {
-                        *done.answers.entry(kind).or_default() += 1;
-                        done.latencies.push(late);
+                        *result.responses.entry(kind).or_default() += 1;
+                        result.latencies_us.push(latency_us);
                     }
-                    None => done.without_answer += 1,
+                    None => result.unanswered += 1,
                 }
             });
         }
     }
 
-    fn note(&self, note: impl FnOnce(&mut Done)) {
-        note(&mut self.shared.done.lock().expect("no client panicked"));
+    fn update(&self, change: impl FnOnce(&mut LoadResult)) {
+        change(&mut self.shared.result.lock().expect("no client panicked"));
     }
 
     /// Sends an attempt to one proxy. If the connection breaks the client has disconnected, and may
@@ -172,25 +172,25 @@
         &mut self,
         proxy: usize,
         key: &str,
-        writes: bool,
+        is_write: bool,
         n: u64,
         attempt: usize,
     ) -> AttemptResult {
         let (id, repeat) = (format!("{n}x{attempt}"), if attempt > 0 { ",r=1" } else { "" });
         let ms = CLIENT_TIMEOUT.as_millis();
-        let command = if writes {
+        let command = if is_write {
             format!("ms {key} 5 O{id} Pc=put,t=acme,d={ms},k=w{n}{repeat}\r\nhello\r\n")
         } else {
             format!("mg {key} v O{id} Pc=read,t=acme,d={ms}{repeat}\r\n")
         };
         let Some(stream) = self.connection(proxy) else { return AttemptResult::Broken };
         // Buffered input before the request is sent is a second response to an earlier one.
-        let is_quiet = stream.buffer().is_empty();
+        let was_buffer_empty = stream.buffer().is_empty();
         self.shared.recorder.record_request(&command);
-        let Some(stream) = self.open.get_mut(&proxy) else { return AttemptResult::Broken };
+        let Some(stream) = self.connections.get_mut(&proxy) else { return AttemptResult::Broken };
         let answer = stream.get_mut().write_all(command.as_bytes()).and_then(|()| read_response(stream));
-        if !is_quiet {
-            self.note(|done| done.answered_twice += 1);
+        if !was_buffer_empty {
+            self.update(|result| result.duplicate_responses += 1);
         }
         match answer {
             Ok((line, value)) => {
@@ -213,22 +213,22 @@
     }
 
     fn connection(&mut self, proxy: usize) -> Option<&mut BufReader<TcpStream>> {
-        if !self.open.contains_key(&proxy) {
+        if !self.connections.contains_key(&proxy) {
             let stream = TcpStream::connect_timeout(&self.shared.proxies[proxy], CONNECT_TIMEOUT).ok()?;
             stream.set_read_timeout(Some(CLIENT_TIMEOUT * 2)).ok()?;
             stream.set_nodelay(true).ok()?;
-            self.open.insert(proxy, BufReader::new(stream));
+            self.connections.insert(proxy, BufReader::new(stream));
         }
         // The proxy may have closed an idle connection, which is noticed before it is used.
-        let stream = self.open.get_mut(&proxy)?;
+        let stream = self.connections.get_mut(&proxy)?;
         stream.get_ref().set_nonblocking(true).ok()?;
         let seen = stream.get_ref().peek(&mut [0]);
         stream.get_ref().set_nonblocking(false).ok()?;
         if matches!(seen, Ok(0)) {
-            self.open.remove(&proxy);
+            self.connections.remove(&proxy);
             return self.connection(proxy);
         }
-        self.open.get_mut(&proxy)
+        self.connections.get_mut(&proxy)
     }
 }
 
--- a/crates/experiments/src/membership/mod.rs
+++ b/crates/experiments/src/membership/mod.rs
@@ -14,7 +14,7 @@
 use rayon::prelude::*;
 use serde::Serialize;
 use std::path::{Path, PathBuf};
-use trials::{Kind, Outcome, Trial};
+use trials::{Outcome, Trial, TrialKind};
 
 /// What to measure.
 #[derive(Args)]
@@ -75,9 +75,9 @@
         pool.install(|| trials.par_iter().progress_with(bar.clone()).map(Trial::play).collect());
     bar.finish_and_clear();
     let all: Vec<u8> = outcomes.iter().flat_map(|outcome| outcome.digest.to_be_bytes()).collect();
-    let outcomes = trials::merged(outcomes);
+    let outcomes = trials::merge_parts(outcomes);
     let figures = Figures { seed: options.seed, digest: format!("{:08x}", crc32c::crc32c(&all)), outcomes };
-    show(&figures);
+    print_figures(&figures);
     if let Some(path) = &options.json {
         write_json(path, &figures)?;
     }
@@ -112,7 +112,7 @@
 fn plan(options: &Options) -> Vec<Trial> {
     let mut trials = Vec::new();
     let mut seed = options.seed.wrapping_mul(1_000_003);
-    let mut add = |members: u16, kind: Kind| {
+    let mut add = |members: u16, kind: TrialKind| {
         seed = seed.wrapping_add(1);
         trials.push(Trial { members: usize::from(members), kind, seed });
     };
@@ -124,13 +124,17 @@
                 (true, 301..) => continue,
                 _ => (options.deaths, options.minutes),
             };
-            add(*members, Kind::Deaths { heartbeats, deaths });
+            add(*members, TrialKind::Deaths { heartbeats, deaths });
             for loss in &options.loss {
                 let mut left = minutes;
                 while left > 0 {
                     add(
                         *members,
-                        Kind::Alarms { heartbeats, loss: *loss, minutes: left.min(MAX_TRIAL_MINUTES) },
+                        TrialKind::FalseAlarms {
+                            heartbeats,
+                            loss: *loss,
+                            minutes: left.min(MAX_TRIAL_MINUTES),
+                        },
                     );
                     left -= left.min(MAX_TRIAL_MINUTES);
                 }
@@ -140,13 +144,13 @@
     trials
 }
 
-fn show(figures: &Figures) {
-    let by = |heartbeats: bool| if heartbeats { "heartbeats" } else { "swim" };
+fn print_figures(figures: &Figures) {
+    let detector = |heartbeats: bool| if heartbeats { "heartbeats" } else { "swim" };
     let rows = figures.outcomes.iter().filter_map(|outcome| {
         let known = outcome.known.as_ref()?;
-        let of = |times: &trials::Times| format!("{} {} {}", times.p50, times.p99, times.worst);
+        let of = |times: &trials::TimeSummary| format!("{} {} {}", times.p50, times.p99, times.worst);
         Some(vec![
-            format!("{} {}", outcome.members, by(outcome.heartbeats)),
+            format!("{} {}", outcome.members, detector(outcome.heartbeats)),
             outcome.met_within_ms.map_or("-".to_owned(), |ms| ms.to_string()),
             of(&known.first),
             of(&known.last),
@@ -161,7 +165,7 @@
     let rows = figures.outcomes.iter().filter_map(|outcome| {
         let alarms = outcome.alarms.as_ref()?;
         Some(vec![
-            format!("{} {}", outcome.members, by(outcome.heartbeats)),
+            format!("{} {}", outcome.members, detector(outcome.heartbeats)),
             format!("{}%", alarms.loss),
             format!("{:.1}", alarms.hours),
             alarms.members_failed.to_string(),
--- a/crates/experiments/src/membership/plots.rs
+++ b/crates/experiments/src/membership/plots.rs
@@ -1,7 +1,7 @@
 //! The plots: SVG files.
 
 use super::trials::Outcome;
-use crate::chart::{lines, ChartError};
+use crate::chart::{draw_lines, ChartError};
 use std::path::Path;
 
 /// Draws the time to detect and the bytes against size, and false alarms against loss.
@@ -20,7 +20,7 @@
         let alarms = outcomes.iter().filter(of).filter_map(|outcome| outcome.alarms);
         alarms.map(|alarms| (f64::from(alarms.loss), alarms.members_failed as f64 / alarms.hours)).collect()
     };
-    lines(
+    draw_lines(
         &folder.join("detection.svg"),
         "ms from a death until it is known (p99)",
         "members",
@@ -30,13 +30,13 @@
             ("heartbeats, the last", by_size(true, last)),
         ],
     )?;
-    lines(
+    draw_lines(
         &folder.join("bytes.svg"),
         "bytes a second sent by each member",
         "members",
         &[("swim", by_size(false, bytes)), ("heartbeats", by_size(true, bytes))],
     )?;
-    lines(
+    draw_lines(
         &folder.join("false-alarms.svg"),
         "members taken for failed an hour that were alive",
         "loss in percent",
--- a/crates/experiments/src/membership/script.rs
+++ b/crates/experiments/src/membership/script.rs
@@ -22,19 +22,19 @@
     fleet.run(JOIN_TIME_MS);
     fleet.observed.clear();
     let start = fleet.now();
-    let mut player = Player { fleet, members, size, peers, start, lines: Vec::new() };
+    let mut player = ScriptPlayer { fleet, members, size, peers, start, lines: Vec::new() };
     for ScriptStep { at_ms: at, fault } in &script.steps {
         player.run_until(*at);
         player.lines.push(format!("{at:>7} ms  fault  {fault}"));
         player.inject(fault)?;
     }
     player.fleet.run(OBSERVATION_AFTER_MS);
-    player.write_observed();
+    player.log_events();
     Ok(player.lines)
 }
 
 /// A fleet to which the faults of a script happen.
-struct Player {
+struct ScriptPlayer {
     fleet: Fleet<Membership>,
     members: usize,
     /// How many members the fleet may have.
@@ -47,16 +47,16 @@
     lines: Vec<String>,
 }
 
-impl Player {
+impl ScriptPlayer {
     /// Lets time pass until `at` ms after the beginning of the script.
     fn run_until(&mut self, at: u64) {
         let left = (self.start + at).saturating_sub(self.fleet.now());
         self.fleet.run(left);
-        self.write_observed();
+        self.log_events();
     }
 
     /// Logs the events of members since the last call.
-    fn write_observed(&mut self) {
+    fn log_events(&mut self) {
         for observed in std::mem::take(&mut self.fleet.observed) {
             let at = observed.at - self.start;
             self.lines.push(format!("{at:>7} ms  n{:04}  {}", observed.host, event_text(&observed.event)));
--- a/crates/experiments/src/membership/trials.rs
+++ b/crates/experiments/src/membership/trials.rs
@@ -9,24 +9,24 @@
 
 /// What a trial is about.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Kind {
+pub(super) enum TrialKind {
     /// Members die, one after the other.
     Deaths { heartbeats: bool, deaths: usize },
     /// No member dies; datagrams are lost and members are paused.
-    Alarms { heartbeats: bool, loss: u8, minutes: u64 },
+    FalseAlarms { heartbeats: bool, loss: u8, minutes: u64 },
 }
 
 /// A trial.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Trial {
     pub members: usize,
-    pub kind: Kind,
+    pub kind: TrialKind,
     pub seed: u64,
 }
 
 /// Times in ms.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub(super) struct Times {
+pub(super) struct TimeSummary {
     pub p50: u64,
     pub p99: u64,
     pub worst: u64,
@@ -35,16 +35,16 @@
 
 /// When the other members knew of deaths.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub(super) struct Known {
-    pub first: Times,
-    pub last: Times,
+pub(super) struct DetectionTimes {
+    pub first: TimeSummary,
+    pub last: TimeSummary,
     /// Deaths of which not all the others knew within a minute.
     pub missed: usize,
 }
 
 /// False alarms: members declared failed that were alive.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub(super) struct Alarms {
+pub(super) struct FalseAlarms {
     pub loss: u8,
     pub hours: f64,
     /// Members declared failed by at least one other, counted once for each alarm.
@@ -59,8 +59,8 @@
     /// The time from the last start until all members knew of all, to the second; none if it was
     /// longer than three minutes.
     pub met_within_ms: Option<u64>,
-    pub known: Option<Known>,
-    pub alarms: Option<Alarms>,
+    pub known: Option<DetectionTimes>,
+    pub alarms: Option<FalseAlarms>,
     /// Bytes and datagrams that each member sent, on average.
     pub bytes_per_s: f64,
     pub datagrams_per_s: f64,
@@ -100,11 +100,11 @@
 }
 
 /// The measurements of a fleet whose members have joined.
-struct Observation {
+struct Measurements {
     before: Traffic,
     after: Traffic,
-    known: Option<Known>,
-    alarms: Option<Alarms>,
+    known: Option<DetectionTimes>,
+    alarms: Option<FalseAlarms>,
     digest: u32,
 }
 
@@ -112,7 +112,7 @@
     /// Plays it.
     pub(super) fn play(&self) -> Outcome {
         let heartbeats = match self.kind {
-            Kind::Deaths { heartbeats, .. } | Kind::Alarms { heartbeats, .. } => heartbeats,
+            TrialKind::Deaths { heartbeats, .. } | TrialKind::FalseAlarms { heartbeats, .. } => heartbeats,
         };
         if heartbeats {
             self.play_heartbeats()
@@ -134,8 +134,8 @@
             start(host, &mut fleet);
         }
         fleet.run(5_000);
-        let observation = self.observe(fleet, start);
-        self.outcome(true, None, observation)
+        let measurements = self.observe(fleet, start);
+        self.outcome(true, None, measurements)
     }
 
     /// Plays it with the membership as it runs in service.
@@ -151,13 +151,13 @@
             // Members start one after the other, as in a release.
             fleet.run(10);
         }
-        let met_within_ms = self.wait_until_met(&mut fleet);
-        let observation = self.observe(fleet, start);
-        self.outcome(false, met_within_ms, observation)
+        let met_within_ms = self.wait_until_joined(&mut fleet);
+        let measurements = self.observe(fleet, start);
+        self.outcome(false, met_within_ms, measurements)
     }
 
     /// Waits until all members know of all; returns how long it took, or none if it took too long.
-    fn wait_until_met(&self, fleet: &mut Fleet<Membership>) -> Option<u64> {
+    fn wait_until_joined(&self, fleet: &mut Fleet<Membership>) -> Option<u64> {
         let all: Vec<usize> = (0..self.members).collect();
         let start = fleet.now();
         // The check costs more than the simulation, so it is made rarely.
@@ -167,8 +167,8 @@
         fleet.all_agree(&all).then(|| fleet.now() - start)
     }
 
-    fn outcome(&self, heartbeats: bool, met_within_ms: Option<u64>, observation: Observation) -> Outcome {
-        let Observation { before, after, known, alarms, digest } = observation;
+    fn outcome(&self, heartbeats: bool, met_within_ms: Option<u64>, measurements: Measurements) -> Outcome {
+        let Measurements { before, after, known, alarms, digest } = measurements;
         let seconds = (after.at - before.at) as f64 / 1000.0 * self.members as f64;
         Outcome {
             members: self.members,
@@ -182,24 +182,28 @@
         }
     }
 
-    fn observe<M: Member>(&self, mut fleet: Fleet<M>, restart: impl Fn(usize, &mut Fleet<M>)) -> Observation {
+    fn observe<M: Member>(
+        &self,
+        mut fleet: Fleet<M>,
+        restart: impl Fn(usize, &mut Fleet<M>),
+    ) -> Measurements {
         fleet.run(15_000);
         fleet.observed.clear();
         let before = Traffic::of(&fleet);
         let mut digest = 0;
         match self.kind {
-            Kind::Deaths { deaths, .. } => {
+            TrialKind::Deaths { deaths, .. } => {
                 // The traffic of a fleet without faults, before the first death.
                 fleet.run(30_000);
                 let after = Traffic::of(&fleet);
                 let known = self.observe_deaths(&mut fleet, deaths, &mut digest, &restart);
-                Observation { before, after, known: Some(known), alarms: None, digest }
+                Measurements { before, after, known: Some(known), alarms: None, digest }
             }
-            Kind::Alarms { loss, minutes, .. } => {
+            TrialKind::FalseAlarms { loss, minutes, .. } => {
                 let members_failed = self.observe_alarms(&mut fleet, loss, minutes, &mut digest);
                 let after = Traffic::of(&fleet);
-                let alarms = Alarms { loss, hours: minutes as f64 / 60.0, members_failed };
-                Observation { before, after, known: None, alarms: Some(alarms), digest }
+                let alarms = FalseAlarms { loss, hours: minutes as f64 / 60.0, members_failed };
+                Measurements { before, after, known: None, alarms: Some(alarms), digest }
             }
         }
     }
@@ -219,9 +223,9 @@
         let mut failed_at = vec![None; self.members];
         for _ in 0..minutes * 6 {
             fleet.run(10_000);
-            *digest = fold(*digest, &fleet.observed);
+            *digest = extend_digest(*digest, &fleet.observed);
             for observed in std::mem::take(&mut fleet.observed) {
-                let Some(member) = failed(&observed) else { continue };
+                let Some(member) = failed_member(&observed) else { continue };
                 // All other members report the same false alarm, which counts once.
                 let is_new = failed_at[member].is_none_or(|at| at + SAME_ALARM_MS < observed.at);
                 members_failed += usize::from(is_new);
@@ -237,7 +241,7 @@
         deaths: usize,
         digest: &mut u32,
         restart: &impl Fn(usize, &mut Fleet<M>),
-    ) -> Known {
+    ) -> DetectionTimes {
         let mut first = Vec::new();
         let mut last = Vec::new();
         let mut missed = 0;
@@ -252,22 +256,22 @@
             // The time differs, so that deaths fall anywhere in a protocol period.
             fleet.run(15_000 + n as u64 * 37);
         }
-        Known { first: summary(&first), last: summary(&last), missed }
+        DetectionTimes { first: summarize(&first), last: summarize(&last), missed }
     }
 
     /// Kills one member. Returns how many ms later each of the others knew of it, for those that
     /// did.
     fn observe_death<M: Member>(&self, fleet: &mut Fleet<M>, dead: usize, digest: &mut u32) -> Vec<u64> {
         fleet.observed.clear();
-        let died = fleet.now();
+        let killed_at = fleet.now();
         fleet.kill(dead);
         let mut known_after = vec![None; self.members];
         for _ in 0..600 {
             fleet.run(100);
-            *digest = fold(*digest, &fleet.observed);
+            *digest = extend_digest(*digest, &fleet.observed);
             for observed in std::mem::take(&mut fleet.observed) {
-                if failed(&observed) == Some(dead) {
-                    known_after[observed.host].get_or_insert(observed.at - died);
+                if failed_member(&observed) == Some(dead) {
+                    known_after[observed.host].get_or_insert(observed.at - killed_at);
                 }
             }
             if known_after.iter().flatten().count() == self.members - 1 {
@@ -291,7 +295,7 @@
 }
 
 /// The member that an event declares failed, if it is such an event.
-fn failed(observed: &ObservedEvent) -> Option<usize> {
+fn failed_member(observed: &ObservedEvent) -> Option<usize> {
     match &observed.event {
         MembershipEvent::MemberChanged { record, .. } if record.state == MemberState::Failed => {
             record.name.trim_start_matches('n').parse().ok()
@@ -301,7 +305,7 @@
 }
 
 /// Extends a digest by these events.
-fn fold(mut digest: u32, observed: &[ObservedEvent]) -> u32 {
+fn extend_digest(mut digest: u32, observed: &[ObservedEvent]) -> u32 {
     for event in observed {
         digest = crc32c::crc32c_append(digest, digest_input(event).as_bytes());
     }
@@ -318,12 +322,12 @@
     format!("ObservedEvent {{ at: {at}, host: {host}, event: {event} }}")
 }
 
-fn summary(times: &[u64]) -> Times {
+fn summarize(times: &[u64]) -> TimeSummary {
     let mut histogram = Histogram::<u64>::new(3).expect("three digits are possible");
     for time in times {
         histogram.record(*time).expect("it grows as needed");
     }
-    Times {
+    TimeSummary {
         p50: histogram.value_at_quantile(0.5),
         p99: histogram.value_at_quantile(0.99),
         worst: times.iter().copied().max().unwrap_or(0),
@@ -332,7 +336,7 @@
 }
 
 /// Merges the parts of long trials.
-pub(super) fn merged(outcomes: Vec<Outcome>) -> Vec<Outcome> {
+pub(super) fn merge_parts(outcomes: Vec<Outcome>) -> Vec<Outcome> {
     let mut merged: Vec<Outcome> = Vec::new();
     for outcome in outcomes {
         let same = |other: &&mut Outcome| {
@@ -340,9 +344,9 @@
                 && other.alarms.zip(outcome.alarms).is_some_and(|(a, b)| a.loss == b.loss)
         };
         match (merged.iter_mut().find(same), outcome.alarms) {
-            (Some(Outcome { alarms: Some(before), .. }), Some(piece)) => {
-                before.hours += piece.hours;
-                before.members_failed += piece.members_failed;
+            (Some(Outcome { alarms: Some(before), .. }), Some(part)) => {
+                before.hours += part.hours;
+                before.members_failed += part.members_failed;
             }
             _ => merged.push(outcome),
         }
--- a/crates/experiments/src/membership/trials/tests.rs
+++ b/crates/experiments/src/membership/trials/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn a_trial_is_reproducible_and_detects_every_death() {
     for heartbeats in [false, true] {
-        let trial = Trial { members: 8, kind: Kind::Deaths { heartbeats, deaths: 4 }, seed: 3 };
+        let trial = Trial { members: 8, kind: TrialKind::Deaths { heartbeats, deaths: 4 }, seed: 3 };
         let (one, two) = (trial.play(), trial.play());
         assert_eq!(one.digest, two.digest);
         let known = one.known.unwrap();
@@ -16,12 +16,15 @@
 
 #[test]
 fn false_alarms_are_counted_and_parts_of_a_trial_are_merged() {
-    let trial =
-        |loss| Trial { members: 5, kind: Kind::Alarms { heartbeats: true, loss, minutes: 2 }, seed: 1 };
+    let trial = |loss| Trial {
+        members: 5,
+        kind: TrialKind::FalseAlarms { heartbeats: true, loss, minutes: 2 },
+        seed: 1,
+    };
     let (calm, lossy) = (trial(0).play(), trial(60).play());
     assert_eq!(calm.alarms.unwrap().members_failed, 0);
     assert!(lossy.alarms.unwrap().members_failed > 0);
-    let all = merged(vec![calm.clone(), lossy.clone(), calm]);
+    let all = merge_parts(vec![calm.clone(), lossy.clone(), calm]);
     assert_eq!(all.len(), 2);
     assert!((all[0].alarms.unwrap().hours - 4.0 / 60.0).abs() < 1e-9);
 }
--- a/crates/experiments/src/policy/mod.rs
+++ b/crates/experiments/src/policy/mod.rs
@@ -51,7 +51,7 @@
 
 /// The results of many seeds.
 #[derive(Serialize)]
-struct Seeds {
+struct SeedResults {
     first: u64,
     seeds: u64,
     /// Each seed with a violation, and its verdict.
@@ -86,8 +86,8 @@
 }
 
 #[derive(Serialize)]
-struct All {
-    seeds: Seeds,
+struct Figures {
+    seeds: SeedResults,
     took: Vec<ChangeTimes>,
 }
 
@@ -102,7 +102,7 @@
         (options.seed..options.seed + options.seeds).into_par_iter().map(play_seed).collect();
     let violations = runs.iter().filter(|run| run.verdict != Verdict::Passed);
     let sum = |of: fn(&OutcomeCounts) -> u32| runs.iter().map(|run| of(&run.outcomes)).sum();
-    let seeds = Seeds {
+    let seeds = SeedResults {
         first: options.seed,
         seeds: options.seeds,
         violations: violations.map(|run| (run.plan.seed, format!("{:?}", run.verdict))).collect(),
@@ -141,11 +141,11 @@
     println!("ms of simulated time from a proposal to the first request under it (admission leases of 800 ms), network latency 1 to 3 ms");
     let heading = ["members", "changes", "p50", "p99", "worst", "longest gap"];
     table::print(&heading, &rows.collect::<Vec<_>>());
-    let good = seeds.violations.is_empty() & run_real_processes(options.seed, options.processes)?;
+    let passed = seeds.violations.is_empty() & run_real_processes(options.seed, options.processes)?;
     if let Some(path) = &options.json {
-        write_json(path, &All { seeds, took })?;
+        write_json(path, &Figures { seeds, took })?;
     }
-    Ok(good)
+    Ok(passed)
 }
 
 /// The same with four real processes, three of them founders; false if there was a violation.
@@ -153,36 +153,36 @@
     if seeds == 0 {
         return Ok(true);
     }
-    let own = std::env::current_exe().map_err(ExperimentError::OwnPath)?;
-    set_program(own, &["proxy"]);
-    let parties = || {
+    let program_path = std::env::current_exe().map_err(ExperimentError::CurrentExe)?;
+    set_program(program_path, &["proxy"]);
+    let start_backends = || {
         (vec![StubServer::hit_node("v"), StubServer::hit_node("v")], StubServer::origin(|_| http_200("v")))
     };
     let mut all = Vec::new();
     for seed in first..first + seeds {
-        let (nodes, origin) = parties();
+        let (nodes, origin) = start_backends();
         let options =
             FleetOptions { seed, founders: vec![0, 1, 2], policy: true, ..FleetOptions::with_members(4) };
         all.push(run_under_faults(Fleet::start_all(options, nodes, origin), seed));
     }
-    let wrong: Vec<u64> = all.iter().filter(|one| one.violations > 0).map(|one| one.seed).collect();
+    let violating_seeds: Vec<u64> = all.iter().filter(|one| one.violations > 0).map(|one| one.seed).collect();
     let sum = |of: fn(&PolicyRun) -> u64| all.iter().map(of).sum::<u64>();
     println!(
-        "real processes: {seeds} seeds from {first}, violations in {wrong:?}; {} requests decided, {} rejected; the change committed in {}",
+        "real processes: {seeds} seeds from {first}, violations in {violating_seeds:?}; {} requests decided, {} rejected; the change committed in {}",
         sum(|one| one.decided as u64),
         sum(|one| one.rejected),
         sum(|one| u64::from(one.version == 2))
     );
-    let (nodes, origin) = parties();
-    let base =
+    let (nodes, origin) = start_backends();
+    let baseline =
         run_with_reloads(Fleet::start_all(FleetOptions::with_members(4), nodes, origin), RELOAD_INTERVAL);
     println!(
         "baseline, SIGHUP at each of four in turn, {} ms apart: {} requests show two policies, for {:.0} ms",
         RELOAD_INTERVAL.as_millis(),
-        base.violations,
-        base.overlap_ms
+        baseline.violations,
+        baseline.overlap_ms
     );
-    Ok(wrong.is_empty())
+    Ok(violating_seeds.is_empty())
 }
 
 /// Times of changes in fleets without faults, or in which a member that is no founder crashes just
--- a/crates/experiments/src/quota/day/mod.rs
+++ b/crates/experiments/src/quota/day/mod.rs
@@ -1,5 +1,5 @@
 //! One day in simulated time: proxies that fetch from one origin, each within its quota, and their
-//! faults. [`Day`] is the scenario, [`Outcome`] its figures.
+//! faults. [`Scenario`] is the scenario, [`Outcome`] its figures.
 
 mod script;
 mod tally;
@@ -26,7 +26,7 @@
     Leased,
 }
 
-/// The event of a day.
+/// The event of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Event {
@@ -45,14 +45,14 @@
 
 /// A day to play.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Day {
+pub(super) struct Scenario {
     pub proxies: usize,
     pub event: Event,
     pub rule: Rule,
     pub seed: u64,
 }
 
-/// The figures of a day.
+/// The figures of a scenario.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Outcome {
     pub proxies: usize,
@@ -83,7 +83,7 @@
 /// When the event begins; quotas have settled by then.
 const START_OF_EVENT_MS: u64 = 30_000;
 /// When the day ends.
-const END_OF_DAY_MS: u64 = 90_000;
+const END_OF_SCENARIO_MS: u64 = 90_000;
 /// The origin's capacity of concurrent calls for each proxy.
 const CALLS_PER_PROXY: usize = 4;
 /// How long a call takes within the capacity.
@@ -96,11 +96,11 @@
 const CUT_DEMAND: f64 = 0.6;
 const OVERLOAD_DEMAND: f64 = 1.6;
 /// How long a day counts from the beginning of its event: a partition, a release, a crash.
-const CUT_COUNTS_MS: u64 = 12_000;
-const RELEASE_COUNTS_MS: u64 = 45_000;
-const CRASH_COUNTS_MS: u64 = 40_000;
+const CUT_EVENT_MS: u64 = 12_000;
+const RELEASE_EVENT_MS: u64 = 45_000;
+const CRASH_EVENT_MS: u64 = 40_000;
 
-impl Day {
+impl Scenario {
     /// Plays it.
     pub(super) fn play(&self) -> Outcome {
         let mut rng = StdRng::seed_from_u64(self.seed);
@@ -108,7 +108,7 @@
         let mut tally = Tally::new(*self, &steps);
         let mut world = World::new(*self, rng);
         let mut now = 0;
-        while now < END_OF_DAY_MS {
+        while now < END_OF_SCENARIO_MS {
             now += STEP_MS;
             let mut faults = Vec::new();
             while let Some(step) = take_due(&mut steps, |step| step.at <= now) {
@@ -132,9 +132,9 @@
     /// Until when an event counts, in ms.
     fn end_of_event(&self) -> u64 {
         match self.event {
-            Event::Cut => START_OF_EVENT_MS + CUT_COUNTS_MS,
-            Event::Release | Event::Deaths => START_OF_EVENT_MS + RELEASE_COUNTS_MS,
-            Event::Crash | Event::Zone => START_OF_EVENT_MS + CRASH_COUNTS_MS,
+            Event::Cut => START_OF_EVENT_MS + CUT_EVENT_MS,
+            Event::Release | Event::Deaths => START_OF_EVENT_MS + RELEASE_EVENT_MS,
+            Event::Crash | Event::Zone => START_OF_EVENT_MS + CRASH_EVENT_MS,
         }
     }
 }
--- a/crates/experiments/src/quota/day/script.rs
+++ b/crates/experiments/src/quota/day/script.rs
@@ -1,6 +1,6 @@
 //! The faults of a day and their times.
 
-use super::{Day, Event, START_OF_EVENT_MS};
+use super::{Event, Scenario, START_OF_EVENT_MS};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Fault {
     /// One is asked to end.
-    Leave(usize),
+    Shutdown(usize),
     /// One dies.
-    Die(usize),
+    Crash(usize),
     /// One starts again.
-    Return(usize),
+    Restart(usize),
     /// The fleet is partitioned into halves.
     Partition,
     /// The partition ends.
@@ -38,17 +38,17 @@
 /// How long the fleet is partitioned.
 const PARTITION_DURATION_MS: u64 = 6_000;
 
-/// The steps of a day, in the order of time.
-pub(super) fn steps(day: &Day, rng: &mut StdRng) -> Vec<ScriptStep> {
-    let mut all: Vec<usize> = (0..day.proxies).collect();
+/// The steps of a scenario, in the order of time.
+pub(super) fn steps(scenario: &Scenario, rng: &mut StdRng) -> Vec<ScriptStep> {
+    let mut all: Vec<usize> = (0..scenario.proxies).collect();
     all.shuffle(rng);
-    let seven_in_ten = &all[..day.proxies * 7 / 10];
-    match day.event {
+    let seven_in_ten = &all[..scenario.proxies * 7 / 10];
+    match scenario.event {
         Event::Release => releases(seven_in_ten, SHUTDOWN_DURATION_MS),
         Event::Deaths => releases(seven_in_ten, 0),
         Event::Crash => crash(seven_in_ten),
         Event::Zone => {
-            let zone: Vec<usize> = (0..day.proxies).filter(|proxy| proxy % 3 == 0).collect();
+            let zone: Vec<usize> = (0..scenario.proxies).filter(|proxy| proxy % 3 == 0).collect();
             crash(&zone)
         }
         Event::Cut => vec![
@@ -60,10 +60,10 @@
 
 /// All of these die at once, and return later.
 fn crash(proxies: &[usize]) -> Vec<ScriptStep> {
-    let death = |proxy: &usize| ScriptStep { at: START_OF_EVENT_MS, fault: Fault::Die(*proxy) };
-    let back = START_OF_EVENT_MS + CRASH_DURATION_MS;
-    let return_of = |proxy: &usize| ScriptStep { at: back, fault: Fault::Return(*proxy) };
-    proxies.iter().map(death).chain(proxies.iter().map(return_of)).collect()
+    let crash_of = |proxy: &usize| ScriptStep { at: START_OF_EVENT_MS, fault: Fault::Crash(*proxy) };
+    let restart_at = START_OF_EVENT_MS + CRASH_DURATION_MS;
+    let restart_of = |proxy: &usize| ScriptStep { at: restart_at, fault: Fault::Restart(*proxy) };
+    proxies.iter().map(crash_of).chain(proxies.iter().map(restart_of)).collect()
 }
 
 /// These end one after the other: by a graceful shutdown of this duration, or by a crash if it is
@@ -74,15 +74,15 @@
     if shutdown_duration_ms > 0 {
         for (nth, proxy) in proxies.iter().enumerate() {
             let at = START_OF_EVENT_MS + nth as u64 * interval;
-            steps.push(ScriptStep { at, fault: Fault::Leave(*proxy) });
+            steps.push(ScriptStep { at, fault: Fault::Shutdown(*proxy) });
         }
     }
     for (nth, proxy) in proxies.iter().enumerate() {
         let at = START_OF_EVENT_MS + nth as u64 * interval + shutdown_duration_ms;
-        steps.push(ScriptStep { at, fault: Fault::Die(*proxy) });
+        steps.push(ScriptStep { at, fault: Fault::Crash(*proxy) });
     }
     for proxy in proxies {
-        steps.push(ScriptStep { at: START_OF_EVENT_MS + RELEASE_RETURN_MS, fault: Fault::Return(*proxy) });
+        steps.push(ScriptStep { at: START_OF_EVENT_MS + RELEASE_RETURN_MS, fault: Fault::Restart(*proxy) });
     }
     steps.sort_by_key(|step| step.at);
     steps
--- a/crates/experiments/src/quota/day/tally.rs
+++ b/crates/experiments/src/quota/day/tally.rs
@@ -1,8 +1,8 @@
-//! The counters of a day: [`Tally`].
+//! The counters of a scenario: [`Tally`].
 
 use super::script::{Fault, ScriptStep};
 use super::world::World;
-use super::{take_due, Day, Outcome, CALL_DURATION_MS, START_OF_EVENT_MS, STEP_MS};
+use super::{take_due, Outcome, Scenario, CALL_DURATION_MS, START_OF_EVENT_MS, STEP_MS};
 use std::collections::VecDeque;
 
 /// The time between two points of the plot.
@@ -13,38 +13,38 @@
 const RECOVERED_FRACTION: f64 = 0.99;
 
 /// The fetches that began in one step.
-struct Begun {
+struct StartedFetches {
     at: u64,
     fetches: u64,
 }
 
 /// The counters so far.
 pub(super) struct Tally {
-    day: Day,
+    scenario: Scenario,
     last_death: Option<u64>,
     wanted: u64,
     served: u64,
     over_ms: u64,
     largest_quota_sum: f64,
-    grown_ms: Option<u64>,
+    recovery_ms: Option<u64>,
     quota_sums: Vec<(f64, f64)>,
     /// The fetches that began within the last [`RATE_WINDOW_MS`].
-    begun: VecDeque<Begun>,
+    begun: VecDeque<StartedFetches>,
     fetches_in_window: u64,
     most_fetches_in_window: u64,
 }
 
 impl Tally {
-    pub(super) fn new(day: Day, steps: &VecDeque<ScriptStep>) -> Tally {
-        let deaths = steps.iter().filter(|step| matches!(step.fault, Fault::Die(_)));
+    pub(super) fn new(scenario: Scenario, steps: &VecDeque<ScriptStep>) -> Tally {
+        let deaths = steps.iter().filter(|step| matches!(step.fault, Fault::Crash(_)));
         Tally {
-            day,
+            scenario,
             last_death: deaths.map(|step| step.at).max(),
             wanted: 0,
             served: 0,
             over_ms: 0,
             largest_quota_sum: 0.0,
-            grown_ms: None,
+            recovery_ms: None,
             quota_sums: Vec::new(),
             begun: VecDeque::new(),
             fetches_in_window: 0,
@@ -55,8 +55,8 @@
     /// Lets the fetches of one step end, be wanted and begin, and counts them.
     pub(super) fn add_step(&mut self, now: u64, world: &mut World) {
         let in_time = world.end_fetches();
-        let wanted = world.want_fetches();
-        if (START_OF_EVENT_MS..self.day.end_of_event()).contains(&now) {
+        let wanted = world.request_fetches();
+        if (START_OF_EVENT_MS..self.scenario.end_of_event()).contains(&now) {
             self.served += in_time;
             self.wanted += wanted;
         }
@@ -68,7 +68,7 @@
     }
 
     fn add_begun(&mut self, now: u64, fetches: u64) {
-        self.begun.push_back(Begun { at: now, fetches });
+        self.begun.push_back(StartedFetches { at: now, fetches });
         self.fetches_in_window += fetches;
         while let Some(old) = take_due(&mut self.begun, |begun| begun.at + RATE_WINDOW_MS <= now) {
             self.fetches_in_window -= old.fetches;
@@ -83,13 +83,13 @@
             self.quota_sums.push((now as f64 / 1000.0, sum));
         }
         let Some(last_death) = self.last_death else { return };
-        if self.grown_ms.is_some() || now <= last_death || now >= self.day.end_of_event() {
+        if self.recovery_ms.is_some() || now <= last_death || now >= self.scenario.end_of_event() {
             return;
         }
         // The survivors' guaranteed minimum and the leased half. Rounding down to complete attempts
         // loses a small part.
-        if sum >= RECOVERED_FRACTION * (0.5 + 0.5 * world.living_fraction()) {
-            self.grown_ms = Some(now - last_death);
+        if sum >= RECOVERED_FRACTION * (0.5 + 0.5 * world.live_fraction()) {
+            self.recovery_ms = Some(now - last_death);
         }
     }
 
@@ -98,9 +98,9 @@
         let capacity = world.origin.capacity as f64;
         let fetches_a_second = capacity * 1000.0 / CALL_DURATION_MS as f64;
         Outcome {
-            proxies: self.day.proxies,
-            event: self.day.event,
-            rule: self.day.rule,
+            proxies: self.scenario.proxies,
+            event: self.scenario.event,
+            rule: self.scenario.rule,
             wanted: self.wanted,
             served_percent: 100.0 * self.served as f64 / self.wanted.max(1) as f64,
             most: world.origin.max_calls as f64 / capacity,
@@ -108,7 +108,7 @@
             falls: world.origin.outages,
             fetches: self.most_fetches_in_window as f64 / fetches_a_second,
             sum: self.largest_quota_sum.max(largest_in_use),
-            grown_ms: self.grown_ms,
+            grown_ms: self.recovery_ms,
             shares: self.quota_sums,
         }
     }
--- a/crates/experiments/src/quota/day/tests.rs
+++ b/crates/experiments/src/quota/day/tests.rs
@@ -2,7 +2,7 @@
 
 /// Without the lines of its plot.
 fn day(event: Event, rule: Rule) -> Outcome {
-    Outcome { shares: Vec::new(), ..Day { proxies: 30, event, rule, seed: 1 }.play() }
+    Outcome { shares: Vec::new(), ..Scenario { proxies: 30, event, rule, seed: 1 }.play() }
 }
 
 #[test]
--- a/crates/experiments/src/quota/day/world.rs
+++ b/crates/experiments/src/quota/day/world.rs
@@ -1,7 +1,7 @@
-//! The proxies of a day, the origin that they fetch from, and the quota of each: [`World`].
+//! The proxies of a scenario, the origin that they fetch from, and the quota of each: [`World`].
 
 use super::script::Fault;
-use super::{take_due, Day, Rule, CALLS_PER_PROXY, CALL_DURATION_MS, DEADLINE_MS, STEP_MS};
+use super::{take_due, Rule, Scenario, CALLS_PER_PROXY, CALL_DURATION_MS, DEADLINE_MS, STEP_MS};
 use pinetrail_quota::TOTAL_PARTS;
 use pinetrail_simulation::origin::Origin;
 use pinetrail_simulation::quota::QuotaSimulation;
@@ -35,20 +35,20 @@
 }
 
 /// A change that proxies notice later.
-struct Notice {
+struct LivenessUpdate {
     at: u64,
     liveness: Liveness,
 }
 
 /// The proxies of a day at one moment of it.
 pub(super) struct World {
-    day: Day,
+    scenario: Scenario,
     now: u64,
     rng: StdRng,
     actual: Liveness,
     /// The view of the proxies.
-    noticed: Liveness,
-    notices: VecDeque<Notice>,
+    observed: Liveness,
+    pending_updates: VecDeque<LivenessUpdate>,
     /// For each proxy when its fetches that wait were wanted.
     waiting: Vec<VecDeque<u64>>,
     /// For each proxy when its fetches that are at the origin were wanted.
@@ -59,20 +59,20 @@
 }
 
 impl World {
-    pub(super) fn new(day: Day, rng: StdRng) -> World {
-        let count = day.proxies;
+    pub(super) fn new(scenario: Scenario, rng: StdRng) -> World {
+        let count = scenario.proxies;
         let all_alive = Liveness { alive: vec![true; count], side: vec![0; count] };
         World {
-            day,
+            scenario,
             now: 0,
             rng,
             actual: all_alive.clone(),
-            noticed: all_alive,
-            notices: VecDeque::new(),
+            observed: all_alive,
+            pending_updates: VecDeque::new(),
             waiting: vec![VecDeque::new(); count],
             in_flight: vec![VecDeque::new(); count],
             origin: Origin::new(CALLS_PER_PROXY * count, CALL_DURATION_MS, OUTAGE_DURATION_MS),
-            quota: (day.rule == Rule::Leased).then(|| start_quota(&day)),
+            quota: (scenario.rule == Rule::Leased).then(|| start_quota(&scenario)),
         }
     }
 
@@ -82,8 +82,8 @@
         for fault in faults {
             self.inject(*fault);
         }
-        while let Some(notice) = take_due(&mut self.notices, |notice| notice.at <= now) {
-            self.notice(notice.liveness);
+        while let Some(update) = take_due(&mut self.pending_updates, |update| update.at <= now) {
+            self.apply_update(update.liveness);
         }
         if let Some(quota) = &mut self.quota {
             quota.run(STEP_MS);
@@ -92,12 +92,12 @@
 
     fn inject(&mut self, fault: Fault) {
         match fault {
-            Fault::Leave(proxy) => {
+            Fault::Shutdown(proxy) => {
                 if let Some(quota) = &mut self.quota {
                     quota.begin_shutdown(proxy);
                 }
             }
-            Fault::Die(proxy) => {
+            Fault::Crash(proxy) => {
                 self.actual.alive[proxy] = false;
                 self.waiting[proxy].clear();
                 self.in_flight[proxy].clear();
@@ -105,7 +105,7 @@
                     quota.kill(proxy);
                 }
             }
-            Fault::Return(proxy) => {
+            Fault::Restart(proxy) => {
                 self.actual.alive[proxy] = true;
                 if let Some(quota) = &mut self.quota {
                     quota.start(proxy);
@@ -119,11 +119,12 @@
                 }
             }
         }
-        self.notices.push_back(Notice { at: self.now + DETECTION_DELAY_MS, liveness: self.actual.clone() });
+        self.pending_updates
+            .push_back(LivenessUpdate { at: self.now + DETECTION_DELAY_MS, liveness: self.actual.clone() });
     }
 
     fn partition(&mut self) {
-        let count = self.day.proxies;
+        let count = self.scenario.proxies;
         let (even, odd): (Vec<usize>, Vec<usize>) = (0..count).partition(|proxy| proxy % 2 == 0);
         for proxy in &even {
             self.actual.side[*proxy] = 1;
@@ -134,21 +135,21 @@
     }
 
     /// Updates the view of the proxies.
-    fn notice(&mut self, liveness: Liveness) {
-        self.noticed = liveness;
+    fn apply_update(&mut self, liveness: Liveness) {
+        self.observed = liveness;
         let Some(quota) = &mut self.quota else { return };
-        for proxy in 0..self.day.proxies {
-            let known = self.noticed.reached_by(proxy).map(|other| quota.process(other)).collect();
+        for proxy in 0..self.scenario.proxies {
+            let known = self.observed.reached_by(proxy).map(|other| quota.process(other)).collect();
             quota.set_live_processes(proxy, known);
         }
     }
 
     /// The quota of one proxy, from 0 to 1.
     fn quota_of(&self, proxy: usize) -> f64 {
-        match self.day.rule {
-            Rule::Static => 1.0 / self.day.proxies as f64,
+        match self.scenario.rule {
+            Rule::Static => 1.0 / self.scenario.proxies as f64,
             Rule::Live => {
-                let others = self.noticed.reached_by(proxy).filter(|other| *other != proxy);
+                let others = self.observed.reached_by(proxy).filter(|other| *other != proxy);
                 1.0 / (others.count() + 1) as f64
             }
             Rule::Leased => {
@@ -160,7 +161,7 @@
 
     /// The sum of the quotas of all live proxies.
     pub(super) fn quota_sum(&self) -> f64 {
-        self.living().into_iter().map(|proxy| self.quota_of(proxy)).sum()
+        self.live_proxies().into_iter().map(|proxy| self.quota_of(proxy)).sum()
     }
 
     /// The largest sum of leased quotas, attempts under earlier quotas included.
@@ -169,24 +170,24 @@
         Some(quota.max_parts_in_use as f64 / TOTAL_PARTS as f64)
     }
 
-    fn living(&self) -> Vec<usize> {
-        (0..self.day.proxies).filter(|proxy| self.actual.alive[*proxy]).collect()
+    fn live_proxies(&self) -> Vec<usize> {
+        (0..self.scenario.proxies).filter(|proxy| self.actual.alive[*proxy]).collect()
     }
 
     /// The fraction of proxies that are alive.
-    pub(super) fn living_fraction(&self) -> f64 {
-        self.living().len() as f64 / self.day.proxies as f64
+    pub(super) fn live_fraction(&self) -> f64 {
+        self.live_proxies().len() as f64 / self.scenario.proxies as f64
     }
 
     /// Clients request fetches from the live proxies; returns how many.
-    pub(super) fn want_fetches(&mut self) -> u64 {
-        let living = self.living();
+    pub(super) fn request_fetches(&mut self) -> u64 {
+        let live_proxies = self.live_proxies();
         let capacity = self.origin.capacity as f64;
-        let wanted = self.day.demand(self.now) * capacity * STEP_MS as f64 / CALL_DURATION_MS as f64;
+        let wanted = self.scenario.demand(self.now) * capacity * STEP_MS as f64 / CALL_DURATION_MS as f64;
         let one_more = self.rng.random_bool(wanted.fract());
         let count = wanted as u64 + u64::from(one_more);
         for _ in 0..count {
-            let proxy = living[self.rng.random_range(0..living.len())];
+            let proxy = live_proxies[self.rng.random_range(0..live_proxies.len())];
             self.waiting[proxy].push_back(self.now);
         }
         count
@@ -205,7 +206,7 @@
     /// Each proxy begins the fetches that its quota allows; returns how many.
     pub(super) fn begin_fetches(&mut self) -> u64 {
         let mut begun = 0;
-        for proxy in self.living() {
+        for proxy in self.live_proxies() {
             // Fetches that would end too late are dropped at once.
             self.waiting[proxy].retain(|wanted_at| wanted_at + DEADLINE_MS >= self.now + CALL_DURATION_MS);
             let allowed =
@@ -223,9 +224,9 @@
     }
 }
 
-fn start_quota(day: &Day) -> QuotaSimulation {
-    let count = day.proxies;
-    let mut quota = QuotaSimulation::new(count, MAX_FOUNDERS.min(count), count, day.seed);
+fn start_quota(scenario: &Scenario) -> QuotaSimulation {
+    let count = scenario.proxies;
+    let mut quota = QuotaSimulation::new(count, MAX_FOUNDERS.min(count), count, scenario.seed);
     quota.settings.max_attempt_duration = Duration::from_millis(DEADLINE_MS);
     for proxy in 0..count {
         quota.start(proxy);
--- a/crates/experiments/src/quota/mod.rs
+++ b/crates/experiments/src/quota/mod.rs
@@ -9,7 +9,7 @@
 use crate::output::write_json;
 use crate::{chart, table};
 use clap::Args;
-use day::{Day, Event, Outcome, Rule};
+use day::{Event, Outcome, Rule, Scenario};
 use rayon::prelude::*;
 use std::path::PathBuf;
 
@@ -37,25 +37,25 @@
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
     let rules = [Rule::Static, Rule::Live, Rule::Leased];
     let events = [Event::Release, Event::Deaths, Event::Crash, Event::Cut, Event::Zone];
-    let days: Vec<Day> = options
+    let scenarios: Vec<Scenario> = options
         .members
         .iter()
         .flat_map(|members| events.map(|event| (usize::from(*members), event)))
-        .flat_map(|(proxies, event)| rules.map(|rule| Day { proxies, event, rule, seed: options.seed }))
+        .flat_map(|(proxies, event)| rules.map(|rule| Scenario { proxies, event, rule, seed: options.seed }))
         .collect();
-    let outcomes: Vec<Outcome> = days.par_iter().map(Day::play).collect();
-    show(&outcomes);
+    let outcomes: Vec<Outcome> = scenarios.par_iter().map(Scenario::play).collect();
+    print_outcomes(&outcomes);
     if let Some(path) = &options.json {
         write_json(path, &outcomes)?;
     }
     if let Some(folder) = &options.plots {
-        draw(folder, &outcomes)
+        draw_plots(folder, &outcomes)
             .map_err(|source| ExperimentError::Plots { folder: folder.clone(), source })?;
     }
     Ok(outcomes.iter().all(|outcome| outcome.rule != Rule::Leased || outcome.sum <= 1.0 + ROUNDING_TOLERANCE))
 }
 
-fn show(outcomes: &[Outcome]) {
+fn print_outcomes(outcomes: &[Outcome]) {
     let rows = outcomes.iter().map(|outcome| {
         vec![
             format!("{} {:?} {:?}", outcome.proxies, outcome.event, outcome.rule).to_lowercase(),
@@ -76,13 +76,13 @@
     table::print(&heading, &rows.collect::<Vec<_>>());
 }
 
-fn draw(folder: &std::path::Path, outcomes: &[Outcome]) -> Result<(), ChartError> {
+fn draw_plots(folder: &std::path::Path, outcomes: &[Outcome]) -> Result<(), ChartError> {
     std::fs::create_dir_all(folder)?;
-    for days in outcomes.chunks(3) {
-        let name = format!("shares-{}-{:?}", days[0].proxies, days[0].event).to_lowercase();
-        let lines = [("static", &days[0]), ("divided by the live", &days[1]), ("leased", &days[2])];
-        let lines = lines.map(|(name, day)| (name, day.shares.clone()));
-        chart::lines(&folder.join(format!("{name}.svg")), "sum of the active quotas", "s", &lines)?;
+    for group in outcomes.chunks(3) {
+        let name = format!("shares-{}-{:?}", group[0].proxies, group[0].event).to_lowercase();
+        let lines = [("static", &group[0]), ("divided by the live", &group[1]), ("leased", &group[2])];
+        let lines = lines.map(|(name, outcome)| (name, outcome.shares.clone()));
+        chart::draw_lines(&folder.join(format!("{name}.svg")), "sum of the active quotas", "s", &lines)?;
     }
     Ok(())
 }
--- a/crates/experiments/src/quota/proof.rs
+++ b/crates/experiments/src/quota/proof.rs
@@ -39,31 +39,36 @@
     let threads = options.threads.unwrap_or_else(rayon::current_num_threads);
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build()?;
     let bar = progress_bar(options.seeds, "{bar:40} {pos}/{len} seeds, {elapsed}")?;
-    let begun = Instant::now();
-    let wrong: Vec<String> = pool.install(|| {
+    let started_at = Instant::now();
+    let failures: Vec<String> = pool.install(|| {
         let seeds = (0..options.seeds).into_par_iter().progress_with(bar.clone());
         seeds
             .filter_map(|seed| seeds::play(seed).err().map(|error| format!("seed {seed}: {error}")))
             .collect()
     });
     bar.finish_and_clear();
-    println!("{} seeds in {:.1} s: {} wrong", options.seeds, begun.elapsed().as_secs_f64(), wrong.len());
-    for line in wrong.iter().take(10) {
+    println!(
+        "{} seeds in {:.1} s: {} failures",
+        options.seeds,
+        started_at.elapsed().as_secs_f64(),
+        failures.len()
+    );
+    for line in failures.iter().take(10) {
         println!("  {line}");
     }
-    let begun = Instant::now();
-    let found = QuotaModel::new(options.faults, options.ticks, rates).explore(threads);
+    let started_at = Instant::now();
+    let exploration = QuotaModel::new(options.faults, options.ticks, rates).explore(threads);
     println!(
         "{} faults in {} ticks: {} states, {} of them different, in {:.1} s: {} properties do not hold",
         options.faults,
         options.ticks,
-        found.states,
-        found.unique_states,
-        begun.elapsed().as_secs_f64(),
-        found.violations.len()
+        exploration.states,
+        exploration.unique_states,
+        started_at.elapsed().as_secs_f64(),
+        exploration.violations.len()
     );
-    for line in &found.violations {
+    for line in &exploration.violations {
         println!("  {line}");
     }
-    Ok(wrong.is_empty() && found.violations.is_empty())
+    Ok(failures.is_empty() && exploration.violations.is_empty())
 }
--- a/crates/experiments/src/soak/backends.rs
+++ b/crates/experiments/src/soak/backends.rs
@@ -1,7 +1,7 @@
 //! The backends of a soak: cache nodes and an origin whose behaviour follows from a seed. Read
 //! [`Backend`] first.
 
-use super::record::{AttemptEnd, Record, Seen};
+use super::record::{AttemptEnd, Observation, Record};
 use pinetrail_test_harness::{record_arrivals, ArrivalStream};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -41,13 +41,13 @@
     /// Sends half a response, and then nothing.
     Stall,
     /// Sends half a response and ends the connection.
-    BreakOff,
+    CloseHalfway,
     /// Rejects it.
     Busy,
     /// Sends a failure.
     Fail,
     /// Sends its response twice.
-    Twice,
+    ServeTwice,
 }
 
 /// One backend. Its threads end with the program.
@@ -65,7 +65,7 @@
 }
 
 /// A request that a backend has read.
-struct Received {
+struct ReceivedRequest {
     id: String,
     budget_ms: u64,
     is_write: bool,
@@ -99,38 +99,38 @@
     fn serve(&self, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let connection = self.connections.fetch_add(1, Ordering::Relaxed);
-        let mut random = StdRng::seed_from_u64(self.seed ^ (connection << 16) ^ self.number as u64);
+        let mut rng = StdRng::seed_from_u64(self.seed ^ (connection << 16) ^ self.number as u64);
         let mut reader = BufReader::new(ArrivalStream::new(stream)?);
         while let Some(received) = self.read(&mut reader)? {
             let attempt = self.record.next_attempt();
             let arrived_at = reader.get_ref().last_arrival();
-            let arrived = Seen::Arrived {
+            let arrived = Observation::AttemptArrived {
                 attempt,
                 backend: self.number,
                 budget_ms: received.budget_ms,
-                read_late: arrived_at.elapsed(),
+                read_delay: arrived_at.elapsed(),
             };
             self.record.note(arrived_at, &received.id, arrived);
-            let behaviour = self.choose(&mut random);
-            let (over_at, end) = self.respond(&mut reader, &received, behaviour, &mut random);
-            let is_over = !matches!(end, AttemptEnd::Served(_) | AttemptEnd::NeverRan);
-            self.record.note(over_at, &received.id, Seen::AttemptOver { attempt, end });
-            if is_over {
+            let behaviour = self.choose_behaviour(&mut rng);
+            let (over_at, end) = self.respond(&mut reader, &received, behaviour, &mut rng);
+            let must_close = !matches!(end, AttemptEnd::Served(_) | AttemptEnd::NeverRan);
+            self.record.note(over_at, &received.id, Observation::AttemptEnded { attempt, end });
+            if must_close {
                 return reader.get_ref().get_ref().shutdown(Shutdown::Both);
             }
         }
         Ok(())
     }
 
-    fn choose(&self, random: &mut StdRng) -> Behaviour {
-        match random.random_range(0..100) {
+    fn choose_behaviour(&self, rng: &mut StdRng) -> Behaviour {
+        match rng.random_range(0..100) {
             0..=7 => Behaviour::Hang,
             8..=10 => Behaviour::Trickle,
             11..=13 => Behaviour::Stall,
-            14..=17 => Behaviour::BreakOff,
+            14..=17 => Behaviour::CloseHalfway,
             18..=21 => Behaviour::Busy,
             22..=24 => Behaviour::Fail,
-            25..=26 => Behaviour::Twice,
+            25..=26 => Behaviour::ServeTwice,
             27..=50 if self.kind == Kind::Node => Behaviour::Miss,
             _ => Behaviour::Serve,
         }
@@ -140,12 +140,12 @@
     fn respond(
         &self,
         reader: &mut BufReader<ArrivalStream>,
-        received: &Received,
+        received: &ReceivedRequest,
         behaviour: Behaviour,
-        random: &mut StdRng,
+        rng: &mut StdRng,
     ) -> (Instant, AttemptEnd) {
-        let work = Duration::from_millis(random.random_range(0..25));
-        let value = format!("{}-{}", self.number, random.random_range(0..1_000_000));
+        let work = Duration::from_millis(rng.random_range(0..25));
+        let value = format!("{}-{}", self.number, rng.random_range(0..1_000_000));
         let received_at = Instant::now();
         if let Some(ended_at) = reader.get_mut().wait_for_end(work) {
             return (ended_at, AttemptEnd::MayHaveRun);
@@ -160,12 +160,12 @@
         let write = |bytes: &[u8]| reader.get_ref().get_ref().write_all(bytes).is_ok();
         let (over_at, is_written) = match behaviour {
             Behaviour::Serve => (open_at, write(complete.as_bytes())),
-            Behaviour::Twice => (open_at, write((complete.clone() + &complete).as_bytes())),
+            Behaviour::ServeTwice => (open_at, write((complete.clone() + &complete).as_bytes())),
             Behaviour::Miss => (open_at, write(format!("EN {}\r\n", received.id).as_bytes())),
             Behaviour::Busy => (open_at, write(self.rejection().as_bytes())),
             Behaviour::Fail => (open_at, write(self.failure().as_bytes())),
             Behaviour::Trickle => write_slowly(reader, complete.as_bytes()),
-            Behaviour::BreakOff => (open_at, write(half)),
+            Behaviour::CloseHalfway => (open_at, write(half)),
             Behaviour::Stall if !write(half) => (open_at, false),
             Behaviour::Stall | Behaviour::Hang => {
                 (reader.get_mut().wait_for_end(READ_TIMEOUT).unwrap_or_else(Instant::now), false)
@@ -173,7 +173,7 @@
         };
         let end = match behaviour {
             Behaviour::Miss | Behaviour::Busy if is_written => AttemptEnd::NeverRan,
-            Behaviour::Serve | Behaviour::Trickle | Behaviour::Twice if is_written => {
+            Behaviour::Serve | Behaviour::Trickle | Behaviour::ServeTwice if is_written => {
                 AttemptEnd::Served(value)
             }
             _ => AttemptEnd::MayHaveRun,
@@ -181,7 +181,7 @@
         (over_at, end)
     }
 
-    fn complete_response(&self, received: &Received, value: &str) -> String {
+    fn complete_response(&self, received: &ReceivedRequest, value: &str) -> String {
         match (self.kind, received.is_write) {
             (Kind::Origin, _) => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{value}", value.len()),
             (Kind::Node, true) => format!("HD {} c{value}\r\n", received.id),
@@ -204,7 +204,7 @@
     }
 
     /// The next request; none at the end of the connection.
-    fn read(&self, reader: &mut BufReader<ArrivalStream>) -> std::io::Result<Option<Received>> {
+    fn read(&self, reader: &mut BufReader<ArrivalStream>) -> std::io::Result<Option<ReceivedRequest>> {
         reader.get_ref().get_ref().set_read_timeout(Some(READ_TIMEOUT))?;
         let mut head = String::new();
         while reader.read_line(&mut head)? > 0 {
@@ -212,30 +212,30 @@
                 continue;
             }
             let (id, labels) = match self.kind {
-                Kind::Node => (word(&head, "O"), word(&head, "P")),
+                Kind::Node => (flag(&head, "O"), flag(&head, "P")),
                 Kind::Origin => {
-                    (line(&head, "X-Txn: ").map(|id| format!("O{id}")), line(&head, "X-Labels: "))
+                    (field(&head, "X-Txn: ").map(|id| format!("O{id}")), field(&head, "X-Labels: "))
                 }
             };
             let labels = labels.unwrap_or_default();
             let budget_ms = labels.split(',').find_map(|label| label.strip_prefix("d=")?.parse().ok());
-            let length = line(&head, "Content-Length: ").and_then(|length| length.parse().ok()).unwrap_or(0);
+            let length = field(&head, "Content-Length: ").and_then(|length| length.parse().ok()).unwrap_or(0);
             reader.read_exact(&mut vec![0; length])?;
             let id = id.map_or(String::new(), |id| if id.starts_with('O') { id } else { format!("O{id}") });
             let is_write = head.starts_with("PUT ") || head.starts_with("ms ");
-            return Ok(Some(Received { id, budget_ms: budget_ms.unwrap_or(u64::MAX), is_write }));
+            return Ok(Some(ReceivedRequest { id, budget_ms: budget_ms.unwrap_or(u64::MAX), is_write }));
         }
         Ok(None)
     }
 }
 
 /// A word of a command by its first letter, without it.
-fn word(command: &str, letter: &str) -> Option<String> {
+fn flag(command: &str, letter: &str) -> Option<String> {
     command.split_whitespace().skip(1).find_map(|word| word.strip_prefix(letter)).map(str::to_owned)
 }
 
 /// The rest of the line with this beginning.
-fn line(head: &str, begins: &str) -> Option<String> {
+fn field(head: &str, begins: &str) -> Option<String> {
     head.lines().find_map(|line| line.strip_prefix(begins)).map(str::to_owned)
 }
 
--- a/crates/experiments/src/soak/clients.rs
+++ b/crates/experiments/src/soak/clients.rs
@@ -1,7 +1,7 @@
 //! The clients of a soak. Each keeps its connection until the proxy closes it, also while the proxy
 //! drains, and sends one request after the other. Read [`Client::run`] first.
 
-use super::record::{Answer, Class, Record, Seen};
+use super::record::{Class, FinalResponse, Observation, Record};
 use pinetrail_test_harness::ArrivalStream;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -32,7 +32,7 @@
     /// Seeds its random choices.
     pub seed: u64,
     /// It begins no request after this.
-    pub ends: Instant,
+    pub stop_at: Instant,
     /// Where it records its observations.
     pub record: Arc<Record>,
 }
@@ -41,7 +41,7 @@
 struct Request {
     id: String,
     class: Class,
-    wait_ms: u64,
+    timeout_ms: u64,
     command: String,
 }
 
@@ -54,20 +54,20 @@
 impl Client {
     /// Sends requests until its end.
     pub(super) fn run(&self) {
-        let mut random = StdRng::seed_from_u64(self.seed ^ ((self.number as u64) << 32));
+        let mut rng = StdRng::seed_from_u64(self.seed ^ ((self.number as u64) << 32));
         let mut connection = None;
         let mut count = 0;
-        while Instant::now() < self.ends {
-            thread::sleep(Duration::from_millis(random.random_range(0..40)));
+        while Instant::now() < self.stop_at {
+            thread::sleep(Duration::from_millis(rng.random_range(0..40)));
             let Some(open) = connection.take().or_else(|| self.connect()) else {
                 thread::sleep(RECONNECT_DELAY);
                 continue;
             };
             count += 1;
-            let request = self.request(count, &mut random);
-            let disconnects_after = random
+            let request = self.generate_request(count, &mut rng);
+            let disconnects_after = rng
                 .random_ratio(1, DISCONNECTS_ONE_IN)
-                .then(|| Duration::from_millis(random.random_range(0..request.wait_ms)));
+                .then(|| Duration::from_millis(rng.random_range(0..request.timeout_ms)));
             connection = self.send(open, &request, disconnects_after);
         }
     }
@@ -78,21 +78,21 @@
         Some(Connection { stream: BufReader::new(ArrivalStream::new(stream).ok()?), requests: 0 })
     }
 
-    fn request(&self, count: usize, random: &mut StdRng) -> Request {
+    fn generate_request(&self, count: usize, rng: &mut StdRng) -> Request {
         let id = format!("O{}.{}.{count}", self.proxy, self.number);
-        let wait_ms = TIMEOUTS_MS[random.random_range(0..TIMEOUTS_MS.len())];
-        let key = format!("k{}", random.random_range(0..60));
-        let class = match random.random_range(0..10) {
+        let timeout_ms = TIMEOUTS_MS[rng.random_range(0..TIMEOUTS_MS.len())];
+        let key = format!("k{}", rng.random_range(0..60));
+        let class = match rng.random_range(0..10) {
             0..=6 => Class::Read,
             7..=8 => Class::Put,
             _ => Class::Confirm,
         };
         let command = match class {
-            Class::Read => format!("mg {key} v {id} Pc=read,t=acme,d={wait_ms}\r\n"),
-            Class::Put => format!("ms {key} 5 {id} Pc=put,t=acme,d={wait_ms},k={id}\r\nhello\r\n"),
-            Class::Confirm => format!("ms {key} 5 {id} Pc=confirm,t=acme,d={wait_ms},k={id}\r\nhello\r\n"),
+            Class::Read => format!("mg {key} v {id} Pc=read,t=acme,d={timeout_ms}\r\n"),
+            Class::Put => format!("ms {key} 5 {id} Pc=put,t=acme,d={timeout_ms},k={id}\r\nhello\r\n"),
+            Class::Confirm => format!("ms {key} 5 {id} Pc=confirm,t=acme,d={timeout_ms},k={id}\r\nhello\r\n"),
         };
-        Request { id, class, wait_ms, command }
+        Request { id, class, timeout_ms, command }
     }
 
     /// Sends a request and reads its response; returns the connection if it is still usable.
@@ -105,10 +105,10 @@
         let sent_at = Instant::now();
         open.stream.get_ref().get_ref().write_all(request.command.as_bytes()).ok()?;
         open.requests += 1;
-        let sent = Seen::Sent {
+        let sent = Observation::Sent {
             proxy: self.proxy,
             class: request.class,
-            wait_ms: request.wait_ms,
+            timeout_ms: request.timeout_ms,
             is_first_on_connection: open.requests == 1,
             write_time: sent_at.elapsed(),
         };
@@ -118,18 +118,18 @@
         let arrived = open.stream.get_ref().last_arrival();
         match response {
             Ok(answer) => {
-                self.record.note(arrived, &request.id, Seen::Answered(answer));
+                self.record.note(arrived, &request.id, Observation::Answered(answer));
                 Some(open)
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 drop(open);
                 if disconnects_after.is_some() {
-                    self.record.note(Instant::now(), &request.id, Seen::Left);
+                    self.record.note(Instant::now(), &request.id, Observation::Disconnected);
                 }
                 None
             }
             Err(_) => {
-                self.record.note(arrived, &request.id, Seen::Ended);
+                self.record.note(arrived, &request.id, Observation::ConnectionEnded);
                 None
             }
         }
@@ -140,7 +140,7 @@
 ///
 /// # Errors
 /// [`ErrorKind::WouldBlock`] if it is not complete in time, others if the connection ended.
-fn read_response(stream: &mut BufReader<ArrivalStream>, until: Instant) -> std::io::Result<Answer> {
+fn read_response(stream: &mut BufReader<ArrivalStream>, until: Instant) -> std::io::Result<FinalResponse> {
     let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
     stream.get_ref().get_ref().set_read_timeout(Some(left))?;
     let mut line = String::new();
@@ -151,13 +151,13 @@
         let length: usize = rest.split(' ').next().and_then(|length| length.parse().ok()).unwrap_or(0);
         let mut value = vec![0; length + 2];
         stream.read_exact(&mut value)?;
-        return Ok(Answer::Served(String::from_utf8_lossy(&value[..length]).into_owned()));
+        return Ok(FinalResponse::Served(String::from_utf8_lossy(&value[..length]).into_owned()));
     }
     if let Some((_, receipt)) = line.trim_end().split_once(" c").filter(|_| line.starts_with("HD ")) {
-        return Ok(Answer::Served(receipt.to_owned()));
+        return Ok(FinalResponse::Served(receipt.to_owned()));
     }
     if line.starts_with("SERVER_ERROR busy") {
-        return Ok(Answer::Rejected);
+        return Ok(FinalResponse::Rejected);
     }
-    Ok(Answer::Failed)
+    Ok(FinalResponse::Failed)
 }
--- a/crates/experiments/src/soak/judge.rs
+++ b/crates/experiments/src/soak/judge.rs
@@ -6,7 +6,7 @@
 //! this program, where it signals or publishes, and the time by which it stopped a proxy for longer
 //! than a proxy must tolerate.
 
-use super::record::{Answer, AttemptEnd, Change, Class, Record, Seen, Stop};
+use super::record::{AttemptEnd, Change, Class, FinalResponse, Observation, Record, Stop};
 use super::request_logs::RequestLogs;
 use super::HOLD_UP_DURATION;
 use std::collections::BTreeMap;
@@ -18,13 +18,13 @@
 /// Delays of this program within this time of an observation count as its error.
 const DELAY_WINDOW: Duration = Duration::from_millis(400);
 /// A final response is in time for this long after its deadline.
-const ANSWER_SLACK: Duration = Duration::from_millis(60);
+const RESPONSE_SLACK: Duration = Duration::from_millis(60);
 /// Timeouts from this on leave time for a hold-up at their end. Responses to shorter ones only have
-/// to meet [`LOST_AFTER`].
-const LONG_WAIT_MS: u64 = 734;
+/// to meet [`MISSING_AFTER`].
+const LONG_TIMEOUT_MS: u64 = 734;
 /// A final response that comes later than this after its deadline counts as missing. Until then it
 /// is late.
-const LOST_AFTER: Duration = Duration::from_millis(500);
+const MISSING_AFTER: Duration = Duration::from_millis(500);
 /// An attempt may begin this long after its client disconnected.
 const CANCEL_GRACE: Duration = Duration::from_millis(100);
 /// An attempt's budget may exceed the time that its client still waits by this.
@@ -35,9 +35,9 @@
 /// New attempts may go to a backend for this long after it was listed as draining.
 const DRAIN_GRACE: Duration = Duration::from_millis(2200);
 /// Proxies must know a change this long after the end of an outage of discovery.
-const LISTED_AFTER_OUTAGE: Duration = Duration::from_secs(6);
+const OUTAGE_RECOVERY_TIME: Duration = Duration::from_secs(6);
 /// A SIGKILL excuses missing responses only to requests sent up to this long after SIGTERM.
-const KILL_EXCUSES_UNTIL: Duration = Duration::from_millis(700);
+const KILL_EXCUSE_WINDOW: Duration = Duration::from_millis(700);
 
 /// A proxy plans the response to a short wait for this part of it.
 const PLANNED_FRACTION: f64 = 0.85;
@@ -56,9 +56,9 @@
     /// A connection was closed over a request that a backend had seen, or that was its first.
     ClosedUnanswered,
     /// A value that no backend returned for this request.
-    MadeUp,
+    UnknownValue,
     /// An attempt after the client had disconnected.
-    AfterClientLeft,
+    AfterDisconnect,
     /// An attempt after the final response.
     AfterResponse,
     /// The budget of an attempt was longer than the time that the client still waited.
@@ -68,7 +68,7 @@
     /// Another attempt though an earlier one may have run.
     UnsafeRepeat,
     /// The same, after the deduplication window.
-    AfterWindow,
+    RepeatAfterWindow,
     /// A rejection though an attempt may have run.
     RejectedAfterRun,
     /// An attempt at a backend that is draining.
@@ -103,9 +103,9 @@
     /// Of them, those served.
     pub served: usize,
     /// Final responses after the slack of a short timeout.
-    pub late_after_short_waits: usize,
+    pub late_after_short_timeouts: usize,
     /// Those of them that no stop of the proxy explains, with their timelines.
-    pub unexplained: Vec<LateResponse>,
+    pub unexplained_late: Vec<LateResponse>,
     /// The longest time between the arrival of an attempt and its read by a backend of this program.
     pub longest_read_delay: Duration,
     /// The violations.
@@ -116,7 +116,7 @@
     backend: usize,
     budget_ms: u64,
     arrived: Instant,
-    over: Option<(Instant, AttemptEnd)>,
+    end: Option<(Instant, AttemptEnd)>,
 }
 
 /// The observations of one request.
@@ -127,18 +127,18 @@
     written: Instant,
     proxy: usize,
     class: Class,
-    wait: Duration,
+    timeout: Duration,
     is_first_on_connection: bool,
-    answered: Option<(Instant, Answer)>,
+    answered: Option<(Instant, FinalResponse)>,
     ended: Option<Instant>,
-    left: Option<Instant>,
+    left_at: Option<Instant>,
     attempts: BTreeMap<u64, Attempt>,
 }
 
 impl Request {
     /// The latest moment at which its client's wait ended.
     fn deadline(&self) -> Instant {
-        self.written + self.wait
+        self.written + self.timeout
     }
 }
 
@@ -147,7 +147,7 @@
     ended: Instant,
     changes: &'a [(Instant, Change)],
     delays: &'a [(Instant, Duration)],
-    seen: &'a [(Instant, String, Seen)],
+    observations: &'a [(Instant, String, Observation)],
     stops: &'a [Stop],
     logs: &'a RequestLogs,
     verdict: Verdict,
@@ -155,15 +155,15 @@
 
 /// Judges a run that lasted from `began` to `ended`.
 pub(super) fn judge(record: &Record, logs: &RequestLogs, began: Instant, ended: Instant) -> Verdict {
-    let (seen, changes, delays, stops) =
+    let (observations, changes, delays, stops) =
         (record.requests(), record.changes(), record.delays(), record.stops());
-    let requests = index(&seen);
+    let requests = group_by_request(&observations);
     let mut judge = Judge {
         began,
         ended,
         changes: &changes,
         delays: &delays,
-        seen: &seen,
+        observations: &observations,
         stops: &stops,
         logs,
         verdict: Verdict { requests: requests.len(), ..Verdict::default() },
@@ -171,47 +171,49 @@
     for (id, request) in &requests {
         judge.judge(id, request);
     }
-    let read_delay = |(_, _, seen): &(Instant, String, Seen)| match seen {
-        Seen::Arrived { read_late, .. } => Some(*read_late),
+    let read_delay = |(_, _, observation): &(Instant, String, Observation)| match observation {
+        Observation::AttemptArrived { read_delay, .. } => Some(*read_delay),
         _ => None,
     };
-    judge.verdict.longest_read_delay = seen.iter().filter_map(read_delay).max().unwrap_or_default();
+    judge.verdict.longest_read_delay = observations.iter().filter_map(read_delay).max().unwrap_or_default();
     judge.verdict
 }
 
-fn index(seen: &[(Instant, String, Seen)]) -> BTreeMap<String, Request> {
+fn group_by_request(observations: &[(Instant, String, Observation)]) -> BTreeMap<String, Request> {
     let mut requests: BTreeMap<String, Request> = BTreeMap::new();
-    for (at, id, seen) in seen {
-        if let Seen::Sent { proxy, class, wait_ms, is_first_on_connection, write_time } = seen {
+    for (at, id, observation) in observations {
+        if let Observation::Sent { proxy, class, timeout_ms, is_first_on_connection, write_time } =
+            observation
+        {
             let request = Request {
                 sent: *at,
                 written: *at + *write_time,
                 proxy: *proxy,
                 class: *class,
-                wait: Duration::from_millis(*wait_ms),
+                timeout: Duration::from_millis(*timeout_ms),
                 is_first_on_connection: *is_first_on_connection,
                 answered: None,
                 ended: None,
-                left: None,
+                left_at: None,
                 attempts: BTreeMap::new(),
             };
             requests.insert(id.clone(), request);
         }
     }
-    for (at, id, seen) in seen {
+    for (at, id, observation) in observations {
         let Some(request) = requests.get_mut(id) else { continue };
-        match seen {
-            Seen::Sent { .. } => {}
-            Seen::Answered(answer) => request.answered = Some((*at, answer.clone())),
-            Seen::Ended => request.ended = Some(*at),
-            Seen::Left => request.left = Some(*at),
-            Seen::Arrived { attempt, backend, budget_ms, .. } => {
+        match observation {
+            Observation::Sent { .. } => {}
+            Observation::Answered(answer) => request.answered = Some((*at, answer.clone())),
+            Observation::ConnectionEnded => request.ended = Some(*at),
+            Observation::Disconnected => request.left_at = Some(*at),
+            Observation::AttemptArrived { attempt, backend, budget_ms, .. } => {
                 let (backend, budget_ms) = (*backend, *budget_ms);
-                request.attempts.insert(*attempt, Attempt { backend, budget_ms, arrived: *at, over: None });
+                request.attempts.insert(*attempt, Attempt { backend, budget_ms, arrived: *at, end: None });
             }
-            Seen::AttemptOver { attempt, end } => {
+            Observation::AttemptEnded { attempt, end } => {
                 if let Some(attempt) = request.attempts.get_mut(attempt) {
-                    attempt.over = Some((*at, end.clone()));
+                    attempt.end = Some((*at, end.clone()));
                 }
             }
         }
@@ -235,52 +237,52 @@
                 self.judge_answer(id, request, answer);
                 let excess = self.excess_stop(request.proxy, request.sent, *at);
                 let late = at.saturating_duration_since(deadline).saturating_sub(CLOCK_TOLERANCE + excess);
-                let has_room = request.wait.as_millis() >= u128::from(LONG_WAIT_MS);
-                if late > LOST_AFTER {
+                let has_room = request.timeout.as_millis() >= u128::from(LONG_TIMEOUT_MS);
+                if late > MISSING_AFTER {
                     self.report(Rule::Unanswered, id);
-                } else if late > ANSWER_SLACK && has_room {
+                } else if late > RESPONSE_SLACK && has_room {
                     self.report(Rule::Late, id);
-                } else if late > ANSWER_SLACK {
-                    self.verdict.late_after_short_waits += 1;
+                } else if late > RESPONSE_SLACK {
+                    self.verdict.late_after_short_timeouts += 1;
                     if !self.is_explained_by_stop(request, *at) {
                         let timeline = self.timeline(id);
-                        self.verdict.unexplained.push(LateResponse { request: id.to_owned(), timeline });
+                        self.verdict.unexplained_late.push(LateResponse { request: id.to_owned(), timeline });
                     }
                 }
             }
-            (None, Some(at)) => self.judge_end(id, request, at),
-            (None, None) if request.left.is_some() => {}
+            (None, Some(at)) => self.judge_closed_connection(id, request, at),
+            (None, None) if request.left_at.is_some() => {}
             // The run ended before the response was due.
-            (None, None) if deadline + LOST_AFTER > self.ended => {}
+            (None, None) if deadline + MISSING_AFTER > self.ended => {}
             (None, None) => self.report(Rule::Unanswered, id),
         }
     }
 
-    fn judge_answer(&mut self, id: &str, request: &Request, answer: &Answer) {
+    fn judge_answer(&mut self, id: &str, request: &Request, answer: &FinalResponse) {
         match answer {
-            Answer::Served(value) => {
+            FinalResponse::Served(value) => {
                 self.verdict.served += 1;
-                let is_from_backend = |attempt: &Attempt| matches!(&attempt.over, Some((_, AttemptEnd::Served(given))) if given == value);
+                let is_from_backend = |attempt: &Attempt| matches!(&attempt.end, Some((_, AttemptEnd::Served(given))) if given == value);
                 // A backend records the end of its response only after it was written.
-                let is_open = |attempt: &Attempt| attempt.over.is_none();
+                let is_open = |attempt: &Attempt| attempt.end.is_none();
                 if !request.attempts.values().any(|attempt| is_from_backend(attempt) || is_open(attempt)) {
-                    self.report(Rule::MadeUp, id);
+                    self.report(Rule::UnknownValue, id);
                 }
             }
-            Answer::Rejected if request.class == Class::Confirm => {
+            FinalResponse::Rejected if request.class == Class::Confirm => {
                 let may_have_run =
-                    |attempt: &Attempt| !matches!(attempt.over, Some((_, AttemptEnd::NeverRan)));
+                    |attempt: &Attempt| !matches!(attempt.end, Some((_, AttemptEnd::NeverRan)));
                 if request.attempts.values().any(may_have_run) {
                     self.report(Rule::RejectedAfterRun, id);
                 }
             }
-            Answer::Rejected | Answer::Failed => {}
+            FinalResponse::Rejected | FinalResponse::Failed => {}
         }
     }
 
     /// A connection ended without a response. A request that the proxy did not read can be sent
     /// again by its client, and is not lost.
-    fn judge_end(&mut self, id: &str, request: &Request, at: Instant) {
+    fn judge_closed_connection(&mut self, id: &str, request: &Request, at: Instant) {
         let proxy = request.proxy;
         // The process ended at some moment between the two.
         let kills = self.changes_of(Change::Killed(proxy)).zip(self.changes_of(Change::Ended(proxy)));
@@ -294,9 +296,9 @@
         let is_draining = terminated.is_some() && started.is_none_or(|start| Some(start) < terminated);
         if let Some(killed) = killed {
             // A request sent late in a drain must have its response before SIGKILL.
-            let came_late =
-                terminated.is_some_and(|term| is_draining && request.sent > term + KILL_EXCUSES_UNTIL);
-            if !came_late || killed < request.sent {
+            let was_sent_late =
+                terminated.is_some_and(|term| is_draining && request.sent > term + KILL_EXCUSE_WINDOW);
+            if !was_sent_late || killed < request.sent {
                 return;
             }
         }
@@ -310,8 +312,8 @@
 
     fn judge_attempt(&mut self, id: &str, request: &Request, attempt: &Attempt) {
         let excess = self.excess_stop(request.proxy, request.sent, attempt.arrived);
-        if request.left.is_some_and(|left| attempt.arrived > left + CANCEL_GRACE + CLOCK_TOLERANCE + excess) {
-            self.report(Rule::AfterClientLeft, id);
+        if request.left_at.is_some_and(|at| attempt.arrived > at + CANCEL_GRACE + CLOCK_TOLERANCE + excess) {
+            self.report(Rule::AfterDisconnect, id);
         }
         let answered = request.answered.as_ref().map(|(at, _)| *at);
         if answered.is_some_and(|answered| attempt.arrived > answered + CLOCK_TOLERANCE) {
@@ -334,13 +336,13 @@
         attempts.sort_by_key(|attempt| attempt.arrived);
         for (number, later) in attempts.iter().enumerate().skip(1) {
             let earlier = &attempts[..number];
-            let is_out = |attempt: &&&Attempt| {
-                attempt.over.as_ref().is_none_or(|(over, _)| *over > later.arrived + CLOCK_TOLERANCE)
+            let is_in_flight = |attempt: &&&Attempt| {
+                attempt.end.as_ref().is_none_or(|(ended_at, _)| *ended_at > later.arrived + CLOCK_TOLERANCE)
             };
-            if earlier.iter().any(|attempt| is_out(&attempt)) {
+            if earlier.iter().any(|attempt| is_in_flight(&attempt)) {
                 self.report(Rule::ConcurrentAttempts, id);
             }
-            let may_have_run = |attempt: &&&Attempt| !matches!(attempt.over, Some((_, AttemptEnd::NeverRan)));
+            let may_have_run = |attempt: &&&Attempt| !matches!(attempt.end, Some((_, AttemptEnd::NeverRan)));
             let Some(first) = earlier.iter().find(|attempt| may_have_run(attempt)) else { continue };
             if request.class == Class::Confirm {
                 self.report(Rule::UnsafeRepeat, id);
@@ -348,7 +350,7 @@
             let excess = self.excess_stop(request.proxy, first.arrived, later.arrived);
             let window_ends = first.arrived + DEDUPLICATION_WINDOW + WINDOW_SLACK + CLOCK_TOLERANCE + excess;
             if request.class == Class::Put && later.arrived > window_ends {
-                self.report(Rule::AfterWindow, id);
+                self.report(Rule::RepeatAfterWindow, id);
             }
         }
     }
@@ -356,9 +358,9 @@
     /// The latest time at which a proxy received the drain of a backend, if it is draining at this
     /// moment. A process that has started since receives it with its first watch, and may serve
     /// before this program knows that it is ready. After an outage of discovery a proxy has
-    /// [`LISTED_AFTER_OUTAGE`].
+    /// [`OUTAGE_RECOVERY_TIME`].
     fn drain_listed_at(&self, proxy: usize, backend: usize, at: Instant) -> Option<Instant> {
-        let since = self.drains_since(backend, at)?;
+        let since = self.draining_since(backend, at)?;
         let last = |change| self.changes_of(change).filter(|changed| *changed <= at).last();
         let process_since =
             last(Change::Started(proxy)).max(last(Change::Ended(proxy))).max(last(Change::Exited(proxy)));
@@ -366,13 +368,13 @@
         match (last(Change::DiscoveryDown), last(Change::DiscoveryUp)) {
             (None, _) => Some(started),
             (Some(down), Some(up)) if up > down && up < since => Some(started),
-            (Some(down), Some(up)) if up > down => Some(started.max(up + LISTED_AFTER_OUTAGE)),
+            (Some(down), Some(up)) if up > down => Some(started.max(up + OUTAGE_RECOVERY_TIME)),
             _ => None,
         }
     }
 
     /// Since when a backend is listed as draining, if it is at this moment.
-    fn drains_since(&self, backend: usize, at: Instant) -> Option<Instant> {
+    fn draining_since(&self, backend: usize, at: Instant) -> Option<Instant> {
         let is_state = |change: &Change| [Change::Draining(backend), Change::Ready(backend)].contains(change);
         let last = self.changes.iter().rfind(|(changed, change)| *changed <= at && is_state(change))?;
         (last.1 == Change::Draining(backend)).then_some(last.0)
@@ -385,7 +387,7 @@
     /// Whether a proxy was stopped when it planned the response to a short wait, and wrote it as soon
     /// as it went on. No proxy can do better without answering all requests earlier.
     fn is_explained_by_stop(&self, request: &Request, answered: Instant) -> bool {
-        let planned = request.sent + request.wait.mul_f64(PLANNED_FRACTION);
+        let planned = request.sent + request.timeout.mul_f64(PLANNED_FRACTION);
         let explains = |stop: &Stop| {
             stop.proxy == request.proxy && stop.began <= planned && answered <= stop.ended + CATCH_UP_TIME
         };
@@ -395,8 +397,8 @@
     /// By how much this program stopped a proxy for longer than a proxy must tolerate, in stops that
     /// fall into a span.
     fn excess_stop(&self, proxy: usize, from: Instant, until: Instant) -> Duration {
-        let meets = |stop: &&Stop| stop.proxy == proxy && stop.began <= until && stop.ended >= from;
-        let stops = self.stops.iter().filter(meets);
+        let overlaps = |stop: &&Stop| stop.proxy == proxy && stop.began <= until && stop.ended >= from;
+        let stops = self.stops.iter().filter(overlaps);
         stops.map(|stop| stop.ended.duration_since(stop.began).saturating_sub(HOLD_UP_DURATION)).sum()
     }
 
@@ -417,8 +419,9 @@
     /// All that is known of a request in the order of time: observations, the proxy's log, and the
     /// changes and stops around them.
     fn timeline(&self, id: &str) -> String {
-        let own = self.seen.iter().filter(|(_, seen_id, _)| seen_id == id);
-        let mut lines: Vec<(Instant, String)> = own.map(|(at, _, seen)| (*at, format!("{seen:?}"))).collect();
+        let own = self.observations.iter().filter(|(_, seen_id, _)| seen_id == id);
+        let mut lines: Vec<(Instant, String)> =
+            own.map(|(at, _, observation)| (*at, format!("{observation:?}"))).collect();
         lines.extend(self.logs.lines_of(id).into_iter().map(|line| (line.at, format!("log: {}", line.text))));
         let first = lines.iter().map(|(at, _)| *at).min().unwrap_or(self.began);
         let last = lines.iter().map(|(at, _)| *at).max().unwrap_or(self.ended);
--- a/crates/experiments/src/soak/judge/tests.rs
+++ b/crates/experiments/src/soak/judge/tests.rs
@@ -5,7 +5,7 @@
 const PROXY: usize = 0;
 const NODE: usize = 1;
 /// How long the client of these tests waits.
-const WAIT_MS: u64 = 40;
+const TIMEOUT_MS: u64 = 40;
 
 /// Observations of one request, at times after its beginning.
 struct Case {
@@ -22,23 +22,26 @@
         Case { began: Instant::now(), record: Record::default() }
     }
 
-    fn seen(&self, at_ms: u64, seen: Seen) {
-        self.record.note(self.began + ms(at_ms), ID, seen);
+    fn observe(&self, at_ms: u64, observation: Observation) {
+        self.record.note(self.began + ms(at_ms), ID, observation);
     }
 
     fn sent(&self, at_ms: u64) {
         let write_time = Duration::ZERO;
-        let (proxy, class, wait_ms) = (PROXY, Class::Read, WAIT_MS);
-        self.seen(at_ms, Seen::Sent { proxy, class, wait_ms, is_first_on_connection: true, write_time });
+        let (proxy, class, timeout_ms) = (PROXY, Class::Read, TIMEOUT_MS);
+        self.observe(
+            at_ms,
+            Observation::Sent { proxy, class, timeout_ms, is_first_on_connection: true, write_time },
+        );
     }
 
-    fn arrived(&self, at_ms: u64, attempt: u64, budget_ms: u64) {
-        let read_late = Duration::ZERO;
-        self.seen(at_ms, Seen::Arrived { attempt, backend: NODE, budget_ms, read_late });
+    fn attempt_arrived(&self, at_ms: u64, attempt: u64, budget_ms: u64) {
+        let read_delay = Duration::ZERO;
+        self.observe(at_ms, Observation::AttemptArrived { attempt, backend: NODE, budget_ms, read_delay });
     }
 
-    fn over(&self, at_ms: u64, attempt: u64) {
-        self.seen(at_ms, Seen::AttemptOver { attempt, end: AttemptEnd::NeverRan });
+    fn attempt_ended(&self, at_ms: u64, attempt: u64) {
+        self.observe(at_ms, Observation::AttemptEnded { attempt, end: AttemptEnd::NeverRan });
     }
 
     fn changed(&self, at_ms: u64, change: Change) {
@@ -57,9 +60,9 @@
 fn an_attempt_60_ms_after_the_response_is_a_violation() {
     let case = Case::new();
     case.sent(0);
-    case.seen(34, Seen::Answered(Answer::Rejected));
-    case.arrived(94, 1, 1);
-    case.over(95, 1);
+    case.observe(34, Observation::Answered(FinalResponse::Rejected));
+    case.attempt_arrived(94, 1, 1);
+    case.attempt_ended(95, 1);
 
     assert_eq!(case.broken_rules(), [Rule::AfterResponse]);
 }
@@ -69,11 +72,11 @@
     let case = Case::new();
     case.sent(0);
     // The thread that read the first one was late, so that the second has the lower number.
-    case.arrived(1, 2, 34);
-    case.over(5, 2);
-    case.arrived(6, 1, 28);
-    case.over(9, 1);
-    case.seen(10, Seen::Answered(Answer::Rejected));
+    case.attempt_arrived(1, 2, 34);
+    case.attempt_ended(5, 2);
+    case.attempt_arrived(6, 1, 28);
+    case.attempt_ended(9, 1);
+    case.observe(10, Observation::Answered(FinalResponse::Rejected));
 
     assert_eq!(case.broken_rules(), []);
 }
@@ -82,11 +85,11 @@
 fn two_attempts_at_once_are_a_violation() {
     let case = Case::new();
     case.sent(0);
-    case.arrived(1, 1, 34);
-    case.arrived(2, 2, 33);
-    case.over(30, 1);
-    case.over(5, 2);
-    case.seen(6, Seen::Answered(Answer::Rejected));
+    case.attempt_arrived(1, 1, 34);
+    case.attempt_arrived(2, 2, 33);
+    case.attempt_ended(30, 1);
+    case.attempt_ended(5, 2);
+    case.observe(6, Observation::Answered(FinalResponse::Rejected));
 
     assert_eq!(case.broken_rules(), [Rule::ConcurrentAttempts]);
 }
@@ -100,9 +103,9 @@
         case.record.note_stop(stop);
         // 34 ms were left when it was encoded.
         let budget_ms = if broken.is_empty() { 34 } else { 210 };
-        case.arrived(arrived_ms, 1, budget_ms);
-        case.over(arrived_ms + 1, 1);
-        case.seen(arrived_ms + 1, Seen::Answered(Answer::Rejected));
+        case.attempt_arrived(arrived_ms, 1, budget_ms);
+        case.attempt_ended(arrived_ms + 1, 1);
+        case.observe(arrived_ms + 1, Observation::Answered(FinalResponse::Rejected));
 
         assert_eq!(case.broken_rules(), broken, "at {arrived_ms} ms");
     }
@@ -118,9 +121,9 @@
         case.changed(3300, Change::Ended(PROXY));
         case.changed(3350, Change::Started(PROXY));
         case.sent(sent_ms);
-        case.arrived(sent_ms + 1, 1, 34);
-        case.over(sent_ms + 2, 1);
-        case.seen(sent_ms + 3, Seen::Answered(Answer::Rejected));
+        case.attempt_arrived(sent_ms + 1, 1, 34);
+        case.attempt_ended(sent_ms + 2, 1);
+        case.observe(sent_ms + 3, Observation::Answered(FinalResponse::Rejected));
         case.broken_rules()
     };
 
@@ -138,7 +141,7 @@
         case.changed(0, Change::Killed(PROXY));
         case.changed(35, Change::Ended(PROXY));
         case.sent(sent_ms);
-        case.seen(sent_ms + 1, Seen::Ended);
+        case.observe(sent_ms + 1, Observation::ConnectionEnded);
         case.broken_rules()
     };
 
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -51,7 +51,7 @@
 /// The time between the signals at a restart.
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(20);
 /// Violations of one seed that are shown with their timelines.
-const SHOWN_VIOLATIONS: usize = 5;
+const MAX_SHOWN_VIOLATIONS: usize = 5;
 const NODES: usize = 4;
 /// The number of the origin among the backends.
 const ORIGIN: usize = NODES;
@@ -75,9 +75,9 @@
     if options.first > options.last {
         return Err(ExperimentError::EmptySeedRange { first: options.first, last: options.last });
     }
-    let own = std::env::current_exe().map_err(ExperimentError::OwnPath)?;
-    set_program(own, &["proxy"]);
-    let logs = RequestLogs::keep().map_err(ExperimentError::Soak)?;
+    let program_path = std::env::current_exe().map_err(ExperimentError::CurrentExe)?;
+    set_program(program_path, &["proxy"]);
+    let logs = RequestLogs::enable().map_err(ExperimentError::SoakSetup)?;
     let mut passed = true;
     for seed in options.first..=options.last {
         let plan = Plan::from_seed(seed, Duration::from_secs(options.seconds), options.faults);
@@ -90,23 +90,23 @@
 }
 
 fn print_verdict(plan: &Plan, verdict: &Verdict, options: &Options) {
-    let broken = verdict.violations.len();
-    let (requests, served, late) = (verdict.requests, verdict.served, verdict.late_after_short_waits);
+    let violations = verdict.violations.len();
+    let (requests, served, late) = (verdict.requests, verdict.served, verdict.late_after_short_timeouts);
     println!(
         "seed {:3}: {}: {requests} requests, {served} served, {late} late after short waits ({} without a stop), \
-         {broken} violations; backends read up to {} ms late",
+         {violations} violations; backends read up to {} ms late",
         plan.seed,
         plan.summary,
-        verdict.unexplained.len(),
+        verdict.unexplained_late.len(),
         verdict.longest_read_delay.as_millis()
     );
-    for Violation { rule, request, timeline } in verdict.violations.iter().take(SHOWN_VIOLATIONS) {
+    for Violation { rule, request, timeline } in verdict.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
         println!("  {rule:?} by request {request}\n{timeline}");
     }
-    for LateResponse { request, timeline } in verdict.unexplained.iter().take(options.show_late) {
+    for LateResponse { request, timeline } in verdict.unexplained_late.iter().take(options.show_late) {
         println!("  late response to request {request}\n{timeline}");
     }
-    if broken > 0 {
+    if violations > 0 {
         let (seed, seconds) = (plan.seed, options.seconds);
         let faults =
             options.faults.to_possible_value().map_or(String::new(), |mix| mix.get_name().to_owned());
@@ -117,7 +117,7 @@
 }
 
 /// The processes of a run and the servers that they call.
-struct Stage {
+struct TestBed {
     proxies: Vec<ProxyFixture>,
     backends: Vec<Backend>,
     discovery: StaticDiscovery,
@@ -127,28 +127,28 @@
 
 fn play(plan: &Plan, logs: &RequestLogs) -> Result<Verdict, ExperimentError> {
     let record = Arc::<Record>::default();
-    let mut stage = Stage::new(plan, &record)?;
+    let mut test_bed = TestBed::new(plan, &record)?;
     let began = Instant::now();
-    let ends = began + plan.duration;
-    let watcher = {
+    let stop_at = began + plan.duration;
+    let delay_monitor = {
         let record = Arc::clone(&record);
-        thread::spawn(move || record.watch_own_delays(ends + WIND_DOWN_TIME))
+        thread::spawn(move || record.measure_own_delays(stop_at + WIND_DOWN_TIME))
     };
-    let clients = stage.start_clients(plan, ends);
+    let clients = test_bed.start_clients(plan, stop_at);
     for (at, fault) in &plan.faults {
         thread::sleep((began + *at).saturating_duration_since(Instant::now()));
-        stage.inject(*fault);
+        test_bed.inject(*fault);
     }
     for client in clients {
         // A client that panicked has printed why.
         let _ = client.join();
     }
-    thread::sleep(WIND_DOWN_TIME.saturating_sub(ends.elapsed()));
-    let _ = watcher.join();
+    thread::sleep(WIND_DOWN_TIME.saturating_sub(stop_at.elapsed()));
+    let _ = delay_monitor.join();
     Ok(judge::judge(&record, logs, began, Instant::now()))
 }
 
-fn entry(backend: &Backend, number: usize, lifecycle: &str) -> String {
+fn endpoint_entry(backend: &Backend, number: usize, lifecycle: &str) -> String {
     let (name, kind) =
         if number == ORIGIN { ("o".to_owned(), "origin") } else { (format!("s-{number}"), "c6") };
     format!(
@@ -157,13 +157,17 @@
     )
 }
 
-impl Stage {
-    fn new(plan: &Plan, record: &Arc<Record>) -> Result<Stage, ExperimentError> {
+impl TestBed {
+    fn new(plan: &Plan, record: &Arc<Record>) -> Result<TestBed, ExperimentError> {
         let kind = |number| if number == ORIGIN { Kind::Origin } else { Kind::Node };
         let backends = (0..=NODES).map(|number| Backend::start(kind(number), number, plan.seed, record));
-        let backends: Vec<Backend> = backends.collect::<Result<_, _>>().map_err(ExperimentError::Soak)?;
-        let entries: Vec<String> =
-            backends.iter().enumerate().map(|(number, backend)| entry(backend, number, "ready")).collect();
+        let backends: Vec<Backend> =
+            backends.collect::<Result<_, _>>().map_err(ExperimentError::SoakSetup)?;
+        let entries: Vec<String> = backends
+            .iter()
+            .enumerate()
+            .map(|(number, backend)| endpoint_entry(backend, number, "ready"))
+            .collect();
         let window = format!(r#""RepeatWindow":{}.0"#, DEDUPLICATION_WINDOW.as_millis());
         let changes = [(DEFAULT_WINDOW, window.as_str())];
         let proxies: Vec<ProxyFixture> =
@@ -172,10 +176,10 @@
         for proxy in &proxies {
             proxy.reload(&proxy.discovery.address.to_string(), &discovery.address.to_string());
         }
-        Ok(Stage { proxies, backends, discovery, record: Arc::clone(record), generation: 2 })
+        Ok(TestBed { proxies, backends, discovery, record: Arc::clone(record), generation: 2 })
     }
 
-    fn start_clients(&self, plan: &Plan, ends: Instant) -> Vec<thread::JoinHandle<()>> {
+    fn start_clients(&self, plan: &Plan, stop_at: Instant) -> Vec<thread::JoinHandle<()>> {
         let mut threads = Vec::new();
         for (proxy, fixture) in self.proxies.iter().enumerate() {
             for number in 0..CLIENTS_PER_PROXY {
@@ -184,7 +188,7 @@
                     address: fixture.client_address,
                     number,
                     seed: plan.seed ^ ((proxy as u64) << 48),
-                    ends,
+                    stop_at,
                     record: Arc::clone(&self.record),
                 };
                 threads.push(thread::spawn(move || client.run()));
@@ -206,7 +210,7 @@
             Fault::Kill(proxy) => self.kill(proxy),
             Fault::SignalSeries(proxy) => self.end_by_signals(proxy),
             Fault::Drain(node) => self.publish(node, "draining", Change::Draining(node)),
-            Fault::Return(node) => self.publish(node, "ready", Change::Ready(node)),
+            Fault::Undrain(node) => self.publish(node, "ready", Change::Ready(node)),
             Fault::DiscoveryDown => {
                 self.record.note_change(Change::DiscoveryDown);
                 self.discovery.set_down(true);
@@ -280,7 +284,8 @@
     fn publish(&mut self, node: usize, lifecycle: &str, change: Change) {
         self.generation += 1;
         let state = |number| if number == node { lifecycle } else { "ready" };
-        let entries: Vec<String> = (0..).zip(&self.backends).map(|(n, b)| entry(b, n, state(n))).collect();
+        let entries: Vec<String> =
+            (0..).zip(&self.backends).map(|(n, b)| endpoint_entry(b, n, state(n))).collect();
         self.record.note_change(change);
         self.discovery.publish(endpoint_list_json(self.generation, true, &entries));
     }
--- a/crates/experiments/src/soak/plan.rs
+++ b/crates/experiments/src/soak/plan.rs
@@ -32,7 +32,7 @@
     /// A node is listed as draining.
     Drain(usize),
     /// It is listed as ready again.
-    Return(usize),
+    Undrain(usize),
     /// Discovery ends its watches and does not respond.
     DiscoveryDown,
     /// Discovery responds again.
@@ -69,9 +69,9 @@
 }
 
 /// No fault begins in this first part of a run, while proxies start to serve.
-const QUIET_BEGINNING: Duration = Duration::from_millis(500);
+const FAULT_FREE_START: Duration = Duration::from_millis(500);
 /// No fault begins in this last part of a run.
-const QUIET_END: Duration = Duration::from_millis(500);
+const FAULT_FREE_END: Duration = Duration::from_millis(500);
 /// Discovery is down for this long.
 const OUTAGE_DURATION: Duration = Duration::from_millis(1200);
 /// How long a node is draining.
@@ -80,21 +80,21 @@
 impl Plan {
     /// The plan of a seed.
     pub(super) fn from_seed(seed: u64, duration: Duration, mix: FaultMix) -> Plan {
-        let mut random = StdRng::seed_from_u64(seed);
-        let proxies = random.random_range(3..=5);
-        let has_crowd = random.random_ratio(1, 4);
+        let mut rng = StdRng::seed_from_u64(seed);
+        let proxies = rng.random_range(3..=5);
+        let has_crowd = rng.random_ratio(1, 4);
         let mut faults = Vec::new();
-        let mut at = QUIET_BEGINNING;
+        let mut at = FAULT_FREE_START;
         let mut drained = None;
-        while at < duration.saturating_sub(QUIET_END) {
-            let proxy = random.random_range(0..proxies);
-            let fault = match random.random_range(0..100) {
+        while at < duration.saturating_sub(FAULT_FREE_END) {
+            let proxy = rng.random_range(0..proxies);
+            let fault = match rng.random_range(0..100) {
                 0..=59 => Fault::HoldUp(proxy),
                 60..=69 => Fault::Reload(proxy),
                 70..=79 => Fault::Restart(proxy),
                 80..=83 => Fault::Kill(proxy),
                 84..=89 if drained.is_none() => {
-                    let node = random.random_range(0..NODES);
+                    let node = rng.random_range(0..NODES);
                     drained = Some((at + DRAIN_DURATION, node));
                     Fault::Drain(node)
                 }
@@ -106,15 +106,15 @@
             if fault == Fault::DiscoveryDown {
                 faults.push((at + OUTAGE_DURATION, Fault::DiscoveryUp));
             }
-            at += fault.duration() + Duration::from_millis(random.random_range(60..300));
+            at += fault.duration() + Duration::from_millis(rng.random_range(60..300));
             if let Some((until, node)) = drained.filter(|(until, _)| at >= *until) {
-                faults.push((until.max(at), Fault::Return(node)));
+                faults.push((until.max(at), Fault::Undrain(node)));
                 drained = None;
             }
         }
         if mix == FaultMix::Wide {
             // Drawn after the standard faults, so that those of a seed are the same in both mixes.
-            widen(&mut faults, &mut random, proxies);
+            add_wide_faults(&mut faults, &mut rng, proxies);
         }
         faults.sort_by_key(|(at, _)| *at);
         let summary = summarize(proxies, &faults);
@@ -124,14 +124,14 @@
 
 /// The second hold-up of a pair begins this long after the first one did, in ms: when the responses
 /// to waits of 800 and 900 ms that arrived in the first are planned.
-const PAIRED_AFTER_MS: std::ops::RangeInclusive<u64> = 600..=820;
+const PAIR_OFFSET_MS: std::ops::RangeInclusive<u64> = 600..=820;
 
 /// Has every second restart end a process by signals in series, adds hold-ups that
 /// follow others, and a crowd in one seed of four.
-fn widen(faults: &mut Vec<(Duration, Fault)>, random: &mut StdRng, proxies: usize) {
+fn add_wide_faults(faults: &mut Vec<(Duration, Fault)>, rng: &mut StdRng, proxies: usize) {
     for (_, fault) in faults.iter_mut() {
         if let Fault::Restart(proxy) = *fault {
-            if random.random_bool(0.5) {
+            if rng.random_bool(0.5) {
                 *fault = Fault::SignalSeries(proxy);
             }
         }
@@ -139,14 +139,14 @@
     let hold_ups: Vec<(Duration, Fault)> =
         faults.iter().filter(|(_, fault)| matches!(fault, Fault::HoldUp(_))).copied().collect();
     for (at, fault) in hold_ups {
-        if random.random_bool(0.5) {
-            faults.push((at + Duration::from_millis(random.random_range(PAIRED_AFTER_MS)), fault));
+        if rng.random_bool(0.5) {
+            faults.push((at + Duration::from_millis(rng.random_range(PAIR_OFFSET_MS)), fault));
         }
     }
-    if random.random_ratio(1, 4) {
-        let last = faults.last().map_or(QUIET_BEGINNING, |(at, _)| *at);
-        let at = random.random_range(QUIET_BEGINNING..=last.max(QUIET_BEGINNING));
-        faults.push((at, Fault::Crowd(random.random_range(0..proxies))));
+    if rng.random_ratio(1, 4) {
+        let last = faults.last().map_or(FAULT_FREE_START, |(at, _)| *at);
+        let at = rng.random_range(FAULT_FREE_START..=last.max(FAULT_FREE_START));
+        faults.push((at, Fault::Crowd(rng.random_range(0..proxies))));
     }
 }
 
--- a/crates/experiments/src/soak/record.rs
+++ b/crates/experiments/src/soak/record.rs
@@ -17,7 +17,7 @@
 
 /// A final response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Answer {
+pub(super) enum FinalResponse {
     /// A value or a receipt.
     Served(String),
     /// Rejected, which promises that a retry is harmless.
@@ -39,20 +39,20 @@
 
 /// One observation.
 #[derive(Clone, Debug)]
-pub(super) enum Seen {
+pub(super) enum Observation {
     /// A client began to write a request, and had written its last byte after `write_time`.
-    Sent { proxy: usize, class: Class, wait_ms: u64, is_first_on_connection: bool, write_time: Duration },
+    Sent { proxy: usize, class: Class, timeout_ms: u64, is_first_on_connection: bool, write_time: Duration },
     /// The last byte of its final response arrived.
-    Answered(Answer),
+    Answered(FinalResponse),
     /// Its connection ended without one.
-    Ended,
+    ConnectionEnded,
     /// Its client has closed the connection.
-    Left,
+    Disconnected,
     /// The last byte of an attempt arrived at a backend.
-    Arrived { attempt: u64, backend: usize, budget_ms: u64, read_late: Duration },
+    AttemptArrived { attempt: u64, backend: usize, budget_ms: u64, read_delay: Duration },
     /// An attempt ended at this moment or later: the backend began to write the end of its
     /// response, or the end of the connection arrived.
-    AttemptOver { attempt: u64, end: AttemptEnd },
+    AttemptEnded { attempt: u64, end: AttemptEnd },
 }
 
 /// A change of a proxy, a backend or discovery.
@@ -95,7 +95,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Record {
     /// Guards the observations of requests, each with the id of its request.
-    requests: Mutex<Vec<(Instant, String, Seen)>>,
+    requests: Mutex<Vec<(Instant, String, Observation)>>,
     /// Guards the changes.
     changes: Mutex<Vec<(Instant, Change)>>,
     /// Guards the times for which proxies were stopped.
@@ -111,8 +111,8 @@
 
 impl Record {
     /// Records an observation of a request.
-    pub(super) fn note(&self, at: Instant, id: &str, seen: Seen) {
-        self.requests.lock().unwrap_or_else(PoisonError::into_inner).push((at, id.to_owned(), seen));
+    pub(super) fn note(&self, at: Instant, id: &str, observation: Observation) {
+        self.requests.lock().unwrap_or_else(PoisonError::into_inner).push((at, id.to_owned(), observation));
     }
 
     /// Records a change at the present time.
@@ -139,7 +139,7 @@
 
     /// Measures the delay of this program itself until `ends`; recorded times have an error of this
     /// size.
-    pub(super) fn watch_own_delays(&self, ends: Instant) {
+    pub(super) fn measure_own_delays(&self, ends: Instant) {
         while Instant::now() < ends {
             let began = Instant::now();
             thread::sleep(DELAY_INTERVAL);
@@ -149,10 +149,10 @@
     }
 
     /// The observations of requests, in the order of time.
-    pub(super) fn requests(&self) -> Vec<(Instant, String, Seen)> {
-        let mut seen = self.requests.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        seen.sort_by_key(|(at, _, _)| *at);
-        seen
+    pub(super) fn requests(&self) -> Vec<(Instant, String, Observation)> {
+        let mut observations = self.requests.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        observations.sort_by_key(|(at, _, _)| *at);
+        observations
     }
 
     /// The changes, in the order of time.
--- a/crates/experiments/src/soak/request_logs.rs
+++ b/crates/experiments/src/soak/request_logs.rs
@@ -25,9 +25,9 @@
 pub(super) struct RequestLogs {
     folder: PathBuf,
     /// One moment by both clocks.
-    began: Instant,
+    reference: Instant,
     /// In seconds of the day, UTC.
-    began_seconds: f64,
+    reference_seconds: f64,
 }
 
 impl RequestLogs {
@@ -36,7 +36,7 @@
     /// # Errors
     ///
     /// If the folder for them cannot be made.
-    pub(super) fn keep() -> io::Result<RequestLogs> {
+    pub(super) fn enable() -> io::Result<RequestLogs> {
         let folder = run_folder().join("logs");
         std::fs::create_dir_all(&folder)?;
         keep_request_logs(folder.clone());
@@ -47,8 +47,8 @@
     #[allow(clippy::disallowed_methods, reason = "logs have the time of the wall clock")]
     pub(super) fn in_folder(folder: PathBuf) -> RequestLogs {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let began_seconds = since_epoch.as_secs_f64() % SECONDS_PER_DAY;
-        RequestLogs { folder, began: Instant::now(), began_seconds }
+        let reference_seconds = since_epoch.as_secs_f64() % SECONDS_PER_DAY;
+        RequestLogs { folder, reference: Instant::now(), reference_seconds }
     }
 
     /// Removes the logs of earlier runs, whose requests have the same ids.
@@ -94,8 +94,8 @@
         let mut next = || fields.next()?.parse::<f64>().ok();
         let (hours, minutes, seconds) = (next()?, next()?, next()?);
         let of_day = (hours * 60.0 + minutes) * 60.0 + seconds;
-        let after = (of_day - self.began_seconds).rem_euclid(SECONDS_PER_DAY);
+        let after = (of_day - self.reference_seconds).rem_euclid(SECONDS_PER_DAY);
         let text = line.get(TIME_OF_DAY.end + 1..)?.trim().to_owned();
-        Some(LogLine { at: self.began + Duration::from_secs_f64(after), text })
+        Some(LogLine { at: self.reference + Duration::from_secs_f64(after), text })
     }
 }
--- a/crates/experiments/src/table.rs
+++ b/crates/experiments/src/table.rs
@@ -1,7 +1,7 @@
 //! Tables on the terminal.
 
 /// The rule under a heading, up to its longest width.
-const RULE: &str = "----------------------------------------";
+const UNDERLINE: &str = "----------------------------------------";
 
 /// Prints rows under a heading, each column as wide as it needs.
 pub(crate) fn print(heading: &[&str], rows: &[Vec<String>]) {
@@ -19,7 +19,7 @@
         println!("{}", cells.collect::<Vec<_>>().join("  ").trim_end());
     };
     line(heading.to_vec());
-    line(widths.iter().map(|width| &RULE[..(*width).min(RULE.len())]).collect());
+    line(widths.iter().map(|width| &UNDERLINE[..(*width).min(UNDERLINE.len())]).collect());
     for row in rows {
         line(row.iter().map(String::as_str).collect());
     }
