--- a/tests/backend_knowledge.rs
+++ b/tests/backend_knowledge.rs
@@ -137,7 +137,7 @@
     let list: Vec<EndpointInfo> = (1..=3).map(|id| cold(&harness, id)).collect();
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: list });
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: (1..=3).map(endpoint).collect() });
-    let sent: usize = (1..50).map(|id| sends(&harness.request(read(id, id))).len()).sum();
+    let sent: usize = (1..50).map(|id| sent_attempts(&harness.request(read(id, id))).len()).sum();
     assert!((1..=24).contains(&sent), "{sent} of 49 requests sent, expected about 15");
 }
 
@@ -151,11 +151,11 @@
         form: ListForm::Delta,
         endpoints: vec![EndpointInfo { state: EndpointState::Draining, ..endpoint(ORIGIN) }],
     });
-    assert!(sends(&harness.end(1, 0, ORIGIN, Outcome::Full)).is_empty());
+    assert!(sent_attempts(&harness.end(1, 0, ORIGIN, Outcome::Full)).is_empty());
     let arrival = harness.request(write(2));
-    assert!(sends(&arrival).is_empty());
+    assert!(sent_attempts(&arrival).is_empty());
     assert_eq!(
-        finals(&harness.deadline(&arrival)),
+        final_responses(&harness.fire_deadline(&arrival)),
         [&Action::Reject {
             request: RequestId(2),
             retry_after: span(250.0),
@@ -184,15 +184,18 @@
     let mut harness = BalancerHarness::with_origin(3);
     for id in 100..110 {
         // These requests deposit enough in the retry budget for a few retries.
-        assert_ne!(harness.served(id, id), 0);
+        assert_ne!(harness.serve_read(id, id), 0);
     }
     let (_, home) = sent(&harness.request(read(1, 5))).unwrap();
     assert_eq!(sent(&harness.request(read(2, 5))), Some((2, home)));
     let (_, other) = sent(&harness.end(2, 0, home, Outcome::Error)).unwrap();
     assert_ne!(other, home);
     harness.end(1, 0, home, Outcome::Miss);
-    assert!(sends(&harness.end(2, 1, other, Outcome::Miss)).is_empty(), "the request waits for the fetch");
-    let after = sends(&harness.end(1, 1, ORIGIN, Outcome::Ok));
+    assert!(
+        sent_attempts(&harness.end(2, 1, other, Outcome::Miss)).is_empty(),
+        "the request waits for the fetch"
+    );
+    let after = sent_attempts(&harness.end(1, 1, ORIGIN, Outcome::Ok));
     assert!(after.iter().all(|to| *to != (2, home)) && !after.is_empty(), "{after:?}");
 }
 
@@ -213,7 +216,7 @@
         harness.request(Request { is_write: true, ..read(id, id) });
     }
     assert_eq!(
-        finals(&harness.end(1, 0, server, Outcome::Miss)),
+        final_responses(&harness.end(1, 0, server, Outcome::Miss)),
         [&Action::Reject {
             request: RequestId(1),
             retry_after: span(250.0),
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -6,7 +6,7 @@
 
 // Not every test program that has this module uses them.
 #[allow(unused_imports)]
-pub(crate) use faults::{script, Fault};
+pub(crate) use faults::{random_script, Fault};
 
 use super::recorded_events::EventRecorder;
 use super::*;
@@ -73,28 +73,28 @@
     silent_until: Milliseconds,
     refuses_until: Milliseconds,
     fails_until: Milliseconds,
-    busy: Vec<Milliseconds>,
+    attempt_ends: Vec<Milliseconds>,
 }
 
 pub(crate) struct Fleet {
     now: Milliseconds,
     until: Milliseconds,
     rng: SmallRng,
-    agenda: BTreeMap<(u64, u64), FleetEvent>,
-    order: u64,
+    event_queue: BTreeMap<(u64, u64), FleetEvent>,
+    sequence: u64,
     proxies: Vec<Proxy>,
     nodes: BTreeMap<BackendNumber, StubNode>,
     /// The endpoint list of discovery.
     list: BTreeMap<BackendNumber, EndpointInfo>,
-    next: RequestNumber,
+    next_request: RequestNumber,
     recorder: EventRecorder,
 }
 
 /// Plays a day with these faults; returns its recording.
-pub(crate) fn play(seed: u64, until: Milliseconds, script: &[(Milliseconds, Fault)]) -> History {
+pub(crate) fn simulate(seed: u64, until: Milliseconds, script: &[(Milliseconds, Fault)]) -> History {
     let mut fleet = Fleet::new(seed, until);
     for (at, fault) in script {
-        fleet.at(*at, FleetEvent::Fault(*fault));
+        fleet.schedule(*at, FleetEvent::Fault(*fault));
     }
     fleet.run();
     // The recording continues until the deadline of every request.
@@ -111,12 +111,12 @@
             now: 100_000.0,
             until: 100_000.0 + until,
             rng: SmallRng::seed_from_u64(seed),
-            agenda: BTreeMap::new(),
-            order: 0,
+            event_queue: BTreeMap::new(),
+            sequence: 0,
             proxies: Vec::new(),
             nodes: list.keys().map(|id| (*id, StubNode::default())).collect(),
             list,
-            next: 1,
+            next_request: 1,
             recorder: EventRecorder::default(),
         };
         for number in 0..PROXIES {
@@ -129,46 +129,46 @@
             };
             fleet.proxies.push(proxy);
             let list = fleet.list.values().copied().collect();
-            fleet.start(number, list);
+            fleet.start_proxy(number, list);
         }
-        fleet.at(1.0, FleetEvent::RequestArrives);
+        fleet.schedule(1.0, FleetEvent::RequestArrives);
         fleet
     }
 
     /// Schedules an event this long after now.
-    fn at(&mut self, after: Milliseconds, event: FleetEvent) {
-        self.order += 1;
+    fn schedule(&mut self, after: Milliseconds, event: FleetEvent) {
+        self.sequence += 1;
         let at = ((self.now + after) * 1000.0).ceil() as u64;
-        self.agenda.insert((at, self.order), event);
+        self.event_queue.insert((at, self.sequence), event);
     }
 
     fn run(&mut self) {
-        while let Some(((at, _), event)) = self.agenda.pop_first() {
+        while let Some(((at, _), event)) = self.event_queue.pop_first() {
             self.now = self.now.max(at as f64 / 1000.0);
             if self.now > self.until + RECORDING_AFTER_MS {
                 break;
             }
-            self.happen(event);
+            self.handle_event(event);
         }
     }
 
-    fn happen(&mut self, event: FleetEvent) {
+    fn handle_event(&mut self, event: FleetEvent) {
         match event {
-            FleetEvent::RequestArrives if self.now < self.until => self.ask(),
+            FleetEvent::RequestArrives if self.now < self.until => self.send_request(),
             FleetEvent::RequestArrives => {}
             FleetEvent::TimerFires(proxy, incarnation, token) => {
                 self.feed(proxy, incarnation, Event::Timer(token))
             }
-            FleetEvent::AttemptArrives(attempt) => self.arrive(attempt),
-            FleetEvent::AttemptEnds(attempt, outcome) => self.end(attempt, outcome),
+            FleetEvent::AttemptArrives(attempt) => self.receive_attempt(attempt),
+            FleetEvent::AttemptEnds(attempt, outcome) => self.end_attempt(attempt, outcome),
             FleetEvent::ListArrives(proxy, members) => {
                 let incarnation = self.proxies[proxy].incarnation;
                 if self.now < self.proxies[proxy].discovery_cut_until {
                     let wait = self.proxies[proxy].discovery_cut_until - self.now;
-                    return self.at(wait, FleetEvent::ListArrives(proxy, members));
+                    return self.schedule(wait, FleetEvent::ListArrives(proxy, members));
                 }
                 if self.proxies[proxy].alive {
-                    self.recorder.record_list(self.now, &name(proxy), false, &members);
+                    self.recorder.record_list(self.now, &proxy_name(proxy), false, &members);
                     self.feed(
                         proxy,
                         incarnation,
@@ -176,43 +176,45 @@
                     );
                 }
             }
-            FleetEvent::Fault(fault) => self.fault(fault),
+            FleetEvent::Fault(fault) => self.inject(fault),
             FleetEvent::ClientLeaves(proxy, id) => {
                 if self.proxies[proxy].open.remove(&id).is_some() {
-                    self.recorder
-                        .record(self.now, HistoryEvent::ClientDisconnected { request: request(proxy, id) });
+                    self.recorder.record(
+                        self.now,
+                        HistoryEvent::ClientDisconnected { request: request_name(proxy, id) },
+                    );
                     self.feed(proxy, self.proxies[proxy].incarnation, Event::ClientGone(RequestId(id)));
                 }
             }
             FleetEvent::ProxyStarts(proxy) => {
                 let list = self.list.values().copied().collect();
-                self.start(proxy, list);
+                self.start_proxy(proxy, list);
             }
         }
     }
 
-    fn ask(&mut self) {
+    fn send_request(&mut self) {
         let wait = REQUEST_INTERVAL_MS * -(1.0 - self.rng.gen::<f64>()).ln();
-        self.at(wait, FleetEvent::RequestArrives);
+        self.schedule(wait, FleetEvent::RequestArrives);
         let proxy = self.rng.gen_range(0..PROXIES);
         if !self.proxies[proxy].alive {
             return;
         }
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_request;
+        self.next_request += 1;
         let skew: f64 = self.rng.gen();
         let key = 1 + (400.0 * skew * skew) as KeyNumber;
         let class = if self.rng.gen_bool(0.9) { SAFE } else { self.rng.gen_range(KEYED_ALL..=UNSAFE) };
         let budget = [120.0, 400.0, 800.0][self.rng.gen_range(0..3)];
         self.proxies[proxy].open.insert(id, OpenRequest { key, ..OpenRequest::default() });
-        let (request, name) = (request(proxy, id), CLASSES[usize::from(class)].to_owned());
+        let (request, name) = (request_name(proxy, id), CLASSES[usize::from(class)].to_owned());
         self.recorder.record(
             self.now,
-            HistoryEvent::RequestSent { proxy: self::name(proxy), request, class: name, budget },
+            HistoryEvent::RequestSent { proxy: self::proxy_name(proxy), request, class: name, budget },
         );
         if self.rng.gen_bool(0.02) {
             let wait = self.rng.gen_range(1.0..budget);
-            self.at(wait, FleetEvent::ClientLeaves(proxy, id));
+            self.schedule(wait, FleetEvent::ClientLeaves(proxy, id));
         }
         let write = class != SAFE;
         self.feed(
@@ -232,56 +234,63 @@
         for action in actions {
             match action {
                 Action::StartAttempt { request: id, backend: server, timeout: limit, .. } => {
-                    self.send(proxy, id.0, server.0, limit.as_ms())
+                    self.send_attempt(proxy, id.0, server.0, limit.as_ms())
                 }
-                Action::Reject { request: id, .. } => self.answer(proxy, id.0, ResponseOutcome::Rejected),
-                Action::Fail { request: id, .. } => self.answer(proxy, id.0, ResponseOutcome::Failed),
+                Action::Reject { request: id, .. } => self.respond(proxy, id.0, ResponseOutcome::Rejected),
+                Action::Fail { request: id, .. } => self.respond(proxy, id.0, ResponseOutcome::Failed),
                 Action::SetTimer { delay: wait, token }
                 | Action::SetRequestTimer { delay: wait, token, .. } => {
-                    self.at(wait.as_ms().max(0.001), FleetEvent::TimerFires(proxy, incarnation, token));
+                    self.schedule(wait.as_ms().max(0.001), FleetEvent::TimerFires(proxy, incarnation, token));
                 }
                 _ => {}
             }
         }
     }
 
-    fn answer(&mut self, proxy: usize, id: RequestNumber, answer: ResponseOutcome) {
+    fn respond(&mut self, proxy: usize, id: RequestNumber, answer: ResponseOutcome) {
         self.proxies[proxy].open.remove(&id);
-        self.recorder.record_response(self.now, &request(proxy, id), answer);
+        self.recorder.record_response(self.now, &request_name(proxy, id), answer);
     }
 
-    fn send(&mut self, proxy: usize, id: RequestNumber, server: BackendNumber, limit: Milliseconds) {
+    fn send_attempt(&mut self, proxy: usize, id: RequestNumber, server: BackendNumber, limit: Milliseconds) {
         let incarnation = self.proxies[proxy].incarnation;
         let Some(open) = self.proxies[proxy].open.get_mut(&id) else { return };
         let ordinal = open.attempts;
         open.attempts += 1;
-        let number =
-            self.recorder.record_attempt(self.now, &name(proxy), &request(proxy, id), server, ATTEMPT_WORK);
+        let number = self.recorder.record_attempt(
+            self.now,
+            &proxy_name(proxy),
+            &request_name(proxy, id),
+            server,
+            ATTEMPT_WORK,
+        );
         let (sent, until) = (self.now, self.now + limit);
         let attempt = SentAttempt { proxy, incarnation, id, ordinal, server, sent, until, number };
-        self.at(0.3, FleetEvent::AttemptArrives(attempt));
+        self.schedule(0.3, FleetEvent::AttemptArrives(attempt));
     }
 
-    fn arrive(&mut self, attempt: SentAttempt) {
+    fn receive_attempt(&mut self, attempt: SentAttempt) {
         let key = self.proxies[attempt.proxy].open.get(&attempt.id).map_or(0, |open| open.key);
         let now = self.now;
-        let luck: f64 = self.rng.gen();
+        let draw: f64 = self.rng.gen();
         let node = self.nodes.entry(attempt.server).or_default();
         if now < node.refuses_until {
-            return self.at(0.1, FleetEvent::AttemptEnds(attempt, Outcome::ConnectFailed));
+            return self.schedule(0.1, FleetEvent::AttemptEnds(attempt, Outcome::ConnectFailed));
         }
         if now < node.silent_until {
-            return self
-                .at((attempt.until - now).max(0.0), FleetEvent::AttemptEnds(attempt, Outcome::Timeout));
+            return self.schedule(
+                (attempt.until - now).max(0.0),
+                FleetEvent::AttemptEnds(attempt, Outcome::Timeout),
+            );
         }
         let origin = attempt.server == ORIGIN;
-        node.busy.retain(|until| *until > now);
-        let outcome = if node.busy.len() >= 24 {
+        node.attempt_ends.retain(|until| *until > now);
+        let outcome = if node.attempt_ends.len() >= 24 {
             Outcome::Full
-        } else if now < node.fails_until && luck < 0.5 {
+        } else if now < node.fails_until && draw < 0.5 {
             Outcome::Error
-        } else if luck < 0.005 {
-            [Outcome::Error, Outcome::Reset, Outcome::Full][(luck * 600.0) as usize]
+        } else if draw < 0.005 {
+            [Outcome::Error, Outcome::Reset, Outcome::Full][(draw * 600.0) as usize]
         } else if origin || node.keys.contains(&key) {
             Outcome::Ok
         } else {
@@ -289,19 +298,19 @@
         };
         let time = match (outcome, origin) {
             (Outcome::Full, _) => 0.2,
-            (_, true) => 8.0 + 30.0 * luck,
-            (Outcome::Ok, false) => 2.0 + 6.0 * luck,
+            (_, true) => 8.0 + 30.0 * draw,
+            (Outcome::Ok, false) => 2.0 + 6.0 * draw,
             _ => 0.5,
         };
-        node.busy.push(now + time);
+        node.attempt_ends.push(now + time);
         if attempt.until - now < time {
-            self.at((attempt.until - now).max(0.0), FleetEvent::AttemptEnds(attempt, Outcome::Timeout))
+            self.schedule((attempt.until - now).max(0.0), FleetEvent::AttemptEnds(attempt, Outcome::Timeout))
         } else {
-            self.at(time, FleetEvent::AttemptEnds(attempt, outcome))
+            self.schedule(time, FleetEvent::AttemptEnds(attempt, outcome))
         }
     }
 
-    fn end(&mut self, attempt: SentAttempt, outcome: Outcome) {
+    fn end_attempt(&mut self, attempt: SentAttempt, outcome: Outcome) {
         let value = format!("{}-{}", attempt.id, attempt.number);
         self.recorder.record_end(self.now, attempt.number, outcome, &value);
         let proxy = &mut self.proxies[attempt.proxy];
@@ -323,7 +332,7 @@
                 }
                 self.recorder.record_response(
                     self.now,
-                    &request(attempt.proxy, attempt.id),
+                    &request_name(attempt.proxy, attempt.id),
                     ResponseOutcome::Served(value),
                 );
             }
@@ -346,21 +355,21 @@
     }
 
     /// Changes an entry of the endpoint list, which reaches each proxy a little later.
-    fn change(&mut self, member: EndpointInfo) {
+    fn update_list(&mut self, member: EndpointInfo) {
         self.list.insert(member.backend.0, member);
         for proxy in 0..PROXIES {
             let wait = self.rng.gen_range(1.0..300.0);
-            self.at(wait, FleetEvent::ListArrives(proxy, vec![member]));
+            self.schedule(wait, FleetEvent::ListArrives(proxy, vec![member]));
         }
     }
 
-    fn start(&mut self, proxy: usize, list: Vec<EndpointInfo>) {
+    fn start_proxy(&mut self, proxy: usize, list: Vec<EndpointInfo>) {
         let state = &mut self.proxies[proxy];
         state.balancer = balancer(proxy, state.incarnation);
         state.alive = true;
         let (incarnation, limits) = (state.incarnation, recorded_events::figures());
-        self.recorder.record(self.now, HistoryEvent::ConfigActivated { proxy: name(proxy), limits });
-        self.recorder.record_list(self.now, &name(proxy), true, &list);
+        self.recorder.record(self.now, HistoryEvent::ConfigActivated { proxy: proxy_name(proxy), limits });
+        self.recorder.record_list(self.now, &proxy_name(proxy), true, &list);
         self.feed(proxy, incarnation, Event::EndpointList { form: ListForm::Full, endpoints: list });
     }
 }
@@ -372,10 +381,10 @@
     Balancer::new(settings, number as u64 + 100 * u64::from(incarnation))
 }
 
-fn name(proxy: usize) -> String {
+fn proxy_name(proxy: usize) -> String {
     format!("p{proxy}")
 }
 
-fn request(proxy: usize, id: RequestNumber) -> String {
+fn request_name(proxy: usize, id: RequestNumber) -> String {
     format!("p{proxy}-{id}")
 }
--- a/tests/common/fleet/faults.rs
+++ b/tests/common/fleet/faults.rs
@@ -20,11 +20,11 @@
     /// A proxy is killed, and starts again with the complete list as it is then.
     Kill(usize),
     /// A proxy receives nothing from discovery for a time.
-    Deaf(usize, Milliseconds),
+    DiscoveryCut(usize, Milliseconds),
 }
 
 /// Faults drawn from a seed: each kind may come at any time, several at once.
-pub(crate) fn script(seed: u64, until: Milliseconds) -> Vec<(Milliseconds, Fault)> {
+pub(crate) fn random_script(seed: u64, until: Milliseconds) -> Vec<(Milliseconds, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xfa17);
     let mut draw = |_| {
         let at = rng.gen_range(300.0..until * 0.8);
@@ -38,7 +38,7 @@
             4 => Fault::Refuses(node, short),
             5 => Fault::Fails(node, long),
             6 => Fault::Kill(proxy),
-            _ => Fault::Deaf(proxy, long),
+            _ => Fault::DiscoveryCut(proxy, long),
         };
         (at, fault)
     };
@@ -46,35 +46,37 @@
 }
 
 impl Fleet {
-    pub(super) fn fault(&mut self, fault: Fault) {
+    pub(super) fn inject(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
             Fault::Silent(server, until) => self.node(server).silent_until = now + until,
             Fault::Refuses(server, until) => self.node(server).refuses_until = now + until,
             Fault::Fails(server, until) => self.node(server).fails_until = now + until,
             Fault::Drain(server) => {
-                self.change(EndpointInfo { state: EndpointState::Draining, ..endpoint(server) })
+                self.update_list(EndpointInfo { state: EndpointState::Draining, ..endpoint(server) })
             }
             Fault::Gone(server) => {
-                self.change(EndpointInfo { state: EndpointState::Gone, ..endpoint(server) })
+                self.update_list(EndpointInfo { state: EndpointState::Gone, ..endpoint(server) })
             }
             Fault::Restart(server) => {
                 *self.node(server) = StubNode::default();
-                let address = recorded_events::place(server);
+                let address = recorded_events::node_address(server);
                 self.recorder
                     .record(now, HistoryEvent::BackendStarted { address, capacity: NODE_WORK_PER_MS });
-                self.change(EndpointInfo { started_at: time(now), ..endpoint(server) });
+                self.update_list(EndpointInfo { started_at: time(now), ..endpoint(server) });
             }
             Fault::Kill(proxy) => {
                 let state = &mut self.proxies[proxy];
                 state.alive = false;
                 state.incarnation += 1;
                 state.open.clear();
-                self.recorder
-                    .record(now, HistoryEvent::ProxyEnded { proxy: name(proxy), how: ProxyEnd::Killed });
-                self.at(400.0, FleetEvent::ProxyStarts(proxy));
+                self.recorder.record(
+                    now,
+                    HistoryEvent::ProxyEnded { proxy: proxy_name(proxy), how: ProxyEnd::Killed },
+                );
+                self.schedule(400.0, FleetEvent::ProxyStarts(proxy));
             }
-            Fault::Deaf(proxy, until) => self.proxies[proxy].discovery_cut_until = now + until,
+            Fault::DiscoveryCut(proxy, until) => self.proxies[proxy].discovery_cut_until = now + until,
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -152,9 +152,9 @@
     }
 
     /// Serves many keys once each, so that no key counts as a large share of the traffic.
-    pub(crate) fn learns_that_keys_are_many(&mut self) {
+    pub(crate) fn serve_many_keys(&mut self) {
         for id in 800_000..800_200 {
-            assert_ne!(self.served(id, id), 0);
+            assert_ne!(self.serve_read(id, id), 0);
         }
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Fires the deadline timer of a request, found among the actions that its arrival caused.
-    pub(crate) fn deadline(&mut self, arrival: &[Action]) -> Vec<Action> {
+    pub(crate) fn fire_deadline(&mut self, arrival: &[Action]) -> Vec<Action> {
         let longest = arrival
             .iter()
             .filter_map(|a| match a {
@@ -215,14 +215,14 @@
     }
 
     /// Sends a read of `key` that is served at once; the backend that took it.
-    pub(crate) fn served(&mut self, id: RequestNumber, key: KeyNumber) -> BackendNumber {
+    pub(crate) fn serve_read(&mut self, id: RequestNumber, key: KeyNumber) -> BackendNumber {
         let server = sent(&self.request(read(id, key))).expect("the read is sent").1;
         self.end(id, 0, server, Outcome::Ok);
         server
     }
 }
 
-pub(crate) fn sends(actions: &[Action]) -> Vec<(RequestNumber, BackendNumber)> {
+pub(crate) fn sent_attempts(actions: &[Action]) -> Vec<(RequestNumber, BackendNumber)> {
     actions
         .iter()
         .filter_map(|a| {
@@ -236,7 +236,7 @@
 }
 
 pub(crate) fn sent(actions: &[Action]) -> Option<(RequestNumber, BackendNumber)> {
-    sends(actions).first().copied()
+    sent_attempts(actions).first().copied()
 }
 
 /// The response to a request of which another attempt could have an effect twice.
@@ -244,6 +244,6 @@
     Action::Fail { request: RequestId(request), reason: GiveUpReason::RepeatUnsafe }
 }
 
-pub(crate) fn finals(actions: &[Action]) -> Vec<&Action> {
+pub(crate) fn final_responses(actions: &[Action]) -> Vec<&Action> {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).collect()
 }
--- a/tests/common/recorded_events.rs
+++ b/tests/common/recorded_events.rs
@@ -2,7 +2,7 @@
 
 use super::{settings_json, BackendNumber, Milliseconds, CLASSES};
 use pinetrail::interface::{EndpointInfo, EndpointState, Outcome};
-use pinetrail_history_checker as seen;
+use pinetrail_history_checker as checker;
 use pinetrail_history_checker::{
     AttemptOutcome, Class, DeduplicationScope, History, HistoryEvent, Idempotency, Limits, Node,
 };
@@ -17,8 +17,8 @@
 }
 
 impl EventRecorder {
-    pub(crate) fn record(&mut self, at: Milliseconds, seen: HistoryEvent) {
-        self.events.push(Some((at, seen)));
+    pub(crate) fn record(&mut self, at: Milliseconds, event: HistoryEvent) {
+        self.events.push(Some((at, event)));
     }
 
     /// Records an attempt; its number.
@@ -35,7 +35,7 @@
             proxy: proxy.to_owned(),
             request: request.to_owned(),
             attempt,
-            address: place(server),
+            address: node_address(server),
             first_byte_at: at,
             work,
         };
@@ -46,7 +46,7 @@
 
     /// Records how an attempt ended.
     pub(crate) fn record_end(&mut self, at: Milliseconds, attempt: u64, outcome: Outcome, value: &str) {
-        let (place, received) = &mut self.attempts[attempt as usize];
+        let (index, received) = &mut self.attempts[attempt as usize];
         let end = match outcome {
             Outcome::ConnectFailed | Outcome::Moot => return *received = None,
             Outcome::Ok => AttemptOutcome::Served(value.to_owned()),
@@ -55,7 +55,7 @@
             Outcome::Error => AttemptOutcome::Failed,
             Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => AttemptOutcome::Broken,
         };
-        self.events[*place] = received.take();
+        self.events[*index] = received.take();
         self.record(at, HistoryEvent::AttemptEnded { attempt, outcome: end });
     }
 
@@ -70,15 +70,15 @@
         self.record(at, HistoryEvent::EndpointsListed { proxy: proxy.to_owned(), is_complete, nodes });
     }
 
-    pub(crate) fn record_response(&mut self, at: Milliseconds, request: &str, answer: seen::ResponseOutcome) {
+    pub(crate) fn record_response(&mut self, at: Milliseconds, request: &str, answer: checker::ResponseOutcome) {
         self.record(at, HistoryEvent::ResponseReceived { request: request.to_owned(), outcome: answer });
     }
 
     /// All that was recorded, by time.
     pub(crate) fn history(mut self) -> History {
-        for (place, received) in &mut self.attempts {
+        for (index, received) in &mut self.attempts {
             if let Some(received) = received.take() {
-                self.events[*place] = Some(received);
+                self.events[*index] = Some(received);
             }
         }
         let mut events: Vec<_> = self.events.into_iter().flatten().collect();
@@ -87,20 +87,20 @@
     }
 }
 
-pub(crate) fn place(server: BackendNumber) -> String {
+pub(crate) fn node_address(server: BackendNumber) -> String {
     format!("n{server}")
 }
 
 fn node(member: &EndpointInfo) -> Node {
     Node {
-        name: place(member.backend.0),
-        address: place(member.backend.0),
+        name: node_address(member.backend.0),
+        address: node_address(member.backend.0),
         zone: member.zone,
         cell: member.cell,
         state: match member.state {
-            EndpointState::Ready => seen::NodeState::Ready,
-            EndpointState::Draining => seen::NodeState::Draining,
-            EndpointState::Gone => seen::NodeState::Gone,
+            EndpointState::Ready => checker::NodeState::Ready,
+            EndpointState::Draining => checker::NodeState::Draining,
+            EndpointState::Gone => checker::NodeState::Gone,
         },
         started: member.started_at.as_ms(),
     }
--- a/tests/golden/admin.rs
+++ b/tests/golden/admin.rs
@@ -11,9 +11,9 @@
 pub(crate) fn complete_response(admin: SocketAddr, request: &str) -> String {
     let mut client = Client::connect(admin);
     client.send(request);
-    let mut answer = String::new();
-    client.reader().read_to_string(&mut answer).expect("the admin server answers, and closes");
-    answer
+    let mut response = String::new();
+    client.reader().read_to_string(&mut response).expect("the admin server answers, and closes");
+    response
 }
 
 /// A request of this line, without a body.
@@ -21,10 +21,10 @@
     format!("{line} HTTP/1.1\r\nHost: door\r\n\r\n")
 }
 
-fn all(admin: SocketAddr, lines: &[&str]) -> String {
+fn exchanges(admin: SocketAddr, lines: &[&str]) -> String {
     let exchange = |line: &&str| {
-        let answer = complete_response(admin, &request(line));
-        format!("> {line}\n< {}\n", escaped(&answer))
+        let response = complete_response(admin, &request(line));
+        format!("> {line}\n< {}\n", escaped(&response))
     };
     lines.iter().map(exchange).collect()
 }
@@ -43,7 +43,7 @@
         "POST /control/in-service",
         "GET /control/ready",
     ];
-    compare("service", include_str!("recorded/service.txt"), &all(fixture.admin_address, &lines));
+    compare("service", include_str!("recorded/service.txt"), &exchanges(fixture.admin_address, &lines));
 }
 
 #[test]
@@ -65,7 +65,7 @@
         "GET /control/cache-nodes/s-0/offline",
         "GET /control/cache-nodes/s-0",
     ];
-    compare("nodes", include_str!("recorded/nodes.txt"), &all(fixture.admin_address, &lines));
+    compare("nodes", include_str!("recorded/nodes.txt"), &exchanges(fixture.admin_address, &lines));
 }
 
 #[test]
@@ -94,7 +94,11 @@
         "POST /control/policy/restore",
         "POST /control/policy",
     ];
-    compare("wrong calls", include_str!("recorded/wrong_calls.txt"), &all(fixture.admin_address, &lines));
+    compare(
+        "wrong calls",
+        include_str!("recorded/wrong_calls.txt"),
+        &exchanges(fixture.admin_address, &lines),
+    );
 }
 
 #[test]
@@ -102,7 +106,7 @@
     let origin = origin();
     let fixture = ProxyFixture::with_backends(&[], &origin);
     let propose = "POST /control/policy HTTP/1.1\r\n";
-    let asked = [
+    let requests = [
         "mn\r\n\r\n".to_owned(),
         "GET /control/ready HTTP/3\r\n\r\n".to_owned(),
         "GET /control/ready HTTP/1.1\r\nno colon\r\n\r\n".to_owned(),
@@ -112,9 +116,9 @@
         format!("{propose}Content-Length: 524289\r\n\r\n"),
         format!("{propose}Content-Length: 2\r\n\r\n{{}}"),
     ];
-    let exchanges = asked.map(|words| {
-        let shown = if words.len() < 200 { escaped(&words) } else { escaped(&words[..40]) + "..." };
-        format!("> {shown}\n< {}\n", escaped(&complete_response(fixture.admin_address, &words)))
+    let exchanges = requests.map(|request| {
+        let shown = if request.len() < 200 { escaped(&request) } else { escaped(&request[..40]) + "..." };
+        format!("> {shown}\n< {}\n", escaped(&complete_response(fixture.admin_address, &request)))
     });
     compare("no calls", include_str!("recorded/no_calls.txt"), &exchanges.concat());
 }
@@ -140,7 +144,7 @@
         !complete_response(fixture.admin_address, &ready).starts_with("HTTP/1.1 200")
     });
     let lines = ["GET /control/ready", "POST /control/out-of-service", "POST /control/in-service"];
-    let actual = all(fixture.admin_address, &lines);
+    let actual = exchanges(fixture.admin_address, &lines);
     drop(release);
     compare("stopping", include_str!("recorded/stopping.txt"), &actual);
     assert!(fixture.wait_for_exit().status.success());
@@ -151,16 +155,16 @@
     let origin = silent_origin();
     let fixture = ProxyFixture::with_backends(&[], &origin);
     let body = "POST /control/policy HTTP/1.1\r\nContent-Length: 2\r\n\r\n{";
-    let asked = ["GET /control/re", body];
+    let requests = ["GET /control/re", body];
     let admin = fixture.admin_address;
-    let answers = std::thread::scope(|scope| {
-        let asking = asked.map(|request| scope.spawn(move || complete_response(admin, request)));
-        asking.map(|asked| asked.join().expect("it is answered"))
+    let responses = std::thread::scope(|scope| {
+        let handles = requests.map(|request| scope.spawn(move || complete_response(admin, request)));
+        handles.map(|handle| handle.join().expect("it is answered"))
     });
-    let shown = |(request, answer): (&str, String)| {
-        let (request, answer) = (escaped(request), escaped(&answer));
-        format!("> {request}\n< {answer}\n")
+    let shown = |(request, response): (&str, String)| {
+        let (request, response) = (escaped(request), escaped(&response));
+        format!("> {request}\n< {response}\n")
     };
-    let actual: String = asked.into_iter().zip(answers).map(shown).collect();
+    let actual: String = requests.into_iter().zip(responses).map(shown).collect();
     compare("half a call", include_str!("recorded/half_calls.txt"), &actual);
 }
--- a/tests/golden/backends.rs
+++ b/tests/golden/backends.rs
@@ -14,9 +14,9 @@
 const WAIT: Duration = Duration::from_secs(10);
 
 /// Requests as lines of a recording, without the remaining time and the address, which vary.
-fn shown(received: &[String], at: &StubServer) -> String {
-    let shown: String = received.iter().map(|request| escaped(request) + "\n").collect();
-    without_number(&shown, ",d=", "LEFT").replace(&at.address.to_string(), "ADDRESS")
+fn normalized(received: &[String], server: &StubServer) -> String {
+    let normalized: String = received.iter().map(|request| escaped(request) + "\n").collect();
+    without_number(&normalized, ",d=", "LEFT").replace(&server.address.to_string(), "ADDRESS")
 }
 
 #[test]
@@ -48,7 +48,7 @@
     for command in writes {
         assert!(client.request(command).starts_with("HD "), "{command:?}");
     }
-    let (to_node, to_origin) = (shown(&node.received(), &node), shown(&origin.received(), &origin));
+    let (to_node, to_origin) = (normalized(&node.received(), &node), normalized(&origin.received(), &origin));
     let actual = format!("# to the cache node\n{to_node}# to the origin\n{to_origin}");
     compare("calls", include_str!("recorded/calls.txt"), &actual);
 }
@@ -67,12 +67,12 @@
             let mut reader = BufReader::new(stream.try_clone().unwrap());
             let mut head = String::new();
             while !head.ends_with("\r\n\r\n") && reader.read_line(&mut head).unwrap() > 0 {}
-            let answer = format!(
+            let response = format!(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n",
                 list.len() + 1
             );
             // The proxy and the test may have ended.
-            let _ = stream.write_all(answer.as_bytes());
+            let _ = stream.write_all(response.as_bytes());
             let _ = sender.send(head);
         }
     });
--- a/tests/golden/clients.rs
+++ b/tests/golden/clients.rs
@@ -17,9 +17,9 @@
 /// Sends a command; returns it with the complete response, and whether the connection serves on.
 fn exchange(client: &mut Client, command: &str) -> String {
     client.send(command);
-    let mut answer = client.read_line();
-    if answer.starts_with("VA ") {
-        answer += &client.read_line();
+    let mut response = client.read_line();
+    if response.starts_with("VA ") {
+        response += &client.read_line();
     }
     let shown = if command.len() < 200 { escaped(command) } else { escaped(&command[..40]) + "..." };
     let next = if client.try_send("mn\r\n") { client.read_line() } else { String::new() };
@@ -28,18 +28,18 @@
         line if line.is_empty() => "closes",
         line => panic!("unexpected output: {line:?}"),
     };
-    format!("> {shown}\n< {}\n= {next}\n", escaped(&answer))
+    format!("> {shown}\n< {}\n= {next}\n", escaped(&response))
 }
 
-fn recorded_of(fixture: &ProxyFixture, asked: &[&str]) -> String {
-    asked.iter().map(|command| exchange(&mut fixture.client(), command)).collect()
+fn exchanges(fixture: &ProxyFixture, commands: &[&str]) -> String {
+    commands.iter().map(|command| exchange(&mut fixture.client(), command)).collect()
 }
 
 #[test]
 fn each_command_is_answered_as_recorded() {
     let (node, origin) = (node(), origin());
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
-    let asked = [
+    let commands = [
         "mn\r\n",
         "version\r\n",
         "quit\r\n",
@@ -49,7 +49,7 @@
         "ms w 5 O3 Pc=put,t=acme,d=9000,k=5c\r\nhello\r\n",
         "ms w 0 O4 Pc=confirm,t=acme,d=9000\r\n\r\n",
     ];
-    compare("commands", include_str!("recorded/commands.txt"), &recorded_of(&fixture, &asked));
+    compare("commands", include_str!("recorded/commands.txt"), &exchanges(&fixture, &commands));
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let (node, origin) = (node(), origin());
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let (long, long_key) = ("x".repeat(3000), format!("mg {} v O1 Pc=read\r\n", "k".repeat(251)));
-    let asked = [
+    let commands = [
         "get k\r\n",
         "gets k\r\n",
         "set k 0 0 1\r\n",
@@ -102,7 +102,7 @@
         "ms k 1 O1 Pc=read,t=acme,d=9000\r\nx\r\n",
         "ms k 1 O1 Pc=put,t=acme,d=9000\r\nx\r\n",
     ];
-    compare("malformed", include_str!("recorded/malformed.txt"), &recorded_of(&fixture, &asked));
+    compare("malformed", include_str!("recorded/malformed.txt"), &exchanges(&fixture, &commands));
 }
 
 #[test]
@@ -110,8 +110,8 @@
     let origin = silent_origin();
     let fixture = ProxyFixture::with_backends(&[], &origin);
     let mut client = fixture.client();
-    let ask = "mg k v O1 Pc=read,t=acme,d=900\r\n";
-    client.send(&format!("{ask}{ask}"));
+    let command = "mg k v O1 Pc=read,t=acme,d=900\r\n";
+    client.send(&format!("{command}{command}"));
     let actual = format!("{}\n{}\n", escaped(&client.read_line()), escaped(&client.read_line()));
     let actual = without_number(&actual, "busy ", "MS");
     compare("id in use", include_str!("recorded/id_in_use.txt"), &actual);
@@ -125,13 +125,13 @@
     let mut actual = String::new();
     for (name, origin) in [("error", error), ("busy", busy), ("silent", silent_origin())] {
         let fixture = ProxyFixture::with_backends(&[], &origin);
-        let asked = [
+        let commands = [
             "mg k v O1 Pc=read,t=acme,d=300\r\n",
             "ms w 1 O2 Pc=put,t=acme,d=300,k=5c\r\nx\r\n",
             "ms w 1 O3 Pc=confirm,t=acme,d=300\r\nx\r\n",
         ];
-        let answers = recorded_of(&fixture, &asked);
-        actual += &format!("# origin: {name}\n{}", without_number(&answers, "busy ", "MS"));
+        let responses = exchanges(&fixture, &commands);
+        actual += &format!("# origin: {name}\n{}", without_number(&responses, "busy ", "MS"));
     }
     compare("failures", include_str!("recorded/failures.txt"), &actual);
 }
@@ -141,8 +141,8 @@
     let (node, origin) = (node(), origin());
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200);
-    let asked = ["mn\r\n", "version\r\n", "mg hit v O1 Pc=read,t=acme,d=9000\r\n"];
-    let actual = recorded_of(&fixture, &asked);
+    let commands = ["mn\r\n", "version\r\n", "mg hit v O1 Pc=read,t=acme,d=9000\r\n"];
+    let actual = exchanges(&fixture, &commands);
     compare("out of service", include_str!("recorded/out_of_service.txt"), &actual);
 }
 
--- a/tests/golden/counters.rs
+++ b/tests/golden/counters.rs
@@ -21,7 +21,7 @@
 }
 
 /// The names in the `stats` of a member with these options.
-fn of_member(options: Options, has_fleet: bool) -> String {
+fn stats_names(options: Options, has_fleet: bool) -> String {
     let mut fleet = Fleet::new(options, vec![StubServer::hit_node("v")], origin());
     if !has_fleet {
         let mut config = fleet.config(0, &[]);
@@ -34,24 +34,24 @@
 
 #[test]
 fn stats_without_a_fleet_are_as_recorded() {
-    let actual = of_member(Options::with_members(1), false);
+    let actual = stats_names(Options::with_members(1), false);
     compare("stats", include_str!("recorded/stats.txt"), &actual);
 }
 
 #[test]
 fn stats_with_a_fleet_are_as_recorded() {
-    let actual = of_member(Options::with_members(2), true);
+    let actual = stats_names(Options::with_members(2), true);
     compare("stats of a fleet", include_str!("recorded/stats_fleet.txt"), &actual);
 }
 
 #[test]
 fn stats_with_founders_are_as_recorded() {
-    let actual = of_member(Options { founders: vec![0], ..Options::with_members(2) }, true);
+    let actual = stats_names(Options { founders: vec![0], ..Options::with_members(2) }, true);
     compare("stats with founders", include_str!("recorded/stats_founders.txt"), &actual);
 }
 
 #[test]
 fn stats_with_a_policy_are_as_recorded() {
-    let actual = of_member(Options { founders: vec![0], policy: true, ..Options::with_members(1) }, true);
+    let actual = stats_names(Options { founders: vec![0], policy: true, ..Options::with_members(1) }, true);
     compare("stats with a policy", include_str!("recorded/stats_policy.txt"), &actual);
 }
--- a/tests/golden/starts.rs
+++ b/tests/golden/starts.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// The output of a program that ends by itself.
-fn shown(title: &str, mut child: Child) -> String {
+fn failed_output(title: &str, mut child: Child) -> String {
     let until = Instant::now() + WAIT_TIMEOUT;
     while child.try_wait().expect("it is a child").is_none() {
         if Instant::now() >= until {
@@ -23,21 +23,21 @@
     format!("# {title}\n{log}")
 }
 
-fn started(title: &str, config: &str) -> String {
-    shown(title, start_proxy(config))
+fn failed_start(title: &str, config: &str) -> String {
+    failed_output(title, start_proxy(config))
 }
 
-fn good() -> String {
+fn valid_config() -> String {
     config("127.0.0.1:0", "127.0.0.1:1", 256, "{}")
 }
 
 /// The output for valid configurations in which some text is replaced.
-fn replaced(changes: &[(&str, &str)]) -> String {
-    let good = good();
+fn failed_starts_with(changes: &[(&str, &str)]) -> String {
+    let valid = valid_config();
     let output_with = |(from, to): &(&str, &str)| {
-        let bad = good.replacen(from, to, 1);
-        assert_ne!(bad, good, "{from}");
-        started(&format!("{from} -> {to}"), &bad)
+        let bad = valid.replacen(from, to, 1);
+        assert_ne!(bad, valid, "{from}");
+        failed_start(&format!("{from} -> {to}"), &bad)
     };
     changes.iter().map(output_with).collect()
 }
@@ -52,18 +52,18 @@
         }
         command.spawn().expect("the program starts")
     };
-    let mut actual = shown("LB_CONFIG unset", run(None));
-    actual += &shown("no such file", run(Some("absent/none.json")));
-    actual += &started("an empty file", "");
-    actual += &started("half an object", "{");
-    actual += &started("an array", "[]");
-    actual += &started("an empty object", "{}");
+    let mut actual = failed_output("LB_CONFIG unset", run(None));
+    actual += &failed_output("no such file", run(Some("absent/none.json")));
+    actual += &failed_start("an empty file", "");
+    actual += &failed_start("half an object", "{");
+    actual += &failed_start("an array", "[]");
+    actual += &failed_start("an empty object", "{}");
     compare("files", include_str!("recorded/start_files.txt"), &actual);
 }
 
 #[test]
 fn an_invalid_key_or_value_ends_the_start_as_recorded() {
-    let actual = replaced(&[
+    let actual = failed_starts_with(&[
         (r#""listen":"127.0.0.1:0""#, r#""listen":"here""#),
         (r#""discovery":"127.0.0.1:1""#, r#""discovery":"there""#),
         ("8c1f30d27a5be964", "seed"),
@@ -103,7 +103,7 @@
     ];
     let outputs = bad.map(|(title, entries)| {
         let known = endpoint_list_json(1, true, &entries);
-        started(title, &config("127.0.0.1:0", "127.0.0.1:1", 256, &known))
+        failed_start(title, &config("127.0.0.1:0", "127.0.0.1:1", 256, &known))
     });
     compare("lists", include_str!("recorded/start_lists.txt"), &outputs.concat());
 }
@@ -113,8 +113,8 @@
 
 #[test]
 fn an_invalid_fleet_or_policy_ends_the_start_as_recorded() {
-    let mut good: Value = serde_json::from_str(&good()).unwrap();
-    good["fleet"] = json!({
+    let mut valid: Value = serde_json::from_str(&valid_config()).unwrap();
+    valid["fleet"] = json!({
         "name": "gdynia",
         "bind": "127.0.0.1:7946",
         "peers": ["127.0.0.2:7946"],
@@ -146,9 +146,9 @@
         ("cut", |fleet| fleet["policy"]["when_cut"] = json!("hope")),
     ];
     let outputs = bad.map(|(title, change)| {
-        let mut config = good.clone();
+        let mut config = valid.clone();
         change(&mut config["fleet"]);
-        started(title, &config.to_string())
+        failed_start(title, &config.to_string())
     });
     compare("fleets", include_str!("recorded/start_fleets.txt"), &outputs.concat());
 }
--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -11,14 +11,14 @@
     let (mut cold, mut warm) = (0, 0);
     for number in 0..300 {
         let mut harness = BalancerHarness::numbered(number, 8);
-        harness.learns_that_keys_are_many();
+        harness.serve_many_keys();
         let started = harness.now;
         harness.event(Event::EndpointList {
             form: ListForm::Delta,
             endpoints: vec![EndpointInfo { started_at: time(started), ..endpoint(3) }],
         });
         for n in 0..20 {
-            match harness.served(n + 1, u64::from(number) * 100 + n + 1) {
+            match harness.serve_read(n + 1, u64::from(number) * 100 + n + 1) {
                 3 => cold += 1,
                 _ => warm += 1,
             }
@@ -49,30 +49,33 @@
 
 #[test]
 fn retries_of_all_proxies_together_are_bounded_when_everything_fails() {
-    let (mut first, mut again) = (0, 0);
+    let (mut first_attempts, mut retries) = (0, 0);
     for number in 0..300 {
         let mut harness = BalancerHarness::numbered(number, 10);
         for id in 1..=10 {
             harness.now += 1000.0;
             let mut actions = harness.request(read(id, id));
-            first += sends(&actions).len();
+            first_attempts += sent_attempts(&actions).len();
             for attempt in 0..4 {
                 let Some((_, server)) = sent(&actions) else { break };
                 actions = harness.end(id, attempt, server, Outcome::Error);
-                again += sends(&actions).len();
+                retries += sent_attempts(&actions).len();
             }
         }
     }
-    assert!(first > 1000 && again <= 300 + 3000 / 5, "{first} first tries, {again} retries");
+    assert!(
+        first_attempts > 1000 && retries <= 300 + 3000 / 5,
+        "{first_attempts} first tries, {retries} retries"
+    );
 }
 
 #[test]
 fn a_restarted_proxy_with_only_its_cached_list_sends_keys_where_it_did() {
     let (mut before, mut after) = (BalancerHarness::numbered(7, 20), BalancerHarness::numbered(7, 0));
     after.event(Event::EndpointList { form: ListForm::Cached, endpoints: (1..=20).map(endpoint).collect() });
-    before.learns_that_keys_are_many();
-    after.learns_that_keys_are_many();
-    let same = (1..300).filter(|id| before.served(*id, *id) == after.served(*id, *id)).count();
+    before.serve_many_keys();
+    after.serve_many_keys();
+    let same = (1..300).filter(|id| before.serve_read(*id, *id) == after.serve_read(*id, *id)).count();
     assert!(same > 290, "{same} of 299");
 }
 
@@ -83,21 +86,22 @@
     let mut overdue = vec![];
     for id in 1..=15 {
         let actions = harness.request(read(id, id));
-        let patience = |a: &Action| {
+        let overdue_token = |a: &Action| {
             if let Action::SetRequestTimer { delay, token, .. } = a {
                 (*delay == span(200.0)).then_some(*token)
             } else {
                 None
             }
         };
-        overdue.extend(actions.iter().find_map(patience));
+        overdue.extend(actions.iter().find_map(overdue_token));
     }
     assert_eq!(overdue.len(), 15);
     harness.now += 200.0;
     for token in overdue {
         harness.event(Event::Timer(token));
     }
-    let admitted = (100..300).filter(|id| finals(&harness.request(read(*id, *id))).is_empty()).count();
+    let admitted =
+        (100..300).filter(|id| final_responses(&harness.request(read(*id, *id))).is_empty()).count();
     assert!(admitted < 40, "{admitted} of 200");
 }
 
@@ -105,7 +109,7 @@
 fn a_request_of_higher_priority_weight_is_admitted_more_often() {
     let mut harness =
         BalancerHarness::numbered_with(1, 10, |json| json.replacen(r#""Worth":1.0"#, r#""Worth":5.0"#, 1));
-    let cheap = |id| Request { class: KEYED_ALL, ..read(id, id) };
+    let low_weight_read = |id| Request { class: KEYED_ALL, ..read(id, id) };
     for id in 1..=60 {
         harness.now += 300.0;
         if let Some((id, server)) = sent(&harness.request(read(id, id))) {
@@ -114,23 +118,23 @@
     }
     // The backends answer no more: what is admitted now follows from the admission probability
     // alone.
-    let (mut dear, mut poor) = (0, 0);
+    let (mut high, mut low) = (0, 0);
     for id in (1000..1600).step_by(2) {
-        dear += usize::from(finals(&harness.request(read(id, id))).is_empty());
-        poor += usize::from(finals(&harness.request(cheap(id + 1))).is_empty());
+        high += usize::from(final_responses(&harness.request(read(id, id))).is_empty());
+        low += usize::from(final_responses(&harness.request(low_weight_read(id + 1))).is_empty());
     }
-    assert!(dear > poor + 30, "{dear} at worth 5, {poor} at worth 1");
+    assert!(high > low + 30, "{high} at worth 5, {low} at worth 1");
 }
 
 #[test]
 fn unusual_group_sizes_and_numbers_are_accepted() {
     for (size, number) in [(0, 0), (1, 9), (u32::MAX, u32::MAX), (2, 4_000_000_000)] {
-        let ids = |json: String| {
+        let with_ids = |json: String| {
             json.replace(r#""GroupSize":200"#, &format!(r#""GroupSize":{size}"#))
                 .replace(r#""MyNumber":0"#, &format!(r#""MyNumber":{number}"#))
         };
         for servers in [0, 1, 5] {
-            let mut harness = BalancerHarness::numbered_with(0, servers, ids);
+            let mut harness = BalancerHarness::numbered_with(0, servers, with_ids);
             let arrivals: Vec<_> = (1..20).map(|id| harness.request(read(id, id))).collect();
             let sent_now = arrivals.iter().filter(|actions| sent(actions).is_some()).count();
             assert_eq!(sent_now > 0, servers > 0, "{size} {number} {servers}");
@@ -144,8 +148,8 @@
     let mut fetched = [0; 2];
     for (slow, latency) in [(0, 10.0), (1, 399.0)] {
         for number in 0..100 {
-            let aside = |json: String| json.replace(r#""OriginKind":-1"#, r#""OriginKind":1"#);
-            let mut harness = BalancerHarness::numbered_with(number, 8, aside);
+            let with_origin_kind = |json: String| json.replace(r#""OriginKind":-1"#, r#""OriginKind":1"#);
+            let mut harness = BalancerHarness::numbered_with(number, 8, with_origin_kind);
             harness.event(Event::EndpointList { form: ListForm::Delta, endpoints: vec![endpoint(ORIGIN)] });
             for id in 1..=30 {
                 harness.now += 500.0;
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -15,7 +15,7 @@
     let (_, server) = sent(&harness.request(read(1, 5))).unwrap();
     harness.now += 801.0;
     let late = harness.end(1, 0, server, Outcome::Full);
-    assert!(sends(&late).is_empty() && finals(&late).len() == 1, "{late:?}");
+    assert!(sent_attempts(&late).is_empty() && final_responses(&late).len() == 1, "{late:?}");
 }
 
 /// Guards against two attempts at once, after the end of one that never was or has ended before.
@@ -41,24 +41,24 @@
     assert_eq!(sent(&harness.request(read(2, 5))), Some((2, home)));
     assert_eq!(sent(&harness.end(1, 0, home, Outcome::Miss)), Some((1, ORIGIN)));
     for _ in 0..3 {
-        assert!(sends(&harness.end(2, 0, home, Outcome::Miss)).is_empty());
+        assert!(sent_attempts(&harness.end(2, 0, home, Outcome::Miss)).is_empty());
     }
-    assert_eq!(sends(&harness.end(1, 1, ORIGIN, Outcome::Ok)), [(2, home)]);
+    assert_eq!(sent_attempts(&harness.end(1, 1, ORIGIN, Outcome::Ok)), [(2, home)]);
 }
 
 /// Guards against a retry that arrives just after the deduplication window: what is sent within the
 /// last tick arrives later.
 #[test]
 fn the_dedup_window_ends_a_tick_early() {
-    for (passed, again) in [(298.0, true), (299.5, false)] {
+    for (elapsed, is_retried) in [(298.0, true), (299.5, false)] {
         let mut harness = BalancerHarness::without_origin(4);
         let request = Request { class: KEYED_ALL, ..read(1, 5) };
         let (_, first) = sent(&harness.request(request)).unwrap();
-        harness.now += passed;
+        harness.now += elapsed;
         let end = harness.end(1, 0, first, Outcome::Error);
-        assert_eq!(!sends(&end).is_empty(), again, "after {passed} ms: {end:?}");
+        assert_eq!(!sent_attempts(&end).is_empty(), is_retried, "after {elapsed} ms: {end:?}");
         let failure = unsafe_to_repeat(1);
-        assert_eq!(finals(&end), if again { vec![] } else { vec![&failure] });
+        assert_eq!(final_responses(&end), if is_retried { vec![] } else { vec![&failure] });
     }
 }
 
@@ -73,10 +73,10 @@
         let (_, first) = sent(&harness.request(request)).unwrap();
         let (_, second) = sent(&harness.end(1, 0, first, Outcome::Reset)).unwrap();
         let after = harness.end(1, 1, second, Outcome::Miss);
-        let together = endpoint(first).zone == endpoint(ORIGIN).zone;
-        assert_eq!(sent(&after), together.then_some((1, ORIGIN)), "key {key}: {after:?}");
-        assert!(together || finals(&after) == [&unsafe_to_repeat(1)]);
-        seen[usize::from(together)] = true;
+        let is_same_zone = endpoint(first).zone == endpoint(ORIGIN).zone;
+        assert_eq!(sent(&after), is_same_zone.then_some((1, ORIGIN)), "key {key}: {after:?}");
+        assert!(is_same_zone || final_responses(&after) == [&unsafe_to_repeat(1)]);
+        seen[usize::from(is_same_zone)] = true;
     }
     assert_eq!(seen, [true; 2], "both kinds came up");
 }
@@ -85,16 +85,16 @@
 #[test]
 fn an_outlier_gets_trials_and_serves_again_once_it_answers() {
     let mut harness = BalancerHarness::without_origin(6);
-    let mut ill = true;
+    let mut is_failing = true;
     let mut attempts = 0;
     for id in 1..8000 {
         harness.now += 1.0;
-        ill &= id < 2000;
+        is_failing &= id < 2000;
         let Some((_, server)) = sent(&harness.request(read(id, id))) else { continue };
-        let fails = server == 3 && ill;
-        attempts += usize::from(server == 3 && !ill);
+        let fails = server == 3 && is_failing;
+        attempts += usize::from(server == 3 && !is_failing);
         for (id, server) in
-            sends(&harness.end(id, 0, server, if fails { Outcome::Error } else { Outcome::Ok }))
+            sent_attempts(&harness.end(id, 0, server, if fails { Outcome::Error } else { Outcome::Ok }))
         {
             harness.end(id, 1, server, Outcome::Ok);
         }
@@ -110,8 +110,8 @@
     let (_, home) = sent(&harness.request(read(1, 5))).unwrap();
     assert_eq!(sent(&harness.request(read(2, 5))), Some((2, home)));
     assert_eq!(sent(&harness.end(1, 0, home, Outcome::Miss)), Some((1, ORIGIN)));
-    assert!(sends(&harness.end(2, 0, home, Outcome::Miss)).is_empty(), "it waits for the fetch");
-    assert_eq!(sends(&harness.end(1, 1, ORIGIN, Outcome::Ok)), [(2, home)]);
+    assert!(sent_attempts(&harness.end(2, 0, home, Outcome::Miss)).is_empty(), "it waits for the fetch");
+    assert_eq!(sent_attempts(&harness.end(1, 1, ORIGIN, Outcome::Ok)), [(2, home)]);
 }
 
 /// Guards against quick rejections that become a hammer: at a limit of one a node rests after a
@@ -124,9 +124,9 @@
     harness.event(Event::ClientGone(RequestId(1)));
     harness.end(1, 0, server, Outcome::Full);
     harness.now += 50.0;
-    assert!(sends(&harness.request(read(2, 2))).is_empty());
+    assert!(sent_attempts(&harness.request(read(2, 2))).is_empty());
     harness.now += 51.0;
-    assert!(!sends(&harness.event(Event::Timer(4 << 60))).is_empty(), "the one that was queued goes");
+    assert!(!sent_attempts(&harness.event(Event::Timer(4 << 60))).is_empty(), "the one that was queued goes");
 }
 
 /// Guards against a request that waits for capacity when nothing more may be done for it.
@@ -144,7 +144,7 @@
     assert!(end.iter().all(|action| matches!(action, Action::SetTimer { .. })), "queued: {end:?}");
     harness.now += 110.0;
     // The deduplication window has passed: the next dispatch of the queue ends it.
-    assert!(finals(&harness.event(Event::Timer(4 << 60))).contains(&&unsafe_to_repeat(1)));
+    assert!(final_responses(&harness.event(Event::Timer(4 << 60))).contains(&&unsafe_to_repeat(1)));
 }
 
 /// Guards against a retry budget that is spent on what may not be retried.
@@ -153,11 +153,11 @@
     let mut harness = BalancerHarness::without_origin(6);
     for id in 1..40 {
         let (_, server) = sent(&harness.request(Request { class: UNSAFE, ..read(id, id) })).unwrap();
-        assert_eq!(finals(&harness.end(id, 0, server, Outcome::Error)), [&unsafe_to_repeat(id)]);
+        assert_eq!(final_responses(&harness.end(id, 0, server, Outcome::Error)), [&unsafe_to_repeat(id)]);
         harness.now += 300.0;
     }
     for id in 100..105 {
         let (_, server) = sent(&harness.request(read(id, id))).unwrap();
-        assert_eq!(sends(&harness.end(id, 0, server, Outcome::Error)).len(), 1, "{id}");
+        assert_eq!(sent_attempts(&harness.end(id, 0, server, Outcome::Error)).len(), 1, "{id}");
     }
 }
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -5,78 +5,89 @@
 mod common;
 
 use common::edited_history::*;
-use common::fleet::{play, script};
+use common::fleet::{random_script, simulate};
 use common::recorded_events::figures;
 use pinetrail_history_checker::{
     check, AttemptOutcome, CheckError, History, HistoryEvent, ProxyEnd, Reason, ResponseOutcome, Time,
 };
 
-const DAY: Time = 6000.0;
+const DURATION_MS: Time = 6000.0;
 
 #[test]
 fn fleets_under_faults_from_seeds_keep_the_rules() {
-    let mut asked = 0;
+    let mut requests = 0;
     for seed in 0..60 {
-        let history = play(seed, DAY, &script(seed, DAY));
-        asked +=
+        let history = simulate(seed, DURATION_MS, &random_script(seed, DURATION_MS));
+        requests +=
             history.events.iter().filter(|event| matches!(event.1, HistoryEvent::RequestSent { .. })).count();
-        let breaches = check(&history).expect("it can be judged");
-        assert!(breaches.is_empty(), "seed {seed}: {} in all, first {}", breaches.len(), breaches[0]);
+        let violations = check(&history).expect("it can be judged");
+        assert!(violations.is_empty(), "seed {seed}: {} in all, first {}", violations.len(), violations[0]);
     }
-    assert!(asked > 100_000, "{asked}");
+    assert!(requests > 100_000, "{requests}");
 }
 
 #[test]
 fn equal_seeds_make_equal_histories() {
-    assert_eq!(play(7, 2000.0, &script(7, 2000.0)), play(7, 2000.0, &script(7, 2000.0)));
+    assert_eq!(
+        simulate(7, 2000.0, &random_script(7, 2000.0)),
+        simulate(7, 2000.0, &random_script(7, 2000.0))
+    );
 }
 
 #[test]
-fn what_shows_nothing_is_an_error_and_no_pass() {
-    let (history, [asked, ..], id) = calm();
+fn a_history_that_shows_nothing_is_an_error() {
+    let (history, [requested, ..], id) = history_with_served_request();
     assert_eq!(check(&History::default()), Err(CheckError::Empty));
-    let silent = |event: &&(Time, HistoryEvent)| {
+    let is_from_proxy = |event: &&(Time, HistoryEvent)| {
         matches!(event.1, HistoryEvent::ConfigActivated { .. } | HistoryEvent::EndpointsListed { .. })
     };
-    let events: Vec<_> = history.events.iter().filter(silent).cloned().collect();
+    let events: Vec<_> = history.events.iter().filter(is_from_proxy).cloned().collect();
     assert_eq!(check(&History { clock_error: 0.0, events }), Err(CheckError::NoRequest));
-    let mut backwards = history.clone();
-    backwards.events.swap(0, asked);
-    assert!(matches!(check(&backwards), Err(CheckError::OutOfOrder(_))));
-    let mut cut = without(&history, history.events.len() - 1);
-    cut.events.truncate(asked + 1);
-    assert!(matches!(check(&cut), Err(CheckError::Unfinished(_))), "{id}");
+    let mut out_of_order = history.clone();
+    out_of_order.events.swap(0, requested);
+    assert!(matches!(check(&out_of_order), Err(CheckError::OutOfOrder(_))));
+    let mut unfinished = without_event(&history, history.events.len() - 1);
+    unfinished.events.truncate(requested + 1);
+    assert!(matches!(check(&unfinished), Err(CheckError::Unfinished(_))), "{id}");
 }
 
 #[test]
 fn an_answer_that_is_missing_twice_late_or_made_up_is_refused() {
-    let (history, [asked, _, _, answered], id) = calm();
-    refused(&without(&history, answered), Reason::MissingResponse, &id);
+    let (history, [requested, _, _, answered], id) = history_with_served_request();
+    assert_violation(&without_event(&history, answered), Reason::MissingResponse, &id);
     let (at, answer) = history.events[answered].clone();
-    refused(&with(&history, at, answer.clone()), Reason::DuplicateResponse, &id);
-    let HistoryEvent::RequestSent { budget, .. } = history.events[asked].1 else { panic!() };
-    let due = history.events[asked].0 + budget + figures().response_slack;
-    kept(&moved(&history, answered, due));
-    refused(&moved(&history, answered, due + 0.001), Reason::LateResponse, &id);
+    assert_violation(&with_event(&history, at, answer.clone()), Reason::DuplicateResponse, &id);
+    let HistoryEvent::RequestSent { budget, .. } = history.events[requested].1 else { panic!() };
+    let deadline = history.events[requested].0 + budget + figures().response_slack;
+    assert_accepted(&with_event_moved(&history, answered, deadline));
+    assert_violation(&with_event_moved(&history, answered, deadline + 0.001), Reason::LateResponse, &id);
     let other = HistoryEvent::ResponseReceived {
         request: id.clone(),
         outcome: ResponseOutcome::Served("of another".into()),
     };
-    refused(&with(&without(&history, answered), at, other), Reason::FabricatedResponse, &id);
+    assert_violation(
+        &with_event(&without_event(&history, answered), at, other),
+        Reason::FabricatedResponse,
+        &id,
+    );
     // Who has left is owed nothing; who left after its time was.
-    let left = HistoryEvent::ClientDisconnected { request: id.clone() };
-    kept(&with(&without(&history, answered), due, left.clone()));
-    refused(&with(&without(&history, answered), due + 0.001, left), Reason::MissingResponse, &id);
+    let disconnect = HistoryEvent::ClientDisconnected { request: id.clone() };
+    assert_accepted(&with_event(&without_event(&history, answered), deadline, disconnect.clone()));
+    assert_violation(
+        &with_event(&without_event(&history, answered), deadline + 0.001, disconnect),
+        Reason::MissingResponse,
+        &id,
+    );
 }
 
 #[test]
-fn what_a_process_held_that_ends_by_itself_is_lost_and_what_one_held_that_is_killed_is_not() {
-    let (history, [asked, _, _, answered], id) = calm();
-    let HistoryEvent::RequestSent { proxy, .. } = history.events[asked].1.clone() else { panic!() };
-    let at = history.events[asked].0;
-    for (how, lost) in [(ProxyEnd::Killed, false), (ProxyEnd::Exited, true)] {
+fn open_requests_of_a_process_that_exits_are_lost_and_of_one_that_is_killed_are_not() {
+    let (history, [requested, _, _, answered], id) = history_with_served_request();
+    let HistoryEvent::RequestSent { proxy, .. } = history.events[requested].1.clone() else { panic!() };
+    let at = history.events[requested].0;
+    for (how, is_lost) in [(ProxyEnd::Killed, false), (ProxyEnd::Exited, true)] {
         // Only what it is about: what else the proxy held is left out.
-        let about = |seen: &HistoryEvent| match seen {
+        let is_relevant = |event: &HistoryEvent| match event {
             HistoryEvent::RequestSent { request, .. }
             | HistoryEvent::ResponseReceived { request, .. }
             | HistoryEvent::AttemptReceived { request, .. } => *request == id,
@@ -85,47 +96,53 @@
             | HistoryEvent::BodyStarted { .. } => false,
             _ => true,
         };
-        let mut short = without(&history, answered);
-        short.events.retain(|event| about(&event.1) && event.0 <= at);
-        let ended = with(&short, at, HistoryEvent::ProxyEnded { proxy: proxy.clone(), how });
-        if lost {
-            refused(&ended, Reason::MissingResponse, &id)
+        let mut shortened = without_event(&history, answered);
+        shortened.events.retain(|event| is_relevant(&event.1) && event.0 <= at);
+        let ended = with_event(&shortened, at, HistoryEvent::ProxyEnded { proxy: proxy.clone(), how });
+        if is_lost {
+            assert_violation(&ended, Reason::MissingResponse, &id)
         } else {
-            kept(&ended)
+            assert_accepted(&ended)
         }
     }
 }
 
 #[test]
-fn calls_nobody_asked_for_or_after_the_end_are_refused() {
-    let (history, [_, received, _, answered], id) = calm();
+fn attempts_without_a_request_or_after_its_response_are_refused() {
+    let (history, [_, received, _, answered], id) = history_with_served_request();
     let HistoryEvent::AttemptReceived { address, .. } = history.events[received].1.clone() else { panic!() };
     let end = history.events[answered].0;
-    kept(&again(&history, received, &address, end));
-    refused(&again(&history, received, &address, end + 0.001), Reason::AttemptAfterResponse, &id);
+    assert_accepted(&with_attempt(&history, received, &address, end));
+    assert_violation(
+        &with_attempt(&history, received, &address, end + 0.001),
+        Reason::AttemptAfterResponse,
+        &id,
+    );
     let mut unasked = history.clone();
     let HistoryEvent::AttemptReceived { request, .. } = &mut unasked.events[received].1 else { panic!() };
     *request = "nobody".into();
-    let breaches = check(&unasked).unwrap();
-    assert!(breaches
-        .iter()
-        .any(|breach| (breach.reason, &*breach.subject) == (Reason::AttemptWithoutRequest, "nobody")));
+    let violations = check(&unasked).unwrap();
+    assert!(violations.iter().any(
+        |violation| (violation.reason, &*violation.subject) == (Reason::AttemptWithoutRequest, "nobody")
+    ));
 }
 
 #[test]
 fn effects_repeated_outside_their_group_or_window_are_refused() {
     let window = figures().classes["keyed all"].window;
     for class in ["safe", "keyed all", "keyed zone", "keyed cell", "unsafe"] {
-        let (history, received, _, id) = roomy(class);
-        let (first, address) = sent_first(&history, received);
-        let within = again(&history, received, &address, first + window);
-        let beyond = again(&history, received, &address, first + window + 0.001);
+        let (history, received, _, id) = history_with_late_response(class);
+        let (first, address) = arrival_and_address(&history, received);
+        let within = with_attempt(&history, received, &address, first + window);
+        let beyond = with_attempt(&history, received, &address, first + window + 0.001);
         match class {
-            "safe" => [within, beyond].iter().for_each(kept),
-            "unsafe" => [within, beyond].iter().for_each(|h| refused(h, Reason::RepeatedEffect, &id)),
+            "safe" => [within, beyond].iter().for_each(assert_accepted),
+            "unsafe" => {
+                [within, beyond].iter().for_each(|h| assert_violation(h, Reason::RepeatedEffect, &id))
+            }
             _ => {
-                kept(&within);
-                refused(&beyond, Reason::OutsideWindow, &id);
+                assert_accepted(&within);
+                assert_violation(&beyond, Reason::OutsideWindow, &id);
             }
         }
         let group: Option<fn(u32) -> u32> = match class {
@@ -134,9 +151,10 @@
             _ => None,
         };
         if let Some(group) = group {
-            let elsewhere = |same| again(&history, received, &neighbour(&address, group, same), first + 50.0);
-            kept(&elsewhere(true));
-            refused(&elsewhere(false), Reason::OutsideScope, &id);
+            let at_other_node =
+                |same| with_attempt(&history, received, &other_node(&address, group, same), first + 50.0);
+            assert_accepted(&at_other_node(true));
+            assert_violation(&at_other_node(false), Reason::OutsideScope, &id);
         }
     }
 }
@@ -151,22 +169,22 @@
         ("keyed cell", false, false),
         ("unsafe", false, false),
     ] {
-        let (history, received, answered, id) = roomy(class);
-        let first = sent_first(&history, received).0;
-        for (at, harmless) in [(first + window, in_time), (first + window + 0.001, late)] {
-            let refusal =
+        let (history, received, answered, id) = history_with_late_response(class);
+        let first = arrival_and_address(&history, received).0;
+        for (at, is_harmless) in [(first + window, in_time), (first + window + 0.001, late)] {
+            let rejection =
                 HistoryEvent::ResponseReceived { request: id.clone(), outcome: ResponseOutcome::Rejected };
-            let changed = with(&without(&history, answered), at, refusal);
-            if harmless {
-                kept(&changed)
+            let changed = with_event(&without_event(&history, answered), at, rejection);
+            if is_harmless {
+                assert_accepted(&changed)
             } else {
-                refused(&changed, Reason::UnsafeRejection, &id)
+                assert_violation(&changed, Reason::UnsafeRejection, &id)
             }
         }
         // What was turned away never ran: then every class may be refused.
-        let mut turned = history.clone();
-        let HistoryEvent::AttemptReceived { attempt, .. } = turned.events[received].1 else { panic!() };
-        turned.events.iter_mut().for_each(|event| match &mut event.1 {
+        let mut rejected = history.clone();
+        let HistoryEvent::AttemptReceived { attempt, .. } = rejected.events[received].1 else { panic!() };
+        rejected.events.iter_mut().for_each(|event| match &mut event.1 {
             HistoryEvent::AttemptEnded { attempt: of, outcome: end } if *of == attempt => {
                 *end = AttemptOutcome::Rejected
             }
@@ -175,17 +193,17 @@
             }
             _ => {}
         });
-        kept(&turned);
+        assert_accepted(&rejected);
     }
 }
 
 #[test]
-fn more_calls_than_allowed_or_two_at_once_are_refused() {
-    let (mut history, received, _, id) = roomy("safe");
-    let (first, address) = sent_first(&history, received);
+fn more_attempts_than_allowed_or_two_at_once_are_refused() {
+    let (mut history, received, _, id) = history_with_late_response("safe");
+    let (first, address) = arrival_and_address(&history, received);
     for n in 1..figures().max_attempts {
-        kept(&history);
-        history = again(&history, received, &address, first + 100.0 * n as Time);
+        assert_accepted(&history);
+        history = with_attempt(&history, received, &address, first + 100.0 * n as Time);
         let last = history.events.iter_mut().filter_map(|event| match &mut event.1 {
             HistoryEvent::AttemptReceived { attempt, .. } | HistoryEvent::AttemptEnded { attempt, .. }
                 if *attempt == 1 << 40 =>
@@ -196,18 +214,26 @@
         });
         last.for_each(|attempt| *attempt = (1 << 41) + n as u64);
     }
-    kept(&history);
-    refused(&again(&history, received, &address, first + 900.0), Reason::TooManyAttempts, &id);
+    assert_accepted(&history);
+    assert_violation(
+        &with_attempt(&history, received, &address, first + 900.0),
+        Reason::TooManyAttempts,
+        &id,
+    );
     // Where two at once are not allowed, one more must wait for the end of the one before.
-    let (mut history, received, _, id) = roomy("safe");
+    let (mut history, received, _, id) = history_with_late_response("safe");
     history.events.iter_mut().for_each(|event| {
         if let HistoryEvent::ConfigActivated { limits, .. } = &mut event.1 {
             limits.allows_hedging = false;
         }
     });
     let HistoryEvent::AttemptReceived { attempt, .. } = history.events[received].1 else { panic!() };
-    let is_end = |event: &(Time, HistoryEvent)| matches!(event.1, HistoryEvent::AttemptEnded { attempt: of, .. } if of == attempt);
+    let is_end = |event: &(Time, HistoryEvent)| matches!(event.1,HistoryEvent::AttemptEnded{attempt:of,..}if of==attempt);
     let end = history.events.iter().find(|event| is_end(event)).unwrap().0;
-    kept(&again(&history, received, &address, end));
-    refused(&again(&history, received, &address, end - 0.001), Reason::ConcurrentAttempts, &id);
+    assert_accepted(&with_attempt(&history, received, &address, end));
+    assert_violation(
+        &with_attempt(&history, received, &address, end - 0.001),
+        Reason::ConcurrentAttempts,
+        &id,
+    );
 }
--- a/tests/node_histories.rs
+++ b/tests/node_histories.rs
@@ -4,14 +4,14 @@
 mod common;
 
 use common::edited_history::*;
-use common::fleet::{play, Fault};
+use common::fleet::{simulate, Fault};
 use common::recorded_events::figures;
 use pinetrail_history_checker::{HistoryEvent, Limits, Node, NodeState, Reason, Time};
 
 #[test]
-fn what_is_sent_to_who_drains_is_gone_or_was_never_listed_is_refused() {
-    let (history, received, _, _) = roomy("safe");
-    let (first, address) = sent_first(&history, received);
+fn an_attempt_at_a_node_that_drains_is_gone_or_was_never_listed_is_refused() {
+    let (history, received, _, _) = history_with_late_response("safe");
+    let (first, address) = arrival_and_address(&history, received);
     let HistoryEvent::AttemptReceived { proxy, .. } = history.events[received].1.clone() else { panic!() };
     let limit = figures().drain_grace;
     let node = history.events.iter().find_map(|event| match &event.1 {
@@ -22,12 +22,12 @@
     });
     let node = node.unwrap();
     // Nothing else goes there: the history is kept to the one request and one proxy.
-    let mut alone = history.clone();
+    let mut one_request = history.clone();
     let HistoryEvent::AttemptReceived { request: id, attempt, .. } = history.events[received].1.clone()
     else {
         panic!()
     };
-    alone.events.retain(|event| match &event.1 {
+    one_request.events.retain(|event| match &event.1 {
         HistoryEvent::RequestSent { request, .. }
         | HistoryEvent::ResponseReceived { request, .. }
         | HistoryEvent::AttemptReceived { request, .. } => *request == id,
@@ -35,21 +35,21 @@
         HistoryEvent::ClientDisconnected { .. } | HistoryEvent::BodyStarted { .. } => false,
         _ => true,
     });
-    kept(&alone);
+    assert_accepted(&one_request);
     for (state, reason) in [(NodeState::Draining, Reason::Draining), (NodeState::Gone, Reason::Gone)] {
-        let told = |at| {
+        let with_state_listed = |at| {
             let nodes = vec![Node { state, ..node.clone() }];
-            with(
-                &alone,
+            with_event(
+                &one_request,
                 at,
                 HistoryEvent::EndpointsListed { proxy: proxy.clone(), is_complete: false, nodes },
             )
         };
-        kept(&told(first - limit));
-        refused(&told(first - limit - 0.001), reason, &address);
+        assert_accepted(&with_state_listed(first - limit));
+        assert_violation(&with_state_listed(first - limit - 0.001), reason, &address);
         // To be told so twice gives no more time; to be told that it is back does.
-        let twice = with(
-            &told(first - limit - 0.001),
+        let listed_twice = with_event(
+            &with_state_listed(first - limit - 0.001),
             first - 1.0,
             HistoryEvent::EndpointsListed {
                 proxy: proxy.clone(),
@@ -57,38 +57,38 @@
                 nodes: vec![Node { state, ..node.clone() }],
             },
         );
-        refused(&twice, reason, &address);
-        let back = HistoryEvent::EndpointsListed {
+        assert_violation(&listed_twice, reason, &address);
+        let ready_again = HistoryEvent::EndpointsListed {
             proxy: proxy.clone(),
             is_complete: false,
             nodes: vec![node.clone()],
         };
-        kept(&with(&told(first - limit - 0.001), first - 1.0, back));
+        assert_accepted(&with_event(&with_state_listed(first - limit - 0.001), first - 1.0, ready_again));
     }
     let absent = HistoryEvent::EndpointsListed { proxy: proxy.clone(), is_complete: true, nodes: Vec::new() };
-    refused(&with(&alone, first - limit - 0.001, absent), Reason::Gone, &address);
-    let mut never = alone;
-    never.events.iter_mut().for_each(|event| {
+    assert_violation(&with_event(&one_request, first - limit - 0.001, absent), Reason::Gone, &address);
+    let mut never_listed = one_request;
+    never_listed.events.iter_mut().for_each(|event| {
         if let HistoryEvent::EndpointsListed { nodes, .. } = &mut event.1 {
             nodes.retain(|node| node.address != address);
         }
     });
-    refused(&never, Reason::NeverListed, &address);
+    assert_violation(&never_listed, Reason::NeverListed, &address);
 }
 
 /// Guards against a budget counted for each proxy alone: the last straw comes from another one.
 #[test]
-fn a_cold_node_that_is_sent_more_than_it_bears_is_refused() {
-    let history = play(11, 5000.0, &[(1000.0, Fault::Restart(2))]);
-    kept(&history);
+fn a_cold_node_that_is_sent_more_than_it_can_take_is_refused() {
+    let history = simulate(11, 5000.0, &[(1000.0, Fault::Restart(2))]);
+    assert_accepted(&history);
     let Limits { start_capacity, warm_up_time, overload_multiple, overload_time, .. } = figures();
-    let found = history.events.iter().find_map(|(at, seen)| match seen {
+    let found = history.events.iter().find_map(|(at, event)| match event {
         HistoryEvent::BackendStarted { capacity, .. } => Some((*at, *capacity)),
         _ => None,
     });
     let (started, capacity) = found.unwrap();
     let at = started + 1400.0;
-    let bears = overload_multiple
+    let max_work = overload_multiple
         * capacity
         * overload_time
         * (start_capacity + (1.0 - start_capacity) * (at - started) / warm_up_time);
@@ -99,8 +99,8 @@
                 _ => sum,
             }
         });
-    assert!(sent > 0.0 && sent < bears, "{sent} of {bears}");
-    let last = |more: Time| {
+    assert!(sent > 0.0 && sent < max_work, "{sent} of {max_work}");
+    let with_extra_work = |extra_work: Time| {
         let received = history.events.iter().rposition(|event| match &event.1 {
             HistoryEvent::AttemptReceived { address, .. } => address == "n2" && event.0 <= at,
             _ => false,
@@ -109,7 +109,7 @@
         let HistoryEvent::AttemptReceived { work, .. } = &mut heavier.events[received.unwrap()].1 else {
             panic!()
         };
-        *work += more;
+        *work += extra_work;
         // What comes after is no work, so that this is the whole of it.
         heavier.events.iter_mut().filter(|event| event.0 > at).for_each(|event| match &mut event.1 {
             HistoryEvent::AttemptReceived { address, work, .. } if address == "n2" => *work = 0.0,
@@ -117,16 +117,16 @@
         });
         heavier
     };
-    let room = {
+    let remaining_work = {
         // The budget is that of the moment of the last attempt.
         let received = history.events.iter().rfind(|event| match &event.1 {
             HistoryEvent::AttemptReceived { address, .. } => address == "n2" && event.0 <= at,
             _ => false,
         });
-        let warmth = (received.unwrap().0 - started) / warm_up_time;
-        overload_multiple * capacity * overload_time * (start_capacity + (1.0 - start_capacity) * warmth)
+        let warm_up_progress = (received.unwrap().0 - started) / warm_up_time;
+        overload_multiple * capacity * overload_time * (start_capacity + (1.0 - start_capacity) * warm_up_progress)
             - sent
     };
-    kept(&last(room - 0.001));
-    refused(&last(room + 0.001), Reason::Overloaded, "n2");
+    assert_accepted(&with_extra_work(remaining_work - 0.001));
+    assert_violation(&with_extra_work(remaining_work + 0.001), Reason::Overloaded, "n2");
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -8,9 +8,9 @@
 #[test]
 fn a_small_key_keeps_to_its_set_while_loads_are_close() {
     let mut harness = BalancerHarness::without_origin(6);
-    let home = harness.served(1, 5);
+    let home = harness.serve_read(1, 5);
     for id in 2..20 {
-        assert_eq!(harness.served(id, 5), home);
+        assert_eq!(harness.serve_read(id, 5), home);
     }
 }
 
@@ -48,7 +48,7 @@
     (home, second): (BackendNumber, BackendNumber),
     from: u64,
 ) -> bool {
-    let other = (1..).find(|n| harness.served(from + n, from + n) == second).unwrap();
+    let other = (1..).find(|n| harness.serve_read(from + n, from + n) == second).unwrap();
     let taken = sent(&harness.request(read(from, from + other))).unwrap().1;
     assert_eq!(taken, second);
     let hosts: Vec<BackendNumber> =
@@ -64,11 +64,11 @@
 #[test]
 fn a_set_that_is_unchanged_for_a_minute_drops_a_member() {
     let mut harness = BalancerHarness::without_origin(6);
-    harness.learns_that_keys_are_many();
+    harness.serve_many_keys();
     let set = grow_set(&mut harness, 5);
     assert!(is_second_in_set(&mut harness, 5, set, 1_000_000));
     harness.now += 60_001.0;
-    assert_eq!(harness.served(900, 5), set.0);
+    assert_eq!(harness.serve_read(900, 5), set.0);
     assert!(!is_second_in_set(&mut harness, 5, set, 2_000_000));
 }
 
@@ -76,7 +76,7 @@
 fn a_large_key_stays_on_one_backend_whatever_its_load() {
     let mut harness = BalancerHarness::without_origin(6);
     for id in 1..100 {
-        assert_ne!(harness.served(id, id), 0);
+        assert_ne!(harness.serve_read(id, id), 0);
     }
     let large = |id| Request { work_hint: Some(span(500.0)), ..read(id, 7777) };
     let home = sent(&harness.request(large(1000))).unwrap().1;
@@ -89,7 +89,7 @@
 fn a_hot_large_key_overflows_while_its_backend_is_full_and_returns_after() {
     let mut harness = BalancerHarness::without_origin(6);
     for id in 1..100 {
-        assert_ne!(harness.served(id, id), 0);
+        assert_ne!(harness.serve_read(id, id), 0);
     }
     let large = |id| Request { work_hint: Some(span(500.0)), ..read(id, 7777) };
     let home = sent(&harness.request(large(1000))).unwrap().1;
@@ -115,7 +115,7 @@
 fn proxies_agree_on_the_home_of_a_key_without_communication() {
     let (mut one, mut other) = (BalancerHarness::without_origin(8), BalancerHarness::without_origin(8));
     other.request(read(9999, 4242));
-    let same = (1..200).filter(|key| one.served(*key, *key) == other.served(*key, *key)).count();
+    let same = (1..200).filter(|key| one.serve_read(*key, *key) == other.serve_read(*key, *key)).count();
     assert!(same > 190, "{same}");
 }
 
@@ -126,7 +126,7 @@
         form: ListForm::Delta,
         endpoints: vec![EndpointInfo { weight: 3.0, ..endpoint(1) }],
     });
-    let at_first = (1..600).filter(|key| harness.served(*key, *key) == 1).count();
+    let at_first = (1..600).filter(|key| harness.serve_read(*key, *key) == 1).count();
     assert!((240..360).contains(&at_first), "{at_first} of 600, half expected");
 }
 
@@ -134,32 +134,32 @@
 /// can take.
 #[test]
 fn the_limit_of_the_origin_grows_until_a_quarter_of_its_responses_is_slow() {
-    let room = |slow_every: u64| {
+    let concurrent_fetches = |slow_every: u64| {
         let mut harness = BalancerHarness::with_origin(4);
-        let (mut most, mut fetched) = (0, 0);
+        let (mut in_flight, mut fetched) = (0, 0);
         for round in 1..200 {
             harness.now += 1000.0;
             let mut out = vec![];
             for id in round * 100..round * 100 + 30 {
                 let Some((_, server)) = sent(&harness.request(read(id, id))) else { continue };
-                let has_missed = !sends(&harness.end(id, 0, server, Outcome::Miss)).is_empty();
+                let has_missed = !sent_attempts(&harness.end(id, 0, server, Outcome::Miss)).is_empty();
                 if has_missed {
                     out.push(id);
                 } else {
                     harness.event(Event::ClientGone(RequestId(id)));
                 }
             }
-            most = out.len();
+            in_flight = out.len();
             for id in out {
                 fetched += 1;
                 let latency = if fetched % slow_every == 0 { 290.0 } else { 20.0 };
                 harness.end_after(id, 1, ORIGIN, Outcome::Ok, latency);
             }
         }
-        most
+        in_flight
     };
-    let (seldom, often) = (room(10), room(2));
-    assert!(seldom > 2 * often && often >= 1, "{seldom} and {often} at once");
+    let (rarely_slow, often_slow) = (concurrent_fetches(10), concurrent_fetches(2));
+    assert!(rarely_slow > 2 * often_slow && often_slow >= 1, "{rarely_slow} and {often_slow} at once");
 }
 
 #[test]
@@ -168,12 +168,12 @@
     let (_, server) = sent(&harness.request(read(1, 5))).unwrap();
     assert_eq!(sent(&harness.end(1, 0, server, Outcome::Miss)), Some((1, ORIGIN)));
     for id in 2..5 {
-        assert!(sends(&harness.request(read(id, 5))).is_empty());
+        assert!(sent_attempts(&harness.request(read(id, 5))).is_empty());
     }
     let actions = harness.end(1, 1, ORIGIN, Outcome::Ok);
-    assert_eq!(sends(&actions).first(), Some(&(2, server)));
-    assert!(sends(&actions).iter().all(|(_, to)| *to == server));
-    assert_eq!(sends(&actions).len(), 3);
+    assert_eq!(sent_attempts(&actions).first(), Some(&(2, server)));
+    assert!(sent_attempts(&actions).iter().all(|(_, to)| *to == server));
+    assert_eq!(sent_attempts(&actions).len(), 3);
 }
 
 #[test]
@@ -188,7 +188,7 @@
 #[test]
 fn sets_do_not_grow_while_the_origin_has_no_capacity() {
     let mut harness = BalancerHarness::with_origin(6);
-    let home = harness.served(1, 5);
+    let home = harness.serve_read(1, 5);
     for id in 100..200 {
         if let Some((_, server)) = sent(&harness.request(read(id, id))) {
             harness.end(id, 0, server, Outcome::Miss);
@@ -207,7 +207,7 @@
         let Some((_, server)) = sent(&harness.request(read(id, id))) else { continue };
         let outcome = if server == 3 { Outcome::Error } else { Outcome::Ok };
         taken += usize::from(server == 3);
-        for (id, server) in sends(&harness.end(id, 0, server, outcome)) {
+        for (id, server) in sent_attempts(&harness.end(id, 0, server, outcome)) {
             harness.end(id, 1, server, Outcome::Ok);
         }
     }
@@ -234,18 +234,21 @@
 #[test]
 fn retries_stop_when_everything_fails() {
     let mut harness = BalancerHarness::without_origin(6);
-    let (mut first, mut again) = (0, 0);
+    let (mut first_attempts, mut retries) = (0, 0);
     for id in 1..500 {
         let mut actions = harness.request(read(id, id));
-        first += sends(&actions).len();
+        first_attempts += sent_attempts(&actions).len();
         for attempt in 0..4 {
             let Some((_, server)) = sent(&actions) else { break };
             actions = harness.end(id, attempt, server, Outcome::Error);
-            again += sends(&actions).len();
+            retries += sent_attempts(&actions).len();
         }
         harness.now += 20.0;
     }
-    assert!(first > 100 && again <= 10 + 500 / 5, "{first} first tries, {again} retries");
+    assert!(
+        first_attempts > 100 && retries <= 10 + 500 / 5,
+        "{first_attempts} first tries, {retries} retries"
+    );
 }
 
 #[test]
@@ -271,31 +274,35 @@
     assert!(harness.event(Event::ClientGone(RequestId(4))).is_empty());
     harness.event(Event::Probed { backend: BackendId(5), answered: false, load_report: vec![f32::NAN] });
     harness.event(Event::PeerMessage { from: 9, payload: vec![1] });
-    assert!(finals(&harness.request(Request { class: 250, ..read(1, 1) })).len() == 1);
+    assert!(final_responses(&harness.request(Request { class: 250, ..read(1, 1) })).len() == 1);
     for (id, budget) in [(2, f64::NAN), (3, -5.0), (4, 0.0)] {
         let actions = harness.request(Request { budget: span(budget), ..read(id, 0) });
-        assert_eq!(finals(&actions).len() + finals(&harness.event(Event::Timer(1 << 60 | id))).len(), 1);
+        assert_eq!(
+            final_responses(&actions).len()
+                + final_responses(&harness.event(Event::Timer(1 << 60 | id))).len(),
+            1
+        );
     }
     let odd = EndpointInfo { weight: f32::NAN, started_at: time(f64::NAN), ..endpoint(2) };
     harness.event(Event::EndpointList { form: ListForm::Delta, endpoints: vec![odd] });
     assert!(sent(&harness.request(read(5, 0))).is_some());
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: vec![] });
     let arrival = harness.request(read(6, 5));
-    assert!(sends(&arrival).is_empty());
-    assert_eq!(finals(&harness.deadline(&arrival)).len(), 1);
+    assert!(sent_attempts(&arrival).is_empty());
+    assert_eq!(final_responses(&harness.fire_deadline(&arrival)).len(), 1);
 }
 
 #[test]
 fn the_key_table_is_bounded_and_forgets_the_least_recently_used() {
     let mut harness = BalancerHarness::without_origin(4);
     let (used, unused) = (400_001, 400_002);
-    harness.learns_that_keys_are_many();
+    harness.serve_many_keys();
     let sets = (grow_set(&mut harness, used), grow_set(&mut harness, unused));
     for key in 1..=66_000 {
         harness.now += 0.1;
-        harness.served(key, key);
+        harness.serve_read(key, key);
         if key % 1000 == 0 {
-            harness.served(300_000 + key, used);
+            harness.serve_read(300_000 + key, used);
         }
     }
     assert!(is_second_in_set(&mut harness, used, sets.0, 5_000_000));
@@ -312,16 +319,16 @@
         // Every second request is for the hot key.
         let hosts: Vec<BackendNumber> = (0..40)
             .map(|n| {
-                harness.served(1_000 + n, 1_000 + n);
-                harness.served(2_000 + n, 7)
+                harness.serve_read(1_000 + n, 1_000 + n);
+                harness.serve_read(2_000 + n, 7)
             })
             .collect();
         let last = hosts[39];
         assert!(hosts[20..].iter().filter(|host| **host == last).count() >= 18, "{hosts:?}");
         *by_server.entry(last).or_insert(0) += 1;
         // A key seen once among many is agreed upon.
-        harness.learns_that_keys_are_many();
-        cold_homes.insert(harness.served(9_000, 9_999_999));
+        harness.serve_many_keys();
+        cold_homes.insert(harness.serve_read(9_000, 9_999_999));
     }
     assert!(by_server.len() >= 7, "half of all requests are due five servers of ten: {by_server:?}");
     assert!(by_server.values().all(|n| *n <= 50), "{by_server:?}");
@@ -331,28 +338,28 @@
 #[test]
 fn a_backend_that_refuses_connections_is_ejected_longer_each_time() {
     let mut harness = BalancerHarness::without_origin(6);
-    let mut tries = vec![];
+    let mut attempt_times = vec![];
     for id in 1..6000 {
         harness.now += 10.0;
         let Some((_, server)) = sent(&harness.request(read(id, id))) else { continue };
         let outcome = if server == 3 { Outcome::ConnectFailed } else { Outcome::Ok };
         if server == 3 {
-            tries.push(harness.now);
+            attempt_times.push(harness.now);
         }
-        for (id, server) in sends(&harness.end(id, 0, server, outcome)) {
+        for (id, server) in sent_attempts(&harness.end(id, 0, server, outcome)) {
             assert_ne!(server, 3);
             harness.end(id, 1, server, Outcome::Ok);
         }
     }
-    assert!((2..=5).contains(&tries.len()), "{tries:?}");
-    assert!(tries[1] - tries[0] >= 3000.0);
+    assert!((2..=5).contains(&attempt_times.len()), "{attempt_times:?}");
+    assert!(attempt_times[1] - attempt_times[0] >= 3000.0);
 }
 
 #[test]
 fn when_backends_are_slow_for_a_proxy_s_only_request_it_admits_fewer_and_recovers() {
     // Each of hundreds of proxies has one request in flight, so that no limit can decrease further.
     let mut harness = BalancerHarness::numbered(0, 4);
-    let share = |harness: &mut BalancerHarness, from: RequestNumber, latency: Milliseconds| {
+    let count_sent = |harness: &mut BalancerHarness, from: RequestNumber, latency: Milliseconds| {
         let mut sent_now = 0;
         for id in from..from + 300 {
             harness.now += 200.0;
@@ -362,11 +369,11 @@
         }
         sent_now
     };
-    assert_eq!(share(&mut harness, 1, 10.0), 300);
-    let slow = share(&mut harness, 1_000, 390.0);
+    assert_eq!(count_sent(&mut harness, 1, 10.0), 300);
+    let slow = count_sent(&mut harness, 1_000, 390.0);
     assert!((5..60).contains(&slow), "{slow} of 300");
-    share(&mut harness, 2_000, 10.0);
-    assert!(share(&mut harness, 3_000, 10.0) > 290);
+    count_sent(&mut harness, 2_000, 10.0);
+    assert!(count_sent(&mut harness, 3_000, 10.0) > 290);
 }
 
 /// Guards against a limit decreased for what this proxy did not cause: a node that stands still
@@ -374,8 +381,8 @@
 #[test]
 fn a_node_that_rejects_one_of_few_requests_keeps_its_keys() {
     let mut harness = BalancerHarness::without_origin(6);
-    harness.learns_that_keys_are_many();
-    let home = harness.served(1, 5);
+    harness.serve_many_keys();
+    let home = harness.serve_read(1, 5);
     for id in 10..20 {
         harness.now += 200.0;
         assert_eq!(sent(&harness.request(read(id, 5))).unwrap().1, home);
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -9,10 +9,10 @@
 
 const FLEET_LIMITS: FleetLimits = FleetLimits { per_node: 24.0, origin: 12.0 };
 
-fn quota(harness: &BalancerHarness, part: f64, lasts: Milliseconds) -> Event {
+fn quota(harness: &BalancerHarness, part: f64, duration: Milliseconds) -> Event {
     Event::Quota(Quota {
         fraction: part,
-        expires_at: time(harness.now + lasts),
+        expires_at: time(harness.now + duration),
         guaranteed: 1.0 / 12.0,
         fleet_limits: FLEET_LIMITS,
     })
@@ -20,13 +20,13 @@
 
 /// How many of 40 reads of one key are sent at once; all of them are ended again.
 fn sent_at_once(harness: &mut BalancerHarness, from: RequestNumber) -> usize {
-    let sends: Vec<(RequestNumber, BackendNumber)> =
+    let attempts: Vec<(RequestNumber, BackendNumber)> =
         (from..from + 40).filter_map(|id| sent(&harness.request(read(id, 7)))).collect();
-    let count = sends.len();
+    let count = attempts.len();
     for id in from..from + 40 {
         harness.event(Event::ClientGone(RequestId(id)));
     }
-    for (id, server) in sends {
+    for (id, server) in attempts {
         harness.end(id, 0, server, Outcome::Moot);
     }
     count
@@ -72,8 +72,8 @@
 }
 
 /// Actions as text, in the form in which the checksums below were recorded.
-fn recorded(actions: &[Action]) -> String {
-    let words = |action: &Action| match action {
+fn format_actions(actions: &[Action]) -> String {
+    let format_action = |action: &Action| match action {
         Action::StartAttempt { request, backend, timeout, send_within } => {
             let (timeout, send_within) = (timeout.as_ms(), send_within.as_ms());
             format!("Send({request}, {backend}, {timeout:?}, {send_within:?})")
@@ -88,15 +88,15 @@
         }
         Action::Subscribe => "Subscribe".to_owned(),
     };
-    format!("[{}]", actions.iter().map(words).collect::<Vec<_>>().join(", "))
+    format!("[{}]", actions.iter().map(format_action).collect::<Vec<_>>().join(", "))
 }
 
 /// All that is decided in a long run of events from a seed, as a checksum.
-fn decided(with_origin: bool, seed: u64) -> u32 {
+fn decisions_checksum(with_origin: bool, seed: u64) -> u32 {
     let mut harness =
         if with_origin { BalancerHarness::with_origin(6) } else { BalancerHarness::without_origin(6) };
     let mut rng = SmallRng::seed_from_u64(seed);
-    let (mut out, mut timers, mut sum) = (Vec::new(), Vec::new(), 0);
+    let (mut in_flight, mut timers, mut checksum) = (Vec::new(), Vec::new(), 0);
     for id in 1..4_000 {
         harness.now += rng.gen_range(0.0..8.0);
         let event = match rng.gen_range(0..10) {
@@ -113,8 +113,8 @@
                     ..endpoint(rng.gen_range(1..7))
                 }],
             },
-            _ if !out.is_empty() => {
-                let (id, backend, attempt) = out.swap_remove(rng.gen_range(0..out.len()));
+            _ if !in_flight.is_empty() => {
+                let (id, backend, attempt) = in_flight.swap_remove(rng.gen_range(0..in_flight.len()));
                 let outcomes =
                     [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Miss, Outcome::Full, Outcome::Timeout];
                 let outcome = outcomes[rng.gen_range(0..outcomes.len())];
@@ -138,23 +138,24 @@
             match action {
                 Action::StartAttempt { request: id, backend: server, .. } => {
                     let attempt =
-                        out.iter().filter(|one: &&(RequestId, BackendId, u8)| one.0 == *id).count() as u8;
-                    out.push((*id, *server, attempt));
+                        in_flight.iter().filter(|one: &&(RequestId, BackendId, u8)| one.0 == *id).count()
+                            as u8;
+                    in_flight.push((*id, *server, attempt));
                 }
                 Action::SetTimer { token, .. } | Action::SetRequestTimer { token, .. } => timers.push(*token),
                 _ => {}
             }
         }
-        sum = crc32c::crc32c_append(sum, recorded(&actions).as_bytes());
+        checksum = crc32c::crc32c_append(checksum, format_actions(&actions).as_bytes());
     }
-    sum
+    checksum
 }
 
 /// Without a quota every decision is as before there were quotas: the checksums are those of the
 /// module before them. A change that is meant to change decisions records the new checksums here.
 #[test]
 fn without_a_quota_every_decision_is_as_recorded() {
-    let sums =
-        [(false, 1), (false, 2), (true, 1), (true, 2)].map(|(with_origin, seed)| decided(with_origin, seed));
-    assert_eq!(sums, [1_694_768_337, 895_297_682, 3_059_853_639, 1_895_939_065]);
+    let checksums = [(false, 1), (false, 2), (true, 1), (true, 2)]
+        .map(|(with_origin, seed)| decisions_checksum(with_origin, seed));
+    assert_eq!(checksums, [1_694_768_337, 895_297_682, 3_059_853_639, 1_895_939_065]);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -22,17 +22,17 @@
             for step in order {
                 let actions = match step {
                     0 => harness.end(1, 0, server, outcome),
-                    1 => harness.deadline(&arrival),
+                    1 => harness.fire_deadline(&arrival),
                     _ => harness.event(Event::ClientGone(RequestId(1))),
                 };
                 if is_over {
                     assert!(
-                        sends(&actions).is_empty() && finals(&actions).is_empty(),
+                        sent_attempts(&actions).is_empty() && final_responses(&actions).is_empty(),
                         "{outcome:?} {order:?}"
                     );
                 }
-                responses +=
-                    finals(&actions).len() + usize::from(step == 0 && !is_over && outcome == Outcome::Ok);
+                responses += final_responses(&actions).len()
+                    + usize::from(step == 0 && !is_over && outcome == Outcome::Ok);
                 is_over |= responses > 0 || step == 2;
             }
             assert!(responses <= 1, "{outcome:?} {order:?}");
@@ -47,9 +47,9 @@
 fn the_deadline_ends_a_queued_request_once() {
     let mut harness = BalancerHarness::with_origin(0);
     let arrival = harness.request(read(1, 5));
-    assert!(sends(&arrival).is_empty());
-    assert_eq!(finals(&harness.deadline(&arrival)).len(), 1);
-    assert!(harness.deadline(&arrival).is_empty());
+    assert!(sent_attempts(&arrival).is_empty());
+    assert_eq!(final_responses(&harness.fire_deadline(&arrival)).len(), 1);
+    assert!(harness.fire_deadline(&arrival).is_empty());
 }
 
 #[test]
@@ -64,7 +64,7 @@
                 let actions = harness.end(1, 0, first, outcome);
                 let context = format!("{class} {outcome:?} late {late}: {actions:?}");
                 let is_safe = never_executed(outcome) || class == SAFE;
-                for (_, server) in sends(&actions) {
+                for (_, server) in sent_attempts(&actions) {
                     let (a, b) = (endpoint(first), endpoint(server));
                     let deduplicated = match class {
                         KEYED_ALL => true,
@@ -77,10 +77,10 @@
                 let is_rejected = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
                 assert!(!is_rejected || is_safe || (class == KEYED_ALL && !late), "{context}");
                 if is_safe {
-                    assert_eq!(sends(&actions).len(), 1, "{context}");
+                    assert_eq!(sent_attempts(&actions).len(), 1, "{context}");
                 }
                 if class == UNSAFE && !is_safe {
-                    assert_eq!(finals(&actions), vec![&unsafe_to_repeat(1)], "{context}");
+                    assert_eq!(final_responses(&actions), vec![&unsafe_to_repeat(1)], "{context}");
                 }
             }
         }
@@ -92,10 +92,10 @@
     for (class, is_rejected) in [(SAFE, true), (KEYED_ALL, false), (KEYED_ZONE, false), (UNSAFE, false)] {
         let mut harness = BalancerHarness::without_origin(4);
         let arrival = harness.request(Request { class, ..read(1, 5) });
-        let end = harness.deadline(&arrival);
+        let end = harness.fire_deadline(&arrival);
         // The deadline at 800 ms is after the deduplication window of 300 ms: only idempotent
         // requests may be rejected.
-        assert_eq!(matches!(finals(&end)[0], Action::Reject { .. }), is_rejected, "{class}");
+        assert_eq!(matches!(final_responses(&end)[0], Action::Reject { .. }), is_rejected, "{class}");
     }
 }
 
@@ -111,7 +111,7 @@
     let mut harness = BalancerHarness::without_origin(9);
     for id in 100..110 {
         // These requests deposit enough in the retry budget for a few retries.
-        assert_ne!(harness.served(id, id), 0);
+        assert_ne!(harness.serve_read(id, id), 0);
     }
     let (mut actions, mut attempts) = (harness.request(read(1, 5)), 0);
     while let Some((_, server)) = sent(&actions) {
@@ -119,12 +119,12 @@
         attempts += 1;
     }
     assert_eq!(attempts, 4);
-    assert_eq!(finals(&actions).len(), 1);
+    assert_eq!(final_responses(&actions).len(), 1);
 }
 
 fn assert_avoids(harness: &mut BalancerHarness, avoided: BackendNumber) {
     for key in 1..200 {
-        assert_ne!(harness.served(10_000 + key, key), avoided);
+        assert_ne!(harness.serve_read(10_000 + key, key), avoided);
     }
 }
 
@@ -133,7 +133,7 @@
     for state in [EndpointState::Draining, EndpointState::Gone] {
         let mut harness = BalancerHarness::without_origin(4);
         for key in 1..200 {
-            assert_ne!(harness.served(key, key), 0);
+            assert_ne!(harness.serve_read(key, key), 0);
         }
         harness.event(Event::EndpointList {
             form: ListForm::Delta,
@@ -148,7 +148,7 @@
     for form in [ListForm::Full, ListForm::Cached] {
         let mut harness = BalancerHarness::without_origin(4);
         for key in 1..200 {
-            assert_ne!(harness.served(key, key), 0);
+            assert_ne!(harness.serve_read(key, key), 0);
         }
         harness.event(Event::EndpointList { form, endpoints: [1, 3, 4].map(endpoint).to_vec() });
         assert_avoids(&mut harness, 2);
@@ -175,13 +175,13 @@
     let mut harness = BalancerHarness::with_origin(2);
     let (_, server) = sent(&harness.request(read(1, 5))).unwrap();
     harness.end(1, 0, server, Outcome::Miss);
-    assert!(sends(&harness.request(read(2, 5))).is_empty(), "the request waits for the fetch");
+    assert!(sent_attempts(&harness.request(read(2, 5))).is_empty(), "the request waits for the fetch");
     harness.event(Event::EndpointList {
         form: ListForm::Delta,
         endpoints: vec![EndpointInfo { state: EndpointState::Draining, ..endpoint(server) }],
     });
     let actions = harness.end(1, 1, ORIGIN, Outcome::Ok);
-    assert!(sends(&actions).iter().all(|(_, to)| *to != server), "{actions:?}");
+    assert!(sent_attempts(&actions).iter().all(|(_, to)| *to != server), "{actions:?}");
 }
 
 /// Sends steady traffic for 1.5 s, where attempts at backend 9 end with `outcome`. Returns the work
@@ -263,7 +263,7 @@
     let started = harness.now;
     let cold = |id| EndpointInfo { started_at: time(started), ..endpoint(id) };
     harness.event(Event::EndpointList { form: ListForm::Full, endpoints: (1..=3).map(cold).collect() });
-    let burst: usize = (1..50).map(|id| sends(&harness.request(read(id, id))).len()).sum();
+    let burst: usize = (1..50).map(|id| sent_attempts(&harness.request(read(id, id))).len()).sum();
     // The fraction of keys that are sent is half of the overload multiple 3 times the start
     // capacity 0.2. All other requests are queued.
     assert!((1..=24).contains(&burst), "{burst} of 49 requests sent, expected about 15");
@@ -284,7 +284,7 @@
         let fetch = harness.end(id, 0, server, Outcome::Miss);
         all += 1;
         from_cold += usize::from(server == 9);
-        for (id, to) in sends(&fetch) {
+        for (id, to) in sent_attempts(&fetch) {
             harness.end(id, 1, to, Outcome::Ok);
         }
     }
