--- a/tests/common/recorded_events.rs
+++ b/tests/common/recorded_events.rs
@@ -70,7 +70,12 @@
         self.record(at, HistoryEvent::EndpointsListed { proxy: proxy.to_owned(), is_complete, nodes });
     }
 
-    pub(crate) fn record_response(&mut self, at: Milliseconds, request: &str, answer: checker::ResponseOutcome) {
+    pub(crate) fn record_response(
+        &mut self,
+        at: Milliseconds,
+        request: &str,
+        answer: checker::ResponseOutcome,
+    ) {
         self.record(at, HistoryEvent::ResponseReceived { request: request.to_owned(), outcome: answer });
     }
 
--- a/tests/fleet/drift.rs
+++ b/tests/fleet/drift.rs
@@ -1,6 +1,6 @@
 //! Drift: the active policy of each real process compared with the approved one, under faults.
 
-use crate::policy::{governed, has};
+use crate::policy::{all_have_version, fleet_with_policy};
 use pinetrail_test_harness::fleet::Fleet;
 use pinetrail_test_harness::policy::{get_json, settings};
 use pinetrail_test_harness::send_to_admin;
@@ -8,64 +8,64 @@
 
 /// The state of one member as another reports it, and the parts that differ.
 fn reported_state(fleet: &Fleet, by: usize, member: usize) -> (String, Vec<String>) {
-    let drift = get_json(fleet.process(by).admin_address, "/control/drift");
+    let report = get_json(fleet.process(by).admin_address, "/control/drift");
     let node =
-        drift["nodes"].as_array().into_iter().flatten().find(|node| node["name"] == Fleet::name(member));
+        report["nodes"].as_array().into_iter().flatten().find(|node| node["name"] == Fleet::name(member));
     let parts = node.and_then(|node| node["parts"].as_array()).into_iter().flatten();
     let state = node.and_then(|node| node["state"].as_str()).unwrap_or_default().to_owned();
     (state, parts.filter_map(|part| Some(part.as_str()?.to_owned())).collect())
 }
 
-fn all_report(fleet: &Fleet, member: usize, state: &str) -> bool {
+fn all_report_state(fleet: &Fleet, member: usize, state: &str) -> bool {
     (0..4).filter(|by| fleet.is_running(*by)).all(|by| reported_state(fleet, by, member).0 == state)
 }
 
 /// The alarms that members raised about one.
-fn alarms(fleet: &Fleet, member: usize) -> usize {
+fn alarm_count(fleet: &Fleet, member: usize) -> usize {
     let prefix = format!("ALARM: policy: {} ", Fleet::name(member));
     fleet.timeline.to_string().lines().filter(|line| line.contains(&prefix)).count()
 }
 
 /// A fleet in which member 3 applies the settings of its file at SIGHUP, for emergencies.
 fn fleet_with_local_member() -> Fleet {
-    let mut fleet = governed(4, 3);
+    let mut fleet = fleet_with_policy(4, 3);
     fleet.kill(3);
     let mut local = fleet.config(3, &[0, 1, 2]);
     local["fleet"]["policy"]["local"] = json!(true);
     fleet.set_config(3, &local);
     fleet.start(3);
-    fleet.wait_until("all have the first version", |fleet| has(fleet, &[0, 1, 2, 3], 1));
+    fleet.wait_until("all have the first version", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 1));
     fleet.wait_until("all report that all have it", |fleet| {
-        (0..4).all(|member| all_report(fleet, member, "same"))
+        (0..4).all(|member| all_report_state(fleet, member, "same"))
     });
     fleet
 }
 
 /// Gives member 3 other settings than the fleet's.
-fn drift(fleet: &mut Fleet) {
-    let mut other = fleet.config(3, &[0, 1, 2]);
-    other["fleet"]["policy"]["local"] = json!(true);
-    other["listen"] = json!(fleet.process(3).client_address.to_string());
-    other["settings"] = settings(fleet, 2);
-    fleet.set_config(3, &other);
+fn apply_local_settings(fleet: &mut Fleet) {
+    let mut config = fleet.config(3, &[0, 1, 2]);
+    config["fleet"]["policy"]["local"] = json!(true);
+    config["listen"] = json!(fleet.process(3).client_address.to_string());
+    config["settings"] = settings(fleet, 2);
+    fleet.set_config(3, &config);
     fleet.process(3).signal("HUP");
 }
 
 #[test]
 fn a_local_change_is_reported_by_every_member_with_one_alarm_and_can_be_undone() {
     let mut fleet = fleet_with_local_member();
-    drift(&mut fleet);
-    fleet.wait_until("every admin server shows it", |fleet| all_report(fleet, 3, "differs"));
+    apply_local_settings(&mut fleet);
+    fleet.wait_until("every admin server shows it", |fleet| all_report_state(fleet, 3, "differs"));
     assert_eq!(reported_state(&fleet, 0, 3).1, ["Grades"], "and in what");
-    fleet.wait_until("there is an alarm", |fleet| alarms(fleet, 3) > 0);
+    fleet.wait_until("there is an alarm", |fleet| alarm_count(fleet, 3) > 0);
     std::thread::sleep(crate::ms(1000));
-    assert_eq!(alarms(&fleet, 3), 1, "one, by one of them\n{}", fleet.timeline);
+    assert_eq!(alarm_count(&fleet, 3), 1, "one, by one of them\n{}", fleet.timeline);
     let (status, _) = send_to_admin(
         fleet.process(3).admin_address,
         "POST /control/policy/restore HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n",
     );
     assert_eq!(status, 200);
-    fleet.wait_until("all have it again", |fleet| all_report(fleet, 3, "same"));
+    fleet.wait_until("all have it again", |fleet| all_report_state(fleet, 3, "same"));
     assert!(fleet.client(3).get("k", "a1", 1000).0.starts_with("VA "), "and serve by it");
 }
 
@@ -77,9 +77,9 @@
     fleet.wait_until("it knows", |fleet| {
         reported_state(fleet, 3, 3).0 == "fenced" && reported_state(fleet, 3, 0).0 == "silent"
     });
-    assert_eq!(alarms(&fleet, 3), 0, "silence is no drift");
+    assert_eq!(alarm_count(&fleet, 3), 0, "silence is no drift");
     fleet.datagram_faults.change_all_paths(|path| path.partitioned = false);
-    fleet.wait_until("all are well", |fleet| (0..4).all(|member| all_report(fleet, member, "same")));
+    fleet.wait_until("all are well", |fleet| (0..4).all(|member| all_report_state(fleet, member, "same")));
 }
 
 #[test]
@@ -95,15 +95,15 @@
     let first = leader(&fleet).unwrap();
     fleet.kill(first);
     // There is no leader when the drift begins.
-    drift(&mut fleet);
-    fleet.wait_until("there is an alarm", |fleet| alarms(fleet, 3) > 0);
+    apply_local_settings(&mut fleet);
+    fleet.wait_until("there is an alarm", |fleet| alarm_count(fleet, 3) > 0);
     std::thread::sleep(crate::ms(800));
-    assert_eq!(alarms(&fleet, 3), 1);
+    assert_eq!(alarm_count(&fleet, 3), 1);
     // The next leader knows that the alarm was raised.
     let second = leader(&fleet).unwrap();
     fleet.kill(second);
     fleet.start(first);
     fleet.wait_until("there is a third", |fleet| leader(fleet).is_some_and(|third| third != second));
     std::thread::sleep(crate::ms(1000));
-    assert_eq!(alarms(&fleet, 3), 1, "{}", fleet.timeline);
+    assert_eq!(alarm_count(&fleet, 3), 1, "{}", fleet.timeline);
 }
--- a/tests/fleet/faults.rs
+++ b/tests/fleet/faults.rs
@@ -1,7 +1,7 @@
 //! The hard cases of a membership, with real processes. `crates/membership/tests/hard_cases` has
 //! the same in simulated time, over many seeds.
 
-use crate::{failures, joined_fleet, ms, nodes, origin, ALL};
+use crate::{failure_report_count, joined_fleet, ms, nodes, origin, ALL};
 use pinetrail_test_harness::fleet::{Fleet, Options};
 use pinetrail_test_harness::script::Script;
 use std::collections::BTreeSet;
@@ -13,9 +13,9 @@
     let mut fleet = joined_fleet(Options::with_members(5));
     assert!(ALL.iter().all(|member| fleet.report(*member).unwrap().side == "whole"));
     fleet.kill(3);
-    let knows =
+    let reported =
         |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names_in_state("failed") == ["n3"];
-    fleet.wait_until("all know", |fleet| [0, 1, 2, 4].iter().all(|member| knows(fleet, *member)));
+    fleet.wait_until("all know", |fleet| [0, 1, 2, 4].iter().all(|member| reported(fleet, *member)));
     assert_eq!(fleet.report(0).unwrap().side, "majority");
     fleet.start(3);
     fleet.wait_until("it is back", |fleet| fleet.all_agree(&ALL));
@@ -29,11 +29,11 @@
     fleet.partition(&[&[0], &[1, 2]]);
     // Datagrams in flight are lost as well.
     let paths = [(0, 1), (0, 2), (1, 0), (2, 0)];
-    let passed = || paths.map(|(from, to)| fleet.datagram_faults.counts(from, to).delivered);
-    let before = passed();
+    let delivered_counts = || paths.map(|(from, to)| fleet.datagram_faults.counts(from, to).delivered);
+    let before = delivered_counts();
     let is_alone = |fleet: &Fleet| fleet.report(0).unwrap().side == "alone";
     fleet.wait_until("it is alone", is_alone);
-    assert_eq!(passed(), before);
+    assert_eq!(delivered_counts(), before);
     assert!(
         paths.iter().all(|(from, to)| fleet.datagram_faults.counts(*from, *to).lost > 0),
         "the probes continued"
@@ -61,7 +61,7 @@
         sleep(ms(150));
     }
     fleet.wait_until("no member suspects it", |fleet| fleet.all_agree(&ALL));
-    assert_eq!(failures(&fleet), 0, "{}", fleet.timeline);
+    assert_eq!(failure_report_count(&fleet), 0, "{}", fleet.timeline);
 }
 
 /// A process that resumes must not interpret its own pause as the failure of others: it is stopped
@@ -69,22 +69,22 @@
 #[test]
 fn a_member_stopped_for_10_s_rejoins_and_declares_no_other_failed() {
     let fleet = joined_fleet(Options::with_members(5));
-    let begun = fleet.timeline.elapsed_ms();
+    let started_ms = fleet.timeline.elapsed_ms();
     fleet.process(0).signal("STOP");
     fleet.wait_until("it suspects one", |fleet| {
-        fleet.timeline.first_match("n2", "alive -> suspect", begun).is_some()
+        fleet.timeline.first_match("n2", "alive -> suspect", started_ms).is_some()
     });
     fleet.process(2).signal("STOP");
     fleet.process(0).signal("CONT");
-    let knows =
+    let reported =
         |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names_in_state("failed") == ["n2"];
-    fleet.wait_until("the others know", |fleet| [0, 1, 3, 4].iter().all(|member| knows(fleet, *member)));
+    fleet.wait_until("the others know", |fleet| [0, 1, 3, 4].iter().all(|member| reported(fleet, *member)));
     sleep(ms(7_500));
-    let resumed = fleet.timeline.elapsed_ms();
+    let resumed_ms = fleet.timeline.elapsed_ms();
     fleet.process(2).signal("CONT");
     fleet.wait_until("it is back", |fleet| fleet.all_agree(&ALL));
-    assert!(fleet.timeline.first_match("n2", "did not run for", resumed).is_some());
-    assert!(fleet.timeline.first_match("n2", "-> failed", resumed).is_none(), "{}", fleet.timeline);
+    assert!(fleet.timeline.first_match("n2", "did not run for", resumed_ms).is_some());
+    assert!(fleet.timeline.first_match("n2", "-> failed", resumed_ms).is_none(), "{}", fleet.timeline);
 }
 
 /// Indirect probes by other members keep a path that is cut in one direction from causing
@@ -92,12 +92,12 @@
 #[test]
 fn a_path_partitioned_in_one_direction_fails_no_member() {
     let fleet = joined_fleet(Options::with_members(5));
-    let begun = fleet.timeline.elapsed_ms();
+    let started_ms = fleet.timeline.elapsed_ms();
     fleet.datagram_faults.change_path(0, 1, |path| path.partitioned = true);
     sleep(ms(10_000));
-    assert_eq!(failures(&fleet), 0, "{}", fleet.timeline);
+    assert_eq!(failure_report_count(&fleet), 0, "{}", fleet.timeline);
     assert!(fleet.datagram_faults.counts(0, 1).lost > 0);
-    let suspected = fleet.timeline.count_matches("n0", "alive -> suspect", begun);
+    let suspected = fleet.timeline.count_matches("n0", "alive -> suspect", started_ms);
     assert!(suspected <= 2, "{}", fleet.timeline);
 }
 
@@ -120,11 +120,11 @@
         fleet.start(member);
     }
     fleet.wait_until("both sides are as before", |fleet| sides(fleet) == split);
-    let healed = fleet.timeline.elapsed_ms();
+    let healed_ms = fleet.timeline.elapsed_ms();
     fleet.datagram_faults.change_all_paths(|path| path.partitioned = false);
     fleet.wait_until("they are one again", |fleet| fleet.all_agree(&ALL) && sides(fleet) == ["whole"; 5]);
     assert!(
-        fleet.timeline.first_match("harness", "start", healed).is_none(),
+        fleet.timeline.first_match("harness", "start", healed_ms).is_none(),
         "no member was started for that"
     );
 }
@@ -163,7 +163,7 @@
         path.max_delay = ms(40);
     });
     sleep(ms(12_000));
-    assert_eq!(failures(&fleet), 0, "{}", fleet.timeline);
+    assert_eq!(failure_report_count(&fleet), 0, "{}", fleet.timeline);
 }
 
 #[test]
@@ -180,15 +180,15 @@
     moved["name"] = "n2".into();
     fleet.set_config(3, &moved);
     fleet.start(3);
-    let there = |fleet: &Fleet| {
+    let is_at_new_address = |fleet: &Fleet| {
         [0, 1, 3].iter().all(|member| {
             let report = fleet.report(*member).unwrap();
             report.members["n2"].is_alive_at(fleet.advertised_address(3)) && report.members.len() == 3
         })
     };
-    fleet.wait_until("the others know its new address", there);
+    fleet.wait_until("the others know its new address", is_at_new_address);
     sleep(ms(3_000));
-    assert!(there(&fleet));
+    assert!(is_at_new_address(&fleet));
     assert_eq!(fleet.report(0).unwrap().side, "whole");
 }
 
@@ -196,7 +196,7 @@
 #[test]
 fn a_flood_of_malformed_datagrams_delays_no_client() {
     let fleet = joined_fleet(Options::with_members(3));
-    let (to, begun) = (fleet.member_address(0), fleet.timeline.elapsed_ms());
+    let (to, started_ms) = (fleet.member_address(0), fleet.timeline.elapsed_ms());
     let flood = std::thread::spawn(move || {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         for n in 0..60_000u32 {
@@ -213,17 +213,17 @@
     }
     flood.join().unwrap();
     fleet.wait_until("no member suspects another", |fleet| fleet.all_agree(&[0, 1, 2]));
-    assert!(fleet.timeline.first_match("n0", "-> failed", begun).is_none());
+    assert!(fleet.timeline.first_match("n0", "-> failed", started_ms).is_none());
     let mut stats = fleet.client(0);
     stats.send("stats\r\n");
     let lines: Vec<String> =
         std::iter::from_fn(|| Some(stats.read_line()).filter(|line| line != "END\r\n")).collect();
-    let of = |name: &str| {
+    let counter = |name: &str| {
         let line = lines.iter().find_map(|line| line.strip_prefix(&format!("STAT {name} "))).unwrap();
         line.trim().parse::<u64>().unwrap()
     };
-    assert!(of("fleet_dropped_spoilt") > 1_000);
-    assert_eq!(of("panics"), 0);
+    assert!(counter("fleet_dropped_spoilt") > 1_000);
+    assert_eq!(counter("panics"), 0);
 }
 
 #[test]
@@ -233,20 +233,20 @@
         fleet.start(member);
     }
     // Its only configured peer does not exist.
-    let lost = fleet.config(3, &[]);
-    let mut wrong = lost.clone();
-    wrong["fleet"]["peers"] = serde_json::json!(["127.0.0.1:9"]);
-    fleet.set_config(3, &wrong);
+    let isolated = fleet.config(3, &[]);
+    let mut absent_peer = isolated.clone();
+    absent_peer["fleet"]["peers"] = serde_json::json!(["127.0.0.1:9"]);
+    fleet.set_config(3, &absent_peer);
     fleet.start(3);
     assert_eq!(fleet.report(3).unwrap().side, "alone");
     // Invalid peers change nothing; valid ones are contacted at once.
-    let mut newer = fleet.config(3, &[1]);
+    let mut reloaded = fleet.config(3, &[1]);
     for (peers, side) in [
         (serde_json::json!([fleet.advertised_address(3).to_string()]), "alone"),
-        (newer["fleet"]["peers"].clone(), "whole"),
+        (reloaded["fleet"]["peers"].clone(), "whole"),
     ] {
-        newer["fleet"]["peers"] = peers;
-        fleet.set_config(3, &newer);
+        reloaded["fleet"]["peers"] = peers;
+        fleet.set_config(3, &reloaded);
         fleet.process(3).signal("HUP");
         fleet.wait_until("the reload shows", |fleet| {
             let log = fleet.timeline.to_string();
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -36,6 +36,6 @@
 }
 
 /// How often members reported others as failed.
-fn failures(fleet: &Fleet) -> usize {
+fn failure_report_count(fleet: &Fleet) -> usize {
     fleet.timeline.to_string().lines().filter(|line| line.contains("-> failed")).count()
 }
--- a/tests/fleet/off.rs
+++ b/tests/fleet/off.rs
@@ -13,7 +13,7 @@
 }
 
 /// How many of them are UDP sockets.
-fn datagram_sockets(id: u32) -> usize {
+fn datagram_socket_count(id: u32) -> usize {
     let table = std::fs::read_to_string("/proc/net/udp").unwrap();
     let inodes: BTreeSet<String> = table
         .lines()
@@ -23,7 +23,7 @@
     descriptors(id).iter().filter(|descriptor| inodes.contains(*descriptor)).count()
 }
 
-fn threads(id: u32) -> usize {
+fn thread_count(id: u32) -> usize {
     std::fs::read_dir(format!("/proc/{id}/task")).unwrap().count()
 }
 
@@ -44,9 +44,9 @@
         fleet.is_running(0) && counts == [off, on].map(|id| descriptors(id).len())
     };
     fleet.wait_until("connections to discovery and the admin server have settled", settled);
-    assert_eq!((datagram_sockets(off), datagram_sockets(on)), (0, 1));
+    assert_eq!((datagram_socket_count(off), datagram_socket_count(on)), (0, 1));
     assert_eq!(descriptors(on).len(), descriptors(off).len() + 1);
-    assert_eq!(threads(on), threads(off));
+    assert_eq!(thread_count(on), thread_count(off));
     assert_eq!(call_admin(fleet.process(0).admin_address, "GET", "/control/fleet").0, 404);
     let stats = |member: usize| {
         let mut client = fleet.client(member);
@@ -100,18 +100,21 @@
             "size",
         ),
     ];
-    for (config, names) in bad {
+    for (config, expected_text) in bad {
         let output = wait_for_exit(start_proxy(&config.to_string()));
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!((output.status.code(), log.lines().count()), (Some(2), 1), "{log}");
-        assert!(log.starts_with("pinetrail: cannot start: ") && log.contains(names), "{names}: {log}");
+        assert!(
+            log.starts_with("pinetrail: cannot start: ") && log.contains(expected_text),
+            "{expected_text}: {log}"
+        );
     }
     // An address in use.
-    let taken = std::net::UdpSocket::bind(fleet.member_address(0)).unwrap();
+    let occupied_socket = std::net::UdpSocket::bind(fleet.member_address(0)).unwrap();
     let output = wait_for_exit(start_proxy(&good.to_string()));
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("fleet at "));
-    drop(taken);
+    drop(occupied_socket);
 }
 
 /// The example in the repository is a valid configuration.
--- a/tests/fleet/operators.rs
+++ b/tests/fleet/operators.rs
@@ -44,18 +44,18 @@
         fleet.start(member);
     }
     fleet.wait_until("all have joined", |fleet| fleet.all_agree(&[0, 1, 2]));
-    let mut twin = fleet.config(3, &[0, 1]);
-    twin["name"] = "n2".into();
-    fleet.set_config(3, &twin);
+    let mut duplicate = fleet.config(3, &[0, 1]);
+    duplicate["name"] = "n2".into();
+    fleet.set_config(3, &duplicate);
     fleet.start(3);
-    let both_log_it = |fleet: &Fleet| {
+    let both_report_it = |fleet: &Fleet| {
         let rival = |member: usize| fleet.report(member).unwrap().json["rival"].clone();
         rival(2)["address"] == fleet.advertised_address(3).to_string()
             && rival(2)["counts"] == true
             && rival(3)["address"] == fleet.advertised_address(2).to_string()
             && rival(3)["counts"] == false
     };
-    fleet.wait_until("both log it", both_log_it);
+    fleet.wait_until("both log it", both_report_it);
     assert!(fleet.timeline.first_match("n2", "ERROR: another process", 0).is_some());
     assert!(fleet.timeline.first_match("n3", "ERROR: another process", 0).is_some());
     assert_eq!(fleet.report(2).unwrap().side, "alone");
--- a/tests/fleet/policy/configuration.rs
+++ b/tests/fleet/policy/configuration.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn sighup_compares_with_the_policy_and_applies_nothing() {
-    let (mut fleet, clients) = under_load(4, 3);
+    let (mut fleet, clients) = fleet_under_load(4, 3);
     let mut other = fleet.config(2, &[0, 1, 3]);
     other["settings"] = settings(&fleet, 2);
     other["listen"] = json!(fleet.process(2).client_address.to_string());
@@ -23,16 +23,16 @@
 fn sighup_during_the_catch_up_is_handled_after_it() {
     let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
     let mut fleet = Fleet::new(options, nodes(), origin());
-    let waiting = fleet.start_process(0);
+    let starting_process = fleet.start_process(0);
     fleet.wait_until("it has started", |fleet| fleet.timeline.first_match("n0", " call ", 0).is_some());
     std::thread::sleep(ms(300));
-    waiting.signal("HUP");
+    starting_process.signal("HUP");
     std::thread::sleep(ms(300));
     let is_reloaded = |fleet: &Fleet| fleet.timeline.first_match("n0", "reload: ", 0).is_some();
     assert!(!is_reloaded(&fleet), "it waits for a majority");
 
     fleet.start_together(&[1, 2]);
-    let _ready = fleet.wait_until_ready(0, waiting);
+    let _ready = fleet.wait_until_ready(0, starting_process);
 
     fleet.wait_until("the reload is handled", is_reloaded);
 }
@@ -68,12 +68,12 @@
         (with(&|fleet| fleet["polcy"] = json!({})), "polcy"),
         (with(&|fleet| fleet["size"] = json!(200)), "limits.sockets"),
     ];
-    for (config, names) in bad {
+    for (config, expected_text) in bad {
         let output =
             pinetrail_test_harness::wait_for_exit(pinetrail_test_harness::start_proxy(&config.to_string()));
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!((output.status.code(), log.lines().count()), (Some(2), 1), "{log}");
-        assert!(log.contains(names), "{names}: {log}");
+        assert!(log.contains(expected_text), "{expected_text}: {log}");
     }
 }
 
@@ -127,5 +127,5 @@
         fleet.set_config(member, &config);
     }
     fleet.start_together(&[0, 1, 2]);
-    fleet.wait_until("they agree", |fleet| has(fleet, &[0, 1, 2], 1));
+    fleet.wait_until("they agree", |fleet| all_have_version(fleet, &[0, 1, 2], 1));
 }
--- a/tests/fleet/policy/storage.rs
+++ b/tests/fleet/policy/storage.rs
@@ -4,22 +4,22 @@
 
 #[test]
 fn a_fleet_killed_after_the_commit_restarts_with_the_new_version() {
-    let (mut fleet, clients) = under_load(4, 3);
+    let (mut fleet, clients) = fleet_under_load(4, 3);
     propose_second(&fleet, 3);
-    ends(&fleet, 3, "taken");
+    wait_for_outcome(&fleet, 3, "taken");
     clients.check();
     for member in 0..4 {
         fleet.kill(member);
     }
     fleet.start_together(&[0, 1, 2, 3]);
-    fleet.wait_until("the version is active", |fleet| has(fleet, &[0, 1, 2, 3], 2));
+    fleet.wait_until("the version is active", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
 }
 
 #[test]
 fn a_voter_with_a_lost_or_corrupt_disk_votes_again_and_knows_the_committed_version() {
-    let (mut fleet, clients) = under_load(4, 3);
+    let (mut fleet, clients) = fleet_under_load(4, 3);
     propose_second(&fleet, 3);
-    ends(&fleet, 3, "taken");
+    wait_for_outcome(&fleet, 3, "taken");
     for lost in [true, false] {
         fleet.kill(1);
         let killed_at = fleet.timeline.elapsed_ms();
@@ -33,27 +33,27 @@
         fleet.wait_until("it votes", |fleet| {
             fleet.timeline.first_match("n1", "this founder votes", killed_at).is_some()
         });
-        fleet.wait_until("it has the version", |fleet| has(fleet, &[1], 2));
+        fleet.wait_until("it has the version", |fleet| all_have_version(fleet, &[1], 2));
     }
-    let aside = std::fs::read_dir(fleet.state_dir(1)).unwrap();
-    assert!(aside.flatten().any(|file| file.file_name().to_string_lossy().starts_with("rulebook.torn-")));
+    let files = std::fs::read_dir(fleet.state_dir(1)).unwrap();
+    assert!(files.flatten().any(|file| file.file_name().to_string_lossy().starts_with("rulebook.torn-")));
     // The third version, which follows, looks like the first to these clients.
     clients.check();
     // Without the other voter its vote is needed.
     fleet.kill(0);
-    let (status, answer) = propose(fleet.process(3).admin_address, "y", 2, &settings(&fleet, 1));
-    assert_eq!(status, 202, "{answer}");
-    fleet.wait_until("the change is committed", |fleet| has(fleet, &[1, 2, 3], 3));
+    let (status, response) = propose(fleet.process(3).admin_address, "y", 2, &settings(&fleet, 1));
+    assert_eq!(status, 202, "{response}");
+    fleet.wait_until("the change is committed", |fleet| all_have_version(fleet, &[1, 2, 3], 3));
 }
 
 #[test]
 fn a_voter_with_a_full_disk_does_not_vote_and_two_others_do() {
-    let (fleet, clients) = under_load(4, 3);
+    let (fleet, clients) = fleet_under_load(4, 3);
     // The temporary file cannot be written, since a folder has its name.
     std::fs::create_dir(fleet.state_dir(2).join("rulebook.new")).unwrap();
     propose_second(&fleet, 3);
-    ends(&fleet, 3, "taken");
+    wait_for_outcome(&fleet, 3, "taken");
     assert!(fleet.timeline.first_match("n2", "this founder cannot vote", 0).is_some());
-    fleet.wait_until("it has the version all the same", |fleet| has(fleet, &[0, 1, 2, 3], 2));
+    fleet.wait_until("it has the version all the same", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
     clients.check();
 }
--- a/tests/fleet/quota.rs
+++ b/tests/fleet/quota.rs
@@ -21,18 +21,20 @@
     Options { founders: (0..members).collect(), size: members + 1, ..Options::with_members(members) }
 }
 
-fn reported(fleet: &Fleet, member: usize, field: &str) -> f64 {
+fn reported_number(fleet: &Fleet, member: usize, field: &str) -> f64 {
     fleet.report(member).map_or(0.0, |report| report.json[field].as_f64().unwrap_or(f64::NAN))
 }
 
 fn quotas(fleet: &Fleet, members: &[usize]) -> Vec<f64> {
-    members.iter().map(|member| reported(fleet, *member, "share")).collect()
+    members.iter().map(|member| reported_number(fleet, *member, "share")).collect()
 }
 
 /// Whether each of these has its guaranteed minimum and an equal part of the leased quota.
-fn have_equal_quotas(fleet: &Fleet, members: &[usize], of: usize) -> bool {
-    let base = 0.5 / fleet.options.size as f64;
-    quotas(fleet, members).iter().all(|share| (share - base - 0.5 / of as f64).abs() < ROUNDING_TOLERANCE)
+fn have_equal_quotas(fleet: &Fleet, members: &[usize], holders: usize) -> bool {
+    let minimum = 0.5 / fleet.options.size as f64;
+    quotas(fleet, members)
+        .iter()
+        .all(|quota| (quota - minimum - 0.5 / holders as f64).abs() < ROUNDING_TOLERANCE)
 }
 
 /// Waits until a condition holds, and records the quotas of these members for the history checker
@@ -40,8 +42,8 @@
 fn record_until(fleet: &Fleet, members: &[usize], what: &str, holds: impl Fn(&Fleet) -> bool) {
     let recorder = Recorder::current();
     fleet.wait_until(what, |fleet| {
-        for (member, share) in members.iter().zip(quotas(fleet, members)) {
-            recorder.record_quota(&Fleet::name(*member), share, MAX_ATTEMPT_MS);
+        for (member, quota) in members.iter().zip(quotas(fleet, members)) {
+            recorder.record_quota(&Fleet::name(*member), quota, MAX_ATTEMPT_MS);
         }
         holds(fleet)
     });
@@ -58,11 +60,11 @@
 #[test]
 fn in_a_partition_the_minority_keeps_its_guaranteed_minimum_and_the_majority_its_leases() {
     let fleet = fleet_with_equal_quotas(5);
-    assert!(reported(&fleet, 0, "view") >= 1.0 && reported(&fleet, 0, "lease_ms") > 0.0);
+    assert!(reported_number(&fleet, 0, "view") >= 1.0 && reported_number(&fleet, 0, "lease_ms") > 0.0);
     fleet.partition(&[&[0, 1], &[2, 3, 4]]);
-    let base = reported(&fleet, 0, "base");
+    let base = reported_number(&fleet, 0, "base");
     let is_base =
-        |fleet: &Fleet| quotas(fleet, &[0, 1]).iter().all(|share| (share - base).abs() < ROUNDING_TOLERANCE);
+        |fleet: &Fleet| quotas(fleet, &[0, 1]).iter().all(|quota| (quota - base).abs() < ROUNDING_TOLERANCE);
     record_until(&fleet, &ALL, "a majority takes over", |fleet| have_equal_quotas(fleet, &[2, 3, 4], 3));
     assert!(is_base(&fleet), "the minority had its guaranteed minimum before that");
     for member in ["n0", "n1"] {
@@ -78,7 +80,8 @@
     fleet.partition(&[&[0], &[1], &[2]]);
     let all = [0, 1, 2];
     record_until(&fleet, &all, "all have their guaranteed minimum", |fleet| {
-        all.iter().all(|member| reported(fleet, *member, "share") == reported(fleet, *member, "base"))
+        all.iter()
+            .all(|member| reported_number(fleet, *member, "share") == reported_number(fleet, *member, "base"))
     });
     fleet.datagram_faults.change_all_paths(|path| path.partitioned = false);
     record_until(&fleet, &all, "all have equal quotas again", |fleet| have_equal_quotas(fleet, &all, 3));
@@ -92,8 +95,8 @@
     record_until(&fleet, &others, "the others have its lease", |fleet| have_equal_quotas(fleet, &others, 4));
     fleet.process(4).signal("CONT");
     // Its first report is after the end of its lease.
-    let share = reported(&fleet, 4, "share");
-    assert!((share - reported(&fleet, 4, "base")).abs() < 0.5 / 5.0 / 2.0, "{share}");
+    let quota = reported_number(&fleet, 4, "share");
+    assert!((quota - reported_number(&fleet, 4, "base")).abs() < 0.5 / 5.0 / 2.0, "{quota}");
     record_until(&fleet, &ALL, "all have equal quotas again", |fleet| have_equal_quotas(fleet, &ALL, 5));
 }
 
@@ -103,15 +106,15 @@
     for member in &ALL {
         fleet.kill(*member);
     }
-    let back = [0, 1, 2, 4];
-    for member in &back {
+    let alive = [0, 1, 2, 4];
+    for member in &alive {
         fleet.start(*member);
     }
     assert!(
-        quotas(&fleet, &back).iter().all(|share| *share <= 0.5 / 6.0 + ROUNDING_TOLERANCE),
+        quotas(&fleet, &alive).iter().all(|quota| *quota <= 0.5 / 6.0 + ROUNDING_TOLERANCE),
         "no lease outlives its process"
     );
-    record_until(&fleet, &back, "all have equal quotas", |fleet| have_equal_quotas(fleet, &back, 4));
+    record_until(&fleet, &alive, "all have equal quotas", |fleet| have_equal_quotas(fleet, &alive, 4));
     fleet.start(3);
     record_until(&fleet, &ALL, "and the last", |fleet| have_equal_quotas(fleet, &ALL, 5));
 }
@@ -122,9 +125,9 @@
     let second = fleet.start_second_process(1);
     let first = fleet.replace_process(1, second);
     fleet.wait_until("the second process is the member", |fleet| fleet.report(1).is_some());
-    let base = 0.5 / fleet.options.size as f64;
+    let minimum = 0.5 / fleet.options.size as f64;
     record_until(&fleet, &[0, 1, 2], "it has its lease and half of the guaranteed minimum", |fleet| {
-        (reported(fleet, 1, "share") - base / 2.0 - 0.5 / 3.0).abs() < ROUNDING_TOLERANCE
+        (reported_number(fleet, 1, "share") - minimum / 2.0 - 0.5 / 3.0).abs() < ROUNDING_TOLERANCE
             && have_equal_quotas(fleet, &[0, 2], 3)
     });
     first.signal("TERM");
@@ -137,9 +140,9 @@
 #[test]
 fn a_member_with_other_founders_is_left_out_of_the_quota() {
     let mut fleet = Fleet::new(all_founders(4), nodes(), origin());
-    let mut wrong = fleet.config(3, &[0, 1, 2]);
-    wrong["fleet"]["founders"] = serde_json::json!([fleet.advertised_address(3).to_string()]);
-    fleet.set_config(3, &wrong);
+    let mut other_founders = fleet.config(3, &[0, 1, 2]);
+    other_founders["fleet"]["founders"] = serde_json::json!([fleet.advertised_address(3).to_string()]);
+    fleet.set_config(3, &other_founders);
     for member in 0..4 {
         fleet.start(member);
     }
@@ -203,9 +206,12 @@
         done.store(true, Ordering::Relaxed);
     });
     Recorder::current().check_quota();
-    let most = fleet.nodes[0].max_in_flight();
-    assert!(most <= NODE_ATTEMPT_LIMIT, "{most} attempts in flight\n{}", fleet.timeline);
-    assert!(most > NODE_ATTEMPT_LIMIT / 2, "{most}: the limit was reached at least by half");
+    let max_in_flight = fleet.nodes[0].max_in_flight();
+    assert!(max_in_flight <= NODE_ATTEMPT_LIMIT, "{max_in_flight} attempts in flight\n{}", fleet.timeline);
+    assert!(
+        max_in_flight > NODE_ATTEMPT_LIMIT / 2,
+        "{max_in_flight}: the limit was reached at least by half"
+    );
 }
 
 #[test]
--- a/tests/fleet/upgrades.rs
+++ b/tests/fleet/upgrades.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_hot_restart_passes_the_name_on_and_no_member_is_reported_failed() {
     let mut fleet = joined_fleet(Options::with_members(3));
-    let begun = fleet.timeline.elapsed_ms();
+    let started_ms = fleet.timeline.elapsed_ms();
     for _ in 0..2 {
         let second = fleet.start_second_process(1);
         let first = fleet.replace_process(1, second);
@@ -26,9 +26,9 @@
         assert!(fleet.report(1).unwrap().json.get("rival").is_none());
     }
     for member in ["n0", "n2"] {
-        assert!(fleet.timeline.first_match(member, "-> failed", begun).is_none(), "{}", fleet.timeline);
-        assert!(fleet.timeline.first_match(member, "left", begun).is_none());
-        assert!(fleet.timeline.first_match(member, "n1 is a new process", begun).is_some());
+        assert!(fleet.timeline.first_match(member, "-> failed", started_ms).is_none(), "{}", fleet.timeline);
+        assert!(fleet.timeline.first_match(member, "left", started_ms).is_none());
+        assert!(fleet.timeline.first_match(member, "n1 is a new process", started_ms).is_some());
     }
 }
 
--- a/tests/node_histories.rs
+++ b/tests/node_histories.rs
@@ -124,7 +124,10 @@
             _ => false,
         });
         let warm_up_progress = (received.unwrap().0 - started) / warm_up_time;
-        overload_multiple * capacity * overload_time * (start_capacity + (1.0 - start_capacity) * warm_up_progress)
+        overload_multiple
+            * capacity
+            * overload_time
+            * (start_capacity + (1.0 - start_capacity) * warm_up_progress)
             - sent
     };
     assert_accepted(&with_extra_work(remaining_work - 0.001));
--- a/tests/sockets/backend_responses.rs
+++ b/tests/sockets/backend_responses.rs
@@ -85,10 +85,10 @@
     ] {
         let (node, origin) = (StubServer::node(move |_| StubAction::Reply(malformed.into())), idle_origin());
         let fixture = ProxyFixture::with_backends(&[&node], &origin);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let line = fixture.client().get("k", "1", 2000).0;
         assert!(line.starts_with("SERVER_ERROR busy "), "{malformed:?} -> {line:?}");
-        assert!(begun.elapsed() < ms(1000), "{malformed:?}: {:?}", begun.elapsed());
+        assert!(started_at.elapsed() < ms(1000), "{malformed:?}: {:?}", started_at.elapsed());
         let calls = node.received().len() as u64;
         assert_eq!(
             (fixture.counter("calls_error"), fixture.counter("answers_spoilt")),
@@ -103,8 +103,8 @@
 #[test]
 fn a_valid_response_with_more_behind_it_is_used_and_its_connection_closed() {
     let node = StubServer::node(|line| {
-        let answer = format!("VA 1 {}\r\nv\r\n", opaque(line));
-        StubAction::Reply(answer.clone() + &answer)
+        let response = format!("VA 1 {}\r\nv\r\n", opaque(line));
+        StubAction::Reply(response.clone() + &response)
     });
     let origin = idle_origin();
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
@@ -136,15 +136,15 @@
         "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\nv",
         "HTTP/9 what\r\n",
     ];
-    for (answers, served) in [(&good[..], true), (&bad[..], false)] {
-        for answer in answers.iter().copied() {
+    for (responses, served) in [(&good[..], true), (&bad[..], false)] {
+        for response in responses.iter().copied() {
             let (node, origin) =
-                (StubServer::miss_node(), StubServer::origin(move |_| StubAction::Reply(answer.into())));
+                (StubServer::miss_node(), StubServer::origin(move |_| StubAction::Reply(response.into())));
             let fixture = ProxyFixture::with_backends(&[&node], &origin);
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let (line, value) = fixture.client().get("k", "1", 2000);
-            assert_eq!(line == "VA 1 O1\r\n" && value == "v\r\n", served, "{answer:?} -> {line:?}");
-            assert!(begun.elapsed() < ms(1000), "{answer:?}: {:?}", begun.elapsed());
+            assert_eq!(line == "VA 1 O1\r\n" && value == "v\r\n", served, "{response:?} -> {line:?}");
+            assert!(started_at.elapsed() < ms(1000), "{response:?}: {:?}", started_at.elapsed());
         }
     }
 }
--- a/tests/sockets/client_connections.rs
+++ b/tests/sockets/client_connections.rs
@@ -13,18 +13,18 @@
     let fixture = ProxyFixture::with_backends(&[], &origin);
     let before = fixture.memory_mb();
     let flood = std::net::TcpStream::connect(fixture.client_address).unwrap();
-    let mut answers = flood.try_clone().unwrap();
-    let reading = std::thread::spawn(move || std::io::copy(&mut answers, &mut std::io::sink()));
+    let mut responses = flood.try_clone().unwrap();
+    let reader = std::thread::spawn(move || std::io::copy(&mut responses, &mut std::io::sink()));
     flood.set_write_timeout(Some(ms(100))).unwrap();
     let (until, pipeline) = (Instant::now() + ms(2000), "mn\r\n".repeat(4000));
     while Instant::now() < until {
         // The proxy may be slower than this.
         let _ = std::io::Write::write(&mut &flood, pipeline.as_bytes());
     }
-    let taken = fixture.memory_mb() - before;
-    assert!(taken < 6, "{taken} MB");
+    let growth_mb = fixture.memory_mb() - before;
+    assert!(growth_mb < 6, "{growth_mb} MB");
     flood.shutdown(std::net::Shutdown::Both).unwrap();
-    let _ = reading.join();
+    let _ = reader.join();
 }
 
 /// Commands beyond those that may wait are buffered in the proxy already, so the poller reports
@@ -71,8 +71,8 @@
         "mn\n",
         "mg k\u{7f} v O1 Pc=read,t=acme,d=9\r\n",
     ] {
-        let answer = client.request(bad);
-        assert!(answer.starts_with("CLIENT_ERROR "), "{bad:?} -> {answer:?}");
+        let response = client.request(bad);
+        assert!(response.starts_with("CLIENT_ERROR "), "{bad:?} -> {response:?}");
     }
     assert_eq!(client.get("k", "1", 900).1, "v\r\n", "the connection stays open");
     for closing in [
@@ -93,7 +93,7 @@
 fn half_a_command_is_answered_with_an_error_and_silence_with_a_close() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let (mut half, mut silent, mut value) = (fixture.client(), fixture.client(), fixture.client());
     half.send("mg k v O1");
     value.send("ms k 5 O2 Pc=put,t=acme,d=900,k=5c\r\nhel");
@@ -104,7 +104,7 @@
         );
     }
     assert_eq!(silent.read_line(), "");
-    assert!(begun.elapsed() < ms(3000), "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() < ms(3000), "{:?}", started_at.elapsed());
     assert_eq!((fixture.counter("consumers_late"), node.received().len()), (3, 0));
 }
 
@@ -120,9 +120,9 @@
         (client.read_line().as_str(), client.read_line().as_str()),
         ("CLIENT_ERROR value too large\r\n", "")
     );
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while client.try_send(&"x".repeat(100_000)) {
-        assert!(begun.elapsed() < ms(3000), "it is read for ever");
+        assert!(started_at.elapsed() < ms(3000), "it is read for ever");
     }
 }
 
@@ -160,9 +160,9 @@
         }
         let mut good = fixture.client();
         for n in 0..50 {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             assert_eq!(good.get("k", &n.to_string(), 900).1, "v\r\n");
-            assert!(begun.elapsed() < ms(300), "{:?}", begun.elapsed());
+            assert!(started_at.elapsed() < ms(300), "{:?}", started_at.elapsed());
         }
     });
 }
@@ -180,18 +180,19 @@
             scope.spawn(|| {
                 while !stop.load(Ordering::SeqCst) {
                     let mut bad = Client::connect(address);
-                    let mut again = || bad.try_send("no such command\r\n") && bad.read_line() == "ERROR\r\n";
-                    while again() && !stop.load(Ordering::SeqCst) {
+                    let mut is_answered =
+                        || bad.try_send("no such command\r\n") && bad.read_line() == "ERROR\r\n";
+                    while is_answered() && !stop.load(Ordering::SeqCst) {
                         sleep(Duration::ZERO);
                     }
                 }
             });
         }
         sleep(ms(500));
-        let answers: Vec<String> =
+        let responses: Vec<String> =
             (0..10).map(|n| fixture.client().get("k", &n.to_string(), 900).1).collect();
         stop.store(true, Ordering::SeqCst);
-        assert_eq!(answers, ["v\r\n"; 10]);
+        assert_eq!(responses, ["v\r\n"; 10]);
     });
 }
 
@@ -205,8 +206,8 @@
     let fixture = ProxyFixture::with_limits(&entries, 256, 32);
     let mut clients: Vec<Client> = (0..100).map(|_| fixture.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
-        let ask = |n| format!("mg k v O{number}.{n} Pc=read,t=acme,d=2000\r\n");
-        client.send(&(0..60).map(ask).collect::<String>());
+        let read_command = |n| format!("mg k v O{number}.{n} Pc=read,t=acme,d=2000\r\n");
+        client.send(&(0..60).map(read_command).collect::<String>());
     }
     sleep(ms(2500));
     assert!(fixture.memory_mb() < 32, "{} MB", fixture.memory_mb());
@@ -221,11 +222,11 @@
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
     let entries = [node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")];
     let fixture = ProxyFixture::with_sockets(&entries, 64);
-    let mut held: Vec<Client> = (0..60).map(|_| fixture.client()).collect();
-    assert_eq!(held[59].get("k", "1", 900).1, "v\r\n");
+    let mut clients: Vec<Client> = (0..60).map(|_| fixture.client()).collect();
+    assert_eq!(clients[59].get("k", "1", 900).1, "v\r\n");
     // 40 descriptors are shared, 30 of them for clients while backends need few.
-    let made_room = ["consumers_evicted", "consumers_hopeless", "consumers_over_budget"];
-    let closed: u64 = made_room.into_iter().map(|name| fixture.counter(name)).sum();
+    let eviction_counters = ["consumers_evicted", "consumers_hopeless", "consumers_over_budget"];
+    let closed: u64 = eviction_counters.into_iter().map(|name| fixture.counter(name)).sum();
     assert!(closed >= 60 - 30, "{closed}");
 }
 
@@ -238,22 +239,22 @@
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
     let entries = [node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")];
     let fixture = ProxyFixture::with_sockets(&entries, SOCKETS);
-    let (mut honest, mut silent): (Vec<Client>, Vec<Client>) = (Vec::new(), Vec::new());
+    let (mut active, mut idle): (Vec<Client>, Vec<Client>) = (Vec::new(), Vec::new());
     let (mut attempted, mut served) = (0, 0);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for round in 0..200u64 {
-        sleep((begun + ms(round * 20)).saturating_duration_since(Instant::now()));
-        silent.push(fixture.client());
-        silent.retain(|client| !client.is_closed());
-        honest.retain(|client| !client.is_closed());
+        sleep((started_at + ms(round * 20)).saturating_duration_since(Instant::now()));
+        idle.push(fixture.client());
+        idle.retain(|client| !client.is_closed());
+        active.retain(|client| !client.is_closed());
         // The first second and a half, in which the proxy learns, does not count.
         let counts = usize::from(round >= 75);
         attempted += counts;
-        if honest.len() < SOCKETS / 3 {
+        if active.len() < SOCKETS / 3 {
             let mut client = fixture.client();
             let served_now = client.get(&format!("k{round}"), &round.to_string(), 900).1 == "v\r\n";
             served += counts * usize::from(served_now);
-            honest.push(client);
+            active.push(client);
         }
     }
     // Each kept for 2.2 s, 32 connections would carry 15 requests a second of the 50.
@@ -261,16 +262,16 @@
     assert!(fixture.counter("consumers_hopeless") > 0);
     // During a planned restart idle connections are evicted for as long as clients may connect.
     fixture.signal("TERM");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let (mut attempted, mut served) = (0, 0);
-    while begun.elapsed() < ms(350) {
+    while started_at.elapsed() < ms(350) {
         attempted += 1;
-        honest.retain(|client| !client.is_closed());
-        if honest.len() < SOCKETS / 3 {
+        active.retain(|client| !client.is_closed());
+        if active.len() < SOCKETS / 3 {
             let mut client = fixture.client();
             served +=
                 usize::from(client.get(&format!("t{attempted}"), &format!("t{attempted}"), 900).1 == "v\r\n");
-            honest.push(client);
+            active.push(client);
         }
         sleep(ms(6));
     }
--- a/tests/sockets/discovery.rs
+++ b/tests/sockets/discovery.rs
@@ -32,8 +32,8 @@
         assert_eq!(client.get(&format!("k{n}"), &n.to_string(), 900).1, "new\r\n");
     }
     // A complete list replaces newer changes, so that drains are noticed after discovery restarted.
-    let begun_again = [old.entry("s-0", "c6", "ready"), new.entry("s-1", "c6", "draining")];
-    updates.send(endpoint_list_json(1, true, &begun_again)).unwrap();
+    let complete_list = [old.entry("s-0", "c6", "ready"), new.entry("s-1", "c6", "draining")];
+    updates.send(endpoint_list_json(1, true, &complete_list)).unwrap();
     fixture.wait_until("the list has arrived", || fixture.counter("lists") == 2);
     for n in 30..40 {
         assert_eq!(client.get(&format!("k{n}"), &n.to_string(), 900).1, "old\r\n");
@@ -47,12 +47,12 @@
     let node = StubServer::hit_node("s");
     let fixture = ProxyFixture::with_backends(&[&node, &node], &idle_origin());
     let (_, updates) = fixture.discovery.next_watch();
-    let drains = endpoint_list_json(2, false, &[node.entry("s-0", "c6", "draining")]);
-    let list: serde_json::Value = serde_json::from_str(&drains).unwrap();
+    let draining_list = endpoint_list_json(2, false, &[node.entry("s-0", "c6", "draining")]);
+    let list: serde_json::Value = serde_json::from_str(&draining_list).unwrap();
     updates.send(serde_json::to_string_pretty(&list).unwrap()).unwrap();
     fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
-    let later = endpoint_list_json(3, false, &[]);
-    let (first, rest) = later.split_at(later.find(',').unwrap());
+    let next_list = endpoint_list_json(3, false, &[]);
+    let (first, rest) = next_list.split_at(next_list.find(',').unwrap());
     updates.send(first.to_owned()).unwrap();
     updates.send(rest.to_owned()).unwrap();
     fixture.wait_until("so is one in two parts", || fixture.counter("lists") == 2);
@@ -88,14 +88,14 @@
 fn a_silent_watch_is_replaced() {
     let fixture = ProxyFixture::new(&[]);
     let (_, updates) = fixture.discovery.next_watch();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..3 {
         sleep(ms(900));
         updates.send(String::new()).unwrap();
     }
     assert_eq!(fixture.counter("watches_failed"), 0, "an empty line keeps it alive");
     fixture.discovery.next_watch();
-    assert!(begun.elapsed() > ms(2700 + 2000), "not before a heartbeat was missed");
+    assert!(started_at.elapsed() > ms(2700 + 2000), "not before a heartbeat was missed");
 }
 
 /// SIGHUP does not end the process, moves the watch, and rejects an invalid file.
@@ -104,11 +104,11 @@
     let (old, new) = (StubServer::hit_node("old"), StubServer::hit_node("new"));
     let fixture = ProxyFixture::new(&[old.entry("s-0", "c6", "ready")]);
     let (_, old_updates) = fixture.discovery.next_watch();
-    let moved = Discovery::new();
-    fixture.reload(&fixture.discovery.address.to_string(), &moved.address.to_string());
-    let begun = Instant::now();
-    let (line, updates) = moved.next_watch();
-    assert!(begun.elapsed() < ms(200), "at once, not after the backoff of a failed watch");
+    let new_discovery = Discovery::new();
+    fixture.reload(&fixture.discovery.address.to_string(), &new_discovery.address.to_string());
+    let started_at = Instant::now();
+    let (line, updates) = new_discovery.next_watch();
+    assert!(started_at.elapsed() < ms(200), "at once, not after the backoff of a failed watch");
     assert_eq!(line, "GET /catalog/members?watch=1&after=1 HTTP/1.1");
     updates
         .send(endpoint_list_json(
--- a/tests/sockets/faults.rs
+++ b/tests/sockets/faults.rs
@@ -49,24 +49,24 @@
     let origin = StubServer::origin(fails_by_key(true));
     let fixture = ProxyFixture::with_backends(&[&one, &other], &origin);
     let mut number = 0;
-    for warm in [false, true] {
-        for how in ["breaks", "half", "silent", "fails", "full"] {
+    for reuses_connection in [false, true] {
+        for failure in ["breaks", "half", "silent", "fails", "full"] {
             for class in ["read", "put", "confirm"] {
                 number += 1;
                 let mut client = fixture.client();
-                if warm {
+                if reuses_connection {
                     assert!(client
                         .set("put", &format!("good.{number}"), &format!("w{number}"), 900)
                         .starts_with("HD "));
                 }
-                let (key, id) = (format!("{how}.{number}"), number.to_string());
+                let (key, id) = (format!("{failure}.{number}"), number.to_string());
                 let line = match class {
                     "read" => client.get(&key, &id, 500).0,
                     _ => client.set(class, &key, &id, 500),
                 };
-                assert!(line.starts_with("SERVER_ERROR "), "{how} {class}: {line}");
+                assert!(line.starts_with("SERVER_ERROR "), "{failure} {class}: {line}");
                 let may_repeat = line.starts_with("SERVER_ERROR busy");
-                assert!(class != "confirm" || may_repeat == (how == "full"), "{how} {class}: {line}");
+                assert!(class != "confirm" || may_repeat == (failure == "full"), "{failure} {class}: {line}");
             }
         }
     }
@@ -79,8 +79,8 @@
 #[test]
 fn misses_that_wait_for_a_fetch_are_answered_however_it_ends() {
     let node = StubServer::miss_node();
-    let asked = AtomicUsize::new(0);
-    let origin = StubServer::origin(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
+    let fetches = AtomicUsize::new(0);
+    let origin = StubServer::origin(move |_| match fetches.fetch_add(1, Ordering::SeqCst) {
         // The leader's: it has disconnected before this response.
         0 => StubAction::ReplyWith(Box::new(|stream| {
             sleep(ms(300));
@@ -91,7 +91,7 @@
     });
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let leader = fixture.client();
-    let leading = thread::spawn(move || leader.request_and_disconnect("k", "lead", ms(100)));
+    let leader_thread = thread::spawn(move || leader.request_and_disconnect("k", "lead", ms(100)));
     fixture.wait_until("the fetch is in flight", || origin.received().len() == 1);
     let waiters: Vec<_> = (0..4)
         .map(|n| {
@@ -99,7 +99,7 @@
             thread::spawn(move || client.get("k", &format!("w{n}"), 1500).0)
         })
         .collect();
-    leading.join().unwrap();
+    leader_thread.join().unwrap();
     for waiter in waiters {
         let line = waiter.join().unwrap();
         assert!(line.starts_with("VA ") || line.starts_with("SERVER_ERROR busy "), "{line}");
@@ -119,13 +119,13 @@
     updates.send(endpoint_list_json(2, false, &gone)).unwrap();
     fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
     for (n, class) in ["read", "put", "confirm"].into_iter().enumerate() {
-        let (mut client, begun, id) = (fixture.client(), Instant::now(), n.to_string());
+        let (mut client, started_at, id) = (fixture.client(), Instant::now(), n.to_string());
         let line = match class {
             "read" => client.get("k", &id, 2000).0,
             _ => client.set(class, "k", &id, 2000),
         };
         assert!(line.starts_with("SERVER_ERROR busy "), "{class}: {line}");
-        assert!(begun.elapsed() < ms(1500), "not kept until its deadline");
+        assert!(started_at.elapsed() < ms(1500), "not kept until its deadline");
     }
     assert_eq!((node.received().len(), origin.received().len()), (0, 0));
     Recorder::current().check();
@@ -160,13 +160,13 @@
 /// A cache node that fails occasionally, in every way.
 fn unreliable_node() -> StubServer {
     let requests = AtomicUsize::new(0);
-    let good = fails_by_key(false);
+    let respond = fails_by_key(false);
     StubServer::node(move |line| match requests.fetch_add(1, Ordering::SeqCst) % 23 {
         3 => StubAction::Disconnect,
         7 => StubAction::Ignore,
         11 => StubAction::Reply("SERVER_ERROR busy\r\n".into()),
         17 => StubAction::Reply("SERVER_ERROR failed\r\n".into()),
-        _ => good(line),
+        _ => respond(line),
     })
 }
 
@@ -222,13 +222,13 @@
 
 /// Checks that the history checker rejects the same attempts if this node is listed as draining
 /// from the beginning on, without a grace period.
-fn assert_an_attempt_at_a_draining_node_is_found(history: History, draining: &str) {
-    let mut drained = History { clock_error: 0.0, ..history };
-    for (_, event) in &mut drained.events {
+fn assert_an_attempt_at_a_draining_node_is_found(history: History, draining_address: &str) {
+    let mut changed_history = History { clock_error: 0.0, ..history };
+    for (_, event) in &mut changed_history.events {
         match event {
             HistoryEvent::ConfigActivated { limits, .. } => limits.drain_grace = 0.0,
             HistoryEvent::EndpointsListed { nodes, .. } => {
-                for node in nodes.iter_mut().filter(|node| node.address == draining) {
+                for node in nodes.iter_mut().filter(|node| node.address == draining_address) {
                     node.state = NodeState::Draining;
                 }
             }
@@ -236,16 +236,19 @@
         }
     }
 
-    let found = check(&drained).unwrap();
+    let found = check(&changed_history).unwrap();
 
-    assert!(found.iter().any(|b| (b.reason, &*b.subject) == (Reason::Draining, draining)), "{found:?}");
+    assert!(
+        found.iter().any(|b| (b.reason, &*b.subject) == (Reason::Draining, draining_address)),
+        "{found:?}"
+    );
 }
 
 /// A recorded day of the real process: faults of every kind, a node that drains, one that is
 /// removed and returns, reloads. The rules hold; the recording without one response, or with an
 /// attempt that is too late, is rejected.
 #[test]
-fn a_day_of_faults_on_sockets_keeps_the_rules() {
+fn requests_under_faults_of_every_kind_keep_the_rules() {
     let nodes = [unreliable_node(), unreliable_node(), unreliable_node()];
     let origin = unreliable_origin();
     let fixture = ProxyFixture::with_backends(&nodes.iter().collect::<Vec<_>>(), &origin);
--- a/tests/sockets/large.rs
+++ b/tests/sockets/large.rs
@@ -46,14 +46,14 @@
 /// second half only once the client has the first.
 #[test]
 fn the_client_gets_the_first_bytes_before_the_node_has_sent_the_last() {
-    let (go, gone) = channel::<()>();
-    let gone = Arc::new(Mutex::new(gone));
+    let (release, released) = channel::<()>();
+    let released = Arc::new(Mutex::new(released));
     let node = StubServer::node(move |line| {
-        let (gone, head) = (Arc::clone(&gone), format!("VA 100000 {}\r\n", opaque(line)));
+        let (released, head) = (Arc::clone(&released), format!("VA 100000 {}\r\n", opaque(line)));
         StubAction::ReplyWith(Box::new(move |stream| {
             stream.write_all(head.as_bytes()).unwrap();
             stream.write_all(&[b'a'; 50_000]).unwrap();
-            gone.lock().unwrap().recv_timeout(WAIT_TIMEOUT).unwrap();
+            released.lock().unwrap().recv_timeout(WAIT_TIMEOUT).unwrap();
             stream.write_all(&[b'b'; 50_000]).unwrap();
             stream.write_all(b"\r").unwrap();
             sleep(ms(50));
@@ -70,7 +70,7 @@
     client.reader().read_exact(&mut half).unwrap();
     assert!(half.iter().all(|byte| *byte == b'a'));
     sleep(ms(600));
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     client.reader().read_exact(&mut half).unwrap();
     assert!(half.iter().all(|byte| *byte == b'b'));
     assert_eq!((client.read_line(), client.read_line()), ("\r\n".into(), "MN\r\n".into()));
@@ -130,17 +130,18 @@
 /// An attempt does not continue for a client that has disconnected.
 #[test]
 fn a_client_that_disconnects_ends_the_body_stream() {
-    let (written, seen): (Sender<bool>, _) = channel();
-    let written = Arc::new(Mutex::new(written));
+    let (closed_sender, closed_receiver): (Sender<bool>, _) = channel();
+    let closed_sender = Arc::new(Mutex::new(closed_sender));
     let node = StubServer::node(move |line| {
-        let (written, head) = (Arc::clone(&written), format!("VA {LONG_VALUE_BYTES} {}\r\n", opaque(line)));
+        let (closed_sender, head) =
+            (Arc::clone(&closed_sender), format!("VA {LONG_VALUE_BYTES} {}\r\n", opaque(line)));
         StubAction::ReplyWith(Box::new(move |stream| {
             stream.write_all(head.as_bytes()).unwrap();
             let result =
                 stream.write_all(&vec![b'x'; LONG_VALUE_BYTES]).and_then(|()| stream.write_all(b"\r\n"));
             // The kernel may have taken all of it before the connection ended.
             let closed = result.is_err() || matches!(stream.read(&mut [0]), Ok(0) | Err(_));
-            written.lock().unwrap().send(closed).unwrap();
+            closed_sender.lock().unwrap().send(closed).unwrap();
         }))
     });
     let origin = idle_origin();
@@ -148,6 +149,6 @@
     let mut client = fixture.client();
     assert_eq!(client.request("mg k v O1 Pc=read,t=acme,d=900\r\n"), format!("VA {LONG_VALUE_BYTES} O1\r\n"));
     drop(client);
-    assert!(seen.recv_timeout(WAIT_TIMEOUT).unwrap(), "the node's connection is closed");
+    assert!(closed_receiver.recv_timeout(WAIT_TIMEOUT).unwrap(), "the node's connection is closed");
     fixture.wait_until("the call ends", || fixture.counter("calls_cancelled") == 1);
 }
--- a/tests/sockets/operations.rs
+++ b/tests/sockets/operations.rs
@@ -18,8 +18,8 @@
     assert_eq!(call("GET", "/control/nothing").0, 404);
     assert_eq!(call("POST", "/control/cache-nodes/s-0/offline").0, 200);
     assert_eq!(call("POST", "/control/cache-nodes/s%2D0/online").0, 200);
-    let (status, why) = call("POST", "/control/cache-nodes/nobody/offline");
-    assert!(status == 404 && why.contains("never listed"), "{why}");
+    let (status, reason) = call("POST", "/control/cache-nodes/nobody/offline");
+    assert!(status == 404 && reason.contains("never listed"), "{reason}");
     assert_eq!(call("POST", "/control/cache-nodes/nobody/online").0, 404);
     assert_eq!(call("POST", "/control/cache-nodes/o/offline").0, 409, "the origin is no cache node");
     assert_eq!(send_to_admin(fixture.admin_address, "mn\r\n\r\n").0, 400);
@@ -36,7 +36,7 @@
 fn silent_admin_connections_do_not_block_requests() {
     let origin = idle_origin();
     let fixture = ProxyFixture::with_backends(&[], &origin);
-    let crowd: Vec<TcpStream> = (0..60)
+    let connections: Vec<TcpStream> = (0..60)
         .map(|n| {
             let mut stream = TcpStream::connect(fixture.admin_address).unwrap();
             let half: &[u8] = if n % 2 == 0 { b"" } else { b"GET /control/re" };
@@ -45,7 +45,7 @@
         })
         .collect();
     assert_eq!(call_admin(fixture.admin_address, "GET", "/control/ready").0, 200);
-    drop(crowd);
+    drop(connections);
 }
 
 /// Requests to the admin server do not wait behind those of clients.
@@ -116,39 +116,40 @@
 
 #[test]
 fn a_node_in_maintenance_gets_no_request_until_it_is_back_online() {
-    let (out, other, origin) = (StubServer::hit_node("out"), StubServer::hit_node("other"), idle_origin());
-    let fixture = ProxyFixture::with_backends(&[&out, &other], &origin);
+    let (offline_node, other, origin) =
+        (StubServer::hit_node("out"), StubServer::hit_node("other"), idle_origin());
+    let fixture = ProxyFixture::with_backends(&[&offline_node, &other], &origin);
     let mut client = fixture.client();
     let mut number = 0;
-    let mut ask = |times: usize| {
+    let mut send_reads = |times: usize| {
         for _ in 0..times {
             number += 1;
             assert!(client.get(&format!("k{number}"), &number.to_string(), 900).0.starts_with("VA "));
         }
     };
-    ask(20);
-    assert!(!out.received().is_empty());
+    send_reads(20);
+    assert!(!offline_node.received().is_empty());
     let (_, updates) = fixture.discovery.next_watch();
-    let of = |lifecycle| [out.entry("s-0", "c6", lifecycle), other.entry("s-1", "c6", "ready")];
+    let entries = |lifecycle| [offline_node.entry("s-0", "c6", lifecycle), other.entry("s-1", "c6", "ready")];
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-0/offline").0, 200);
-    let before = out.received().len();
-    ask(20);
+    let before = offline_node.received().len();
+    send_reads(20);
     // Lists of discovery in between change nothing.
     let lists = [
-        endpoint_list_json(2, true, &of("ready")),
-        endpoint_list_json(3, false, &of("gone")),
-        endpoint_list_json(4, false, &of("ready")),
+        endpoint_list_json(2, true, &entries("ready")),
+        endpoint_list_json(3, false, &entries("gone")),
+        endpoint_list_json(4, false, &entries("ready")),
     ];
     for (n, list) in lists.into_iter().enumerate() {
         let received = fixture.counter("lists");
         updates.send(list).unwrap();
         fixture.wait_until("the list has arrived", || fixture.counter("lists") > received);
-        ask(10 + n);
+        send_reads(10 + n);
     }
-    assert_eq!(out.received().len(), before, "no new request went there");
+    assert_eq!(offline_node.received().len(), before, "no new request went there");
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-0/online").0, 200);
-    ask(60);
-    assert!(out.received().len() > before, "it serves again");
+    send_reads(60);
+    assert!(offline_node.received().len() > before, "it serves again");
 }
 
 /// An attempt that ends does not return its connection to the pool of a node in maintenance.
@@ -192,7 +193,7 @@
     busy.send("mg slow v O2 Pc=read,t=acme,d=2000\r\n");
     fixture.wait_until("the node is asked", || node.received().len() == 2);
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200, "twice is once");
     assert_eq!(
         call_admin(fixture.admin_address, "GET", "/control/ready").0,
@@ -210,14 +211,17 @@
         ("VA 1 O2\r\n".into(), "v\r\n".into(), String::new())
     );
     let closed = |idle: &[Client]| idle.iter().filter(|client| client.is_closed()).count();
-    let early = closed(&idle);
+    let closed_early = closed(&idle);
     fixture.wait_until("idle connections close", || closed(&idle) == idle.len());
-    assert!(early < idle.len(), "not all at once");
-    assert!(begun.elapsed() < ms(4000));
+    assert!(closed_early < idle.len(), "not all at once");
+    assert!(started_at.elapsed() < ms(4000));
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/in-service").0, 200);
-    let mut back = fixture.client();
-    assert_eq!(back.request("mn\r\n"), "MN\r\n");
-    assert_eq!((back.get("k", "4", 900).1, back.get("k", "5", 900).1), ("v\r\n".into(), "v\r\n".into()));
+    let mut new_client = fixture.client();
+    assert_eq!(new_client.request("mn\r\n"), "MN\r\n");
+    assert_eq!(
+        (new_client.get("k", "4", 900).1, new_client.get("k", "5", 900).1),
+        ("v\r\n".into(), "v\r\n".into())
+    );
     fixture.signal("TERM");
     assert!(fixture.wait_for_exit().status.success());
 }
@@ -235,21 +239,21 @@
     let origin = idle_origin();
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
-    let ask = |client: &mut Client, class: &str, id: &str| {
+    let read_in_class = |client: &mut Client, class: &str, id: &str| {
         client.request(&format!("mg k{id} v O{id} Pc={class},t=acme,d=900\r\n"))
     };
     let reload = |from: &str, to: &str| {
-        let seen = fixture.counter("reloads") + fixture.counter("reloads_failed");
+        let reloads_before = fixture.counter("reloads") + fixture.counter("reloads_failed");
         fixture.reload(from, to);
         fixture.wait_until("it is read", || {
-            fixture.counter("reloads") + fixture.counter("reloads_failed") > seen
+            fixture.counter("reloads") + fixture.counter("reloads_failed") > reloads_before
         });
     };
     let class =
         r#"{"Name":"peek","Aim":300.0,"GiveUp":900.0,"Semantics":"safe","DedupScope":"all"},{"Name":"read""#;
-    assert_eq!(ask(&mut client, "peek", "1"), "CLIENT_ERROR unknown class\r\n");
+    assert_eq!(read_in_class(&mut client, "peek", "1"), "CLIENT_ERROR unknown class\r\n");
     reload(r#"{"Name":"read""#, class);
-    assert!(ask(&mut client, "peek", "2").starts_with("VA 1 O2"));
+    assert!(read_in_class(&mut client, "peek", "2").starts_with("VA 1 O2"));
     client.read_line();
     // Each is rejected completely, though it also names a new class.
     for (from, to) in [
@@ -275,7 +279,7 @@
             "{to}"
         );
         reload(to, from);
-        assert!(ask(&mut client, "peek", &before.1.to_string()).starts_with("VA 1 O"));
+        assert!(read_in_class(&mut client, "peek", &before.1.to_string()).starts_with("VA 1 O"));
         client.read_line();
     }
     // An open request keeps its class and its deadline, though the class is removed.
@@ -283,7 +287,7 @@
     slow.send("mg slow v Oslow Pc=peek,t=acme,d=700\r\n");
     fixture.wait_until("the node is asked", || node.received().iter().any(|line| line.contains("slow")));
     reload(class, r#"{"Name":"read""#);
-    assert_eq!(ask(&mut client, "peek", "z"), "CLIENT_ERROR unknown class\r\n");
+    assert_eq!(read_in_class(&mut client, "peek", "z"), "CLIENT_ERROR unknown class\r\n");
     assert!(slow.read_line().starts_with("SERVER_ERROR "));
     assert_eq!(fixture.counter("overdue"), 0);
 }
@@ -292,8 +296,9 @@
 #[test]
 fn the_example_configuration_is_accepted() {
     let example = include_str!("../../deploy/example.json");
-    let own = example.replace("127.0.0.1:11211", "127.0.0.1:0").replace("127.0.0.1:9901", "127.0.0.1:0");
-    let mut child = start_proxy(&own);
+    let own_config =
+        example.replace("127.0.0.1:11211", "127.0.0.1:0").replace("127.0.0.1:9901", "127.0.0.1:0");
+    let mut child = start_proxy(&own_config);
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
     assert!(lines.any(|line| line.contains("n0 listens on 127.0.0.1:")), "it starts");
     signal(&child, "TERM");
--- a/tests/sockets/races/cancelled_requests.rs
+++ b/tests/sockets/races/cancelled_requests.rs
@@ -16,12 +16,12 @@
         while !is_released.load(Ordering::SeqCst) {
             sleep(ms(2));
         }
-        StubAction::Reply(value(line, "v"))
+        StubAction::Reply(hit_response(line, "v"))
     });
     (node, release)
 }
 
-fn reads(from: usize, to: usize) -> String {
+fn read_commands(from: usize, to: usize) -> String {
     (from..to).map(|n| format!("mg k{n} v O{n} Pc=read,t=acme,d=20000\r\n")).collect()
 }
 
@@ -32,7 +32,7 @@
 /// not read, or is behind commands that are not executed yet.
 #[test]
 fn no_queued_request_is_sent_for_a_disconnected_client_whose_connection_is_full() {
-    for how in ["close", "close over unread answers", "half close", "reset", "quit"] {
+    for ending in ["close", "close over unread answers", "half close", "reset", "quit"] {
         let (node, release) = holding_node();
         let origin = StubServer::origin(|_| StubAction::Ignore);
         let fixture = ProxyFixture::with_config_changes(
@@ -41,12 +41,12 @@
             &[(r#""Aim":400.0"#, r#""Aim":20000.0"#)],
         );
         let mut client = fixture.client();
-        if how == "close over unread answers" {
+        if ending == "close over unread answers" {
             client.send("mn\r\nversion\r\n");
         }
         // 64 commands may wait, so that some of these stay unread.
-        client.send(&reads(0, 400));
-        if how == "quit" {
+        client.send(&read_commands(0, 400));
+        if ending == "quit" {
             client.send("quit\r\n");
         }
         fixture.wait_until("its commands are accepted", || fixture.counter("taken_reads") == 64);
@@ -56,19 +56,19 @@
         let before = node.received().len();
         assert!((1..64).contains(&before), "some of them wait: {before} sent");
         let stream: TcpStream = client.reader().get_ref().try_clone().unwrap();
-        match how {
+        match ending {
             "half close" => stream.shutdown(Shutdown::Write).unwrap(),
             "reset" => SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
             _ => {}
         }
-        if how != "half close" {
+        if ending != "half close" {
             drop((client, stream));
         }
         fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 64);
         release.store(true, Ordering::SeqCst);
         sleep(FORWARDING_TIME);
-        assert_eq!(node.received().len(), before, "{how}");
-        assert_eq!(fixture.counter("taken_reads"), 64, "{how}");
+        assert_eq!(node.received().len(), before, "{ending}");
+        assert_eq!(fixture.counter("taken_reads"), 64, "{ending}");
     }
 }
 
@@ -80,7 +80,7 @@
     let entries = [node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")];
     let fixture = ProxyFixture::with_config_changes(&entries, &[(r#""Aim":400.0"#, r#""Aim":20000.0"#)]);
     let mut client = fixture.client();
-    client.send(&reads(0, 40));
+    client.send(&read_commands(0, 40));
     fixture.wait_until("its commands are accepted", || fixture.counter("taken_reads") == 40);
     fixture.wait_until("the node has all attempts that it may have", || {
         node.received().len() as u64 == fixture.counter("calls_ordered")
@@ -124,8 +124,8 @@
     assert_eq!(held.get("k", "0", 900).1, "v\r\n");
     fixture.signal("STOP");
     let mut new = fixture.client();
-    held.send(&reads(1, 2));
-    new.send(&reads(2, 3));
+    held.send(&read_commands(1, 2));
+    new.send(&read_commands(2, 3));
     drop((held, new));
     fixture.signal("CONT");
     let accepted = fixture.counter("consumers_accepted");
--- a/tests/sockets/races/closes.rs
+++ b/tests/sockets/races/closes.rs
@@ -5,7 +5,7 @@
 
 /// Sends something again and again on a connection that the proxy has ended, for a time; whether
 /// the connection was reset.
-fn is_reset_by(client: &mut Client, command: &str, time_ms: u64) -> bool {
+fn is_reset_within(client: &mut Client, command: &str, time_ms: u64) -> bool {
     let until = Instant::now() + ms(time_ms);
     while Instant::now() < until {
         if !client.try_send(command) {
@@ -21,29 +21,29 @@
 /// descriptor only briefly.
 #[test]
 fn a_command_that_crosses_the_end_of_its_connection_causes_no_reset_and_is_not_executed() {
-    for how in ["sigterm", "sigterm over half a command", "out of service"] {
+    for scenario in ["sigterm", "sigterm over half a command", "out of service"] {
         let node = StubServer::hit_node("v");
         let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
         let mut client = fixture.client();
         assert_eq!(client.get("k", "1", 900).1, "v\r\n");
-        if how == "sigterm over half a command" {
+        if scenario == "sigterm over half a command" {
             client.send("mg k v O2 Pc=re");
         }
-        match how {
+        match scenario {
             "out of service" => {
                 assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200)
             }
             _ => fixture.signal("TERM"),
         }
         fixture.wait_until("the proxy ends it", || client.is_closed());
-        assert!(!is_reset_by(&mut client, "mg k v O3 Pc=read,t=acme,d=900\r\n", 150), "{how}");
-        assert_eq!(client.read_line(), "", "{how}: nothing is answered after the end");
-        assert_eq!(node.received().len(), 1, "{how}: nothing that came after the end is taken");
+        assert!(!is_reset_within(&mut client, "mg k v O3 Pc=read,t=acme,d=900\r\n", 150), "{scenario}");
+        assert_eq!(client.read_line(), "", "{scenario}: nothing is answered after the end");
+        assert_eq!(node.received().len(), 1, "{scenario}: nothing that came after the end is taken");
         // Its descriptor is released all the same.
-        assert!(is_reset_by(&mut client, "\r\n", 2000), "{how}");
-        if how != "out of service" {
+        assert!(is_reset_within(&mut client, "\r\n", 2000), "{scenario}");
+        if scenario != "out of service" {
             let output = fixture.wait_for_exit();
-            assert!(output.status.success(), "{how}: {:?}", output.status);
+            assert!(output.status.success(), "{scenario}: {:?}", output.status);
         }
     }
 }
@@ -56,25 +56,25 @@
         ProxyFixture::new(&[node.entry("s-0", "c6", "ready", 0), origin.entry("o", "origin", "ready")]);
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=900\r\n");
-    let mut asked = node.accept().expect("it is sent");
-    let command = asked.read_request(false).expect("a complete request");
-    let begun = Instant::now();
+    let mut attempt = node.accept().expect("it is sent");
+    let command = attempt.read_request(false).expect("a complete request");
+    let started_at = Instant::now();
     for name in ["TERM", "HUP", "TERM", "USR1"] {
         fixture.signal(name);
     }
-    assert!(asked.send(&value(&command, "v")));
+    assert!(attempt.send(&hit_response(&command, "v")));
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
-    drop((client, asked));
+    drop((client, attempt));
     let output = fixture.wait_for_exit();
     assert!(output.status.success(), "{:?}", output.status);
     // The longest wait is 1 s, and the kill comes 0.7 s after that.
-    assert!(begun.elapsed() < ms(1700), "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() < ms(1700), "{:?}", started_at.elapsed());
 }
 
 /// The observations of one client during a drain.
 #[derive(Clone, Copy, Debug, Default)]
-struct Drained {
-    asked: usize,
+struct DrainObservations {
+    sent: usize,
     answered: usize,
     /// Requests on a connection with earlier responses that ended without one for them; they can be
     /// sent again elsewhere.
@@ -87,26 +87,26 @@
 /// until `connects`.
 fn send_through_a_drain(
     address: std::net::SocketAddr,
-    name: usize,
-    connects: Instant,
-    until: Instant,
-) -> Drained {
-    let mut seen = Drained::default();
-    while Instant::now() < connects {
+    client_number: usize,
+    connect_until: Instant,
+    send_until: Instant,
+) -> DrainObservations {
+    let mut observations = DrainObservations::default();
+    while Instant::now() < connect_until {
         let Some(mut client) = Client::try_connect(address) else { break };
-        let before = seen.answered;
-        while Instant::now() < until {
-            let id = format!("{name}.{}", seen.asked);
-            seen.asked += 1;
-            let is_new = seen.answered == before;
+        let before = observations.answered;
+        while Instant::now() < send_until {
+            let id = format!("{client_number}.{}", observations.sent);
+            observations.sent += 1;
+            let is_new = observations.answered == before;
             let is_sent = client.try_send(&format!("mg {id} v O{id} Pc=read,t=acme,d=600\r\n"));
             let line = if is_sent { client.read_line() } else { String::new() };
             match line.as_str() {
-                "" if is_new => seen.unanswered += 1,
-                "" => seen.crossed += 1,
+                "" if is_new => observations.unanswered += 1,
+                "" => observations.crossed += 1,
                 line => {
                     assert!(line.starts_with("VA ") || line.starts_with("SERVER_ERROR "), "{line}");
-                    seen.answered += 1;
+                    observations.answered += 1;
                     if line.starts_with("VA ") {
                         assert_eq!(client.read_line(), "v\r\n", "a value that began is complete");
                     }
@@ -117,7 +117,7 @@
             }
         }
     }
-    seen
+    observations
 }
 
 /// A drain loses no request while half of the nodes hang: clients send on every open connection up
@@ -125,23 +125,25 @@
 /// cross the end of their connection.
 #[test]
 fn a_draining_proxy_under_load_with_half_of_the_nodes_hanging_answers_all_requests() {
-    let (node, hangs) = (StubServer::hit_node("v"), StubServer::node(|_| StubAction::Ignore));
-    let fixture = ProxyFixture::with_backends(&[&node, &hangs], &StubServer::origin(|_| StubAction::Ignore));
-    let begun = Instant::now();
+    let (node, hanging_node) = (StubServer::hit_node("v"), StubServer::node(|_| StubAction::Ignore));
+    let fixture =
+        ProxyFixture::with_backends(&[&node, &hanging_node], &StubServer::origin(|_| StubAction::Ignore));
+    let start = Instant::now();
     let clients: Vec<_> = (0..40)
-        .map(|name| {
+        .map(|n| {
             let address = fixture.client_address;
-            std::thread::spawn(move || send_through_a_drain(address, name, begun + ms(800), begun + ms(5000)))
+            std::thread::spawn(move || send_through_a_drain(address, n, start + ms(800), start + ms(5000)))
         })
         .collect();
     std::thread::sleep(ms(500));
     fixture.signal("TERM");
-    let seen: Vec<Drained> = clients.into_iter().map(|client| client.join().unwrap()).collect();
-    let sum = |of: fn(&Drained) -> usize| seen.iter().map(of).sum::<usize>();
-    let (asked, answered) = (sum(|s| s.asked), sum(|s| s.answered));
-    assert!(asked > 400, "there is load: {asked}");
-    assert_eq!(sum(|s| s.unanswered), 0, "of {asked}");
+    let observations: Vec<DrainObservations> =
+        clients.into_iter().map(|client| client.join().unwrap()).collect();
+    let sum = |count: fn(&DrainObservations) -> usize| observations.iter().map(count).sum::<usize>();
+    let (sent, answered) = (sum(|s| s.sent), sum(|s| s.answered));
+    assert!(sent > 400, "there is load: {sent}");
+    assert_eq!(sum(|s| s.unanswered), 0, "of {sent}");
     // Each connection ends once.
-    assert!(sum(|s| s.crossed) <= 40 && answered + sum(|s| s.crossed) == asked, "{seen:?}");
+    assert!(sum(|s| s.crossed) <= 40 && answered + sum(|s| s.crossed) == sent, "{observations:?}");
     assert!(fixture.wait_for_exit().status.success());
 }
--- a/tests/sockets/races/kept.rs
+++ b/tests/sockets/races/kept.rs
@@ -23,9 +23,9 @@
     // On either connection the second response to the first request arrives before its own.
     let mut second = origin.accept_within(ms(1000));
     first.send(&response("a"));
-    let asked = second.as_mut().unwrap_or(&mut first);
-    assert!(asked.read_request(true).expect("a complete request").starts_with("GET /b "));
-    asked.send(&response("b"));
+    let connection = second.as_mut().unwrap_or(&mut first);
+    assert!(connection.read_request(true).expect("a complete request").starts_with("GET /b "));
+    connection.send(&response("b"));
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O2\r\n".into(), "b\r\n".into()));
 }
 
@@ -43,9 +43,9 @@
     // After the rejection the retry may use any connection.
     let mut second = node.accept_within(ms(1000));
     first.send("SERVER_ERROR busy\r\n");
-    let asked = second.as_mut().unwrap_or(&mut first);
-    let command = asked.read_request(false).expect("it is tried again");
-    asked.send(&value(&command, "v"));
+    let connection = second.as_mut().unwrap_or(&mut first);
+    let command = connection.read_request(false).expect("it is tried again");
+    connection.send(&hit_response(&command, "v"));
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
 }
 
@@ -53,7 +53,7 @@
 /// complete if the connection ends in an orderly way.
 #[test]
 fn a_response_without_a_length_is_complete_only_at_an_orderly_end() {
-    for resets in [false, true] {
+    for is_reset in [false, true] {
         let node = StubServer::miss_node();
         let origin = AcceptBarrier::new();
         let fixture =
@@ -62,15 +62,15 @@
         client.send("mg a v O1 Pc=read,t=acme,d=900\r\n");
         // For each attempt.
         for _ in 0..3 {
-            let Some(mut asked) = origin.accept_within(ms(500)) else { break };
-            asked.read_request(true).expect("a complete request");
-            asked.send("HTTP/1.1 200 OK\r\nX-Txn: 1\r\n\r\nall");
-            if resets {
-                asked.reset();
+            let Some(mut connection) = origin.accept_within(ms(500)) else { break };
+            connection.read_request(true).expect("a complete request");
+            connection.send("HTTP/1.1 200 OK\r\nX-Txn: 1\r\n\r\nall");
+            if is_reset {
+                connection.reset();
             }
         }
         let line = client.read_line();
-        if resets {
+        if is_reset {
             assert!(line.starts_with("SERVER_ERROR "), "{line:?}");
         } else {
             assert_eq!((line, client.read_line()), ("VA 3 O1\r\n".into(), "all\r\n".into()));
@@ -82,23 +82,24 @@
 /// flight, and the attempt ends only after the restart is known.
 #[test]
 fn a_connection_to_a_node_that_has_restarted_is_not_reused() {
-    let (release, asked) = (Arc::new(AtomicBool::new(false)), AtomicUsize::new(0));
+    let (release, requests) = (Arc::new(AtomicBool::new(false)), AtomicUsize::new(0));
     let is_released = Arc::clone(&release);
     let node = StubServer::node(move |line| {
-        while asked.fetch_add(1, Ordering::SeqCst) == 0 && !is_released.load(Ordering::SeqCst) {
+        while requests.fetch_add(1, Ordering::SeqCst) == 0 && !is_released.load(Ordering::SeqCst) {
             while !is_released.load(Ordering::SeqCst) {
                 std::thread::sleep(ms(2));
             }
         }
-        StubAction::Reply(value(line, "v"))
+        StubAction::Reply(hit_response(line, "v"))
     });
     let fixture = ProxyFixture::new(&[node.entry("s-0", "c6", "ready")]);
     let (_, updates) = fixture.discovery.next_watch();
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=5000\r\n");
     fixture.wait_until("the node is asked", || node.received().len() == 1);
-    let anew = node.entry("s-0", "c6", "ready").replace(r#""startedAtMs":0"#, r#""startedAtMs":1000"#);
-    updates.send(endpoint_list_json(2, false, &[anew])).unwrap();
+    let restarted_node =
+        node.entry("s-0", "c6", "ready").replace(r#""startedAtMs":0"#, r#""startedAtMs":1000"#);
+    updates.send(endpoint_list_json(2, false, &[restarted_node])).unwrap();
     fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
     release.store(true, Ordering::SeqCst);
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
--- a/tests/sockets/races/late.rs
+++ b/tests/sockets/races/late.rs
@@ -20,12 +20,12 @@
     client.send("ms k 5 O1 Pc=put,t=acme,d=4000,k=1\r\nhello\r\n");
     let mut first = origin.accept().expect("the write is sent");
     assert!(first.read_request(true).expect("a complete request").starts_with("PUT /k "));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     origin.close();
     drop(first);
     fixture.wait_until("it is tried again", || fixture.counter("calls_ordered") == 2);
     assert!(client.read_line().starts_with("SERVER_ERROR "), "it cannot be served any more");
-    assert!(begun.elapsed() < ms(2000), "rejected when its window is over: {:?}", begun.elapsed());
+    assert!(started_at.elapsed() < ms(2000), "rejected when its window is over: {:?}", started_at.elapsed());
     origin.open();
     if let Some(mut late) = origin.accept_within(CONNECT_AFTER_OPEN) {
         assert_eq!(late.read_all_within(ms(500)).0, b"", "nothing is sent on it");
@@ -36,7 +36,7 @@
 /// disconnected, while its connection was established.
 #[test]
 fn a_connection_that_is_established_too_late_gets_no_attempt() {
-    for happens in ["drains", "starts anew", "the client leaves"] {
+    for change_during_connect in ["drains", "starts anew", "the client leaves"] {
         let mut node = AcceptBarrier::new();
         node.close();
         let origin = StubServer::origin(|_| StubAction::Ignore);
@@ -48,7 +48,7 @@
         fixture.wait_until("the attempt is decided", || fixture.counter("calls_ordered") == 1);
         let change =
             |lifecycle, started| endpoint_list_json(2, false, &[node.entry("s-0", "c6", lifecycle, started)]);
-        let list = match happens {
+        let list = match change_during_connect {
             "drains" => Some(change("draining", 0)),
             "starts anew" => Some(change("ready", 1_000_000)),
             _ => None,
@@ -65,7 +65,7 @@
         }
         node.open();
         let mut late = node.accept_within(CONNECT_AFTER_OPEN).expect("the connection comes up");
-        assert_eq!(late.read_all_within(ms(300)).0, b"", "{happens}");
+        assert_eq!(late.read_all_within(ms(300)).0, b"", "{change_during_connect}");
         fixture.wait_until("the attempt has ended", || fixture.counter("calls_moot") >= 1);
     }
 }
--- a/tests/sockets/races/lists.rs
+++ b/tests/sockets/races/lists.rs
@@ -12,49 +12,49 @@
 }
 
 /// A proxy whose discovery is controlled by the test, and its first watch there.
-fn moved() -> (ProxyFixture, AcceptBarrier, AcceptedConnection, StubServer) {
+fn fixture_with_controlled_discovery() -> (ProxyFixture, AcceptBarrier, AcceptedConnection, StubServer) {
     let node = StubServer::hit_node("v");
     let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
     let discovery = AcceptBarrier::new();
     fixture.reload(&fixture.discovery.address.to_string(), &discovery.address.to_string());
-    let mut call = discovery.accept().expect("the watch moves");
-    assert!(call.read_request(true).is_some());
-    (fixture, discovery, call, node)
+    let mut poll = discovery.accept().expect("the watch moves");
+    assert!(poll.read_request(true).is_some());
+    (fixture, discovery, poll, node)
 }
 
 /// A change is known in time: the watch falls silent just before it, and the next watch hangs, is
 /// rejected, or breaks; only the one after that delivers it.
 #[test]
 fn a_change_during_a_silent_watch_is_known_in_time_however_the_next_watch_fails() {
-    for next in ["hangs", "is refused", "ends", "trickles"] {
-        let (fixture, discovery, mut watch, node) = moved();
+    for failure in ["hangs", "is refused", "ends", "trickles"] {
+        let (fixture, discovery, mut watch, node) = fixture_with_controlled_discovery();
         assert!(watch.send(HEAD) && watch.send(&chunk("")));
         let silent_since = Instant::now();
-        let mut call = discovery.accept().expect("a silent watch is dead");
-        assert!(call.read_request(true).is_some());
-        match next {
+        let mut poll = discovery.accept().expect("a silent watch is dead");
+        assert!(poll.read_request(true).is_some());
+        match failure {
             "is refused" => {
-                let _ = call.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+                let _ = poll.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             }
             // A head that never ends.
             "trickles" => {
-                let _ = call.send("HTTP/1.1 200 OK\r\nTransfer-");
+                let _ = poll.send("HTTP/1.1 200 OK\r\nTransfer-");
             }
             _ => {}
         }
-        let held = (next != "ends").then_some(call);
-        let mut call = discovery.accept().expect("discovery is polled again");
-        assert!(call.read_request(true).is_some());
+        let open_poll = (failure != "ends").then_some(poll);
+        let mut poll = discovery.accept().expect("discovery is polled again");
+        assert!(poll.read_request(true).is_some());
         assert!(
-            call.send(HEAD)
-                && call.send(&chunk(&endpoint_list_json(2, false, &[node.entry("s-0", "c6", "draining")])))
+            poll.send(HEAD)
+                && poll.send(&chunk(&endpoint_list_json(2, false, &[node.entry("s-0", "c6", "draining")])))
         );
         fixture.wait_until("the list has arrived", || fixture.counter("lists") == 1);
-        assert!(silent_since.elapsed() < CHANGE_KNOWN_WITHIN, "{next}: {:?}", silent_since.elapsed());
+        assert!(silent_since.elapsed() < CHANGE_KNOWN_WITHIN, "{failure}: {:?}", silent_since.elapsed());
         let line = fixture.client().get("k", "1", 300).0;
         assert!(line.starts_with("SERVER_ERROR busy"), "the only node drains: {line}");
-        assert_eq!(node.received(), Vec::<String>::new(), "{next}");
-        drop(held);
+        assert_eq!(node.received(), Vec::<String>::new(), "{failure}");
+        drop(open_poll);
     }
 }
 
@@ -62,15 +62,15 @@
 /// often that hundreds of proxies would overload it.
 #[test]
 fn a_failing_discovery_is_retried_often_enough_and_not_too_often() {
-    let (_scene, discovery, mut call, _) = moved();
-    let mut begun = Vec::new();
+    let (_fixture, discovery, mut poll, _) = fixture_with_controlled_discovery();
+    let mut failed_at = Vec::new();
     for _ in 0..6 {
-        call.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-        begun.push(Instant::now());
-        call = discovery.accept().expect("discovery is polled again");
-        assert!(call.read_request(true).is_some());
+        poll.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+        failed_at.push(Instant::now());
+        poll = discovery.accept().expect("discovery is polled again");
+        assert!(poll.read_request(true).is_some());
     }
-    let gaps: Vec<Duration> = begun.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    let gaps: Vec<Duration> = failed_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
     // Changes at a new address must be known 4 s after SIGHUP.
     assert!(gaps[0] < ms(1500), "{gaps:?}");
     // A poll that hangs until its timeout after such a wait is still followed by another in time.
@@ -87,12 +87,12 @@
     let fixture = ProxyFixture::with_config_change(&entries, r#""Discovery":"ask""#, r#""Discovery":"push""#);
     let agent = AcceptBarrier::new();
     fixture.reload(&fixture.discovery.address.to_string(), &agent.address.to_string());
-    let mut last = Instant::now();
+    let mut last_poll = Instant::now();
     for number in 0..8 {
-        let mut call = agent.accept().expect("it is polled again");
-        assert!(number == 0 || last.elapsed() < ms(900), "call {number}: {:?}", last.elapsed());
-        assert!(call.read_request(true).is_some());
-        last = Instant::now();
+        let mut poll = agent.accept().expect("it is polled again");
+        assert!(number == 0 || last_poll.elapsed() < ms(900), "call {number}: {:?}", last_poll.elapsed());
+        assert!(poll.read_request(true).is_some());
+        last_poll = Instant::now();
     }
 }
 
@@ -106,12 +106,12 @@
     let addresses = [fixture.discovery.address, old.address, new.address].map(|address| address.to_string());
     fixture.reload(&addresses[0], &addresses[1]);
     fixture.wait_until("it has moved", || fixture.counter("watches") == 2);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     fixture.reload(&addresses[1], &addresses[2]);
-    let mut call = new.accept().expect("it moves on");
-    assert!(call.read_request(true).is_some());
+    let mut poll = new.accept().expect("it moves on");
+    assert!(poll.read_request(true).is_some());
     // Changes at the new address must be known 4 s after SIGHUP; a poll may take 1.4 s of that.
-    assert!(begun.elapsed() < ms(2000), "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() < ms(2000), "{:?}", started_at.elapsed());
 }
 
 /// A change that arrives together with the end of its watch is not lost, though no later watch
--- a/tests/sockets/races/mod.rs
+++ b/tests/sockets/races/mod.rs
@@ -11,6 +11,6 @@
 use pinetrail_test_harness::*;
 
 /// The response of a cache node that holds the key.
-fn value(command: &str, value: &str) -> String {
+fn hit_response(command: &str, value: &str) -> String {
     format!("VA {} {}\r\n{value}\r\n", value.len(), opaque(command))
 }
--- a/tests/sockets/requests.rs
+++ b/tests/sockets/requests.rs
@@ -37,10 +37,10 @@
 
 #[test]
 fn a_write_that_the_origin_rejected_is_retried() {
-    let turned = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
-    let asked = std::sync::atomic::AtomicUsize::new(0);
-    let origin = StubServer::origin(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
-        0 => StubAction::Reply(turned.into()),
+    let rejection = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
+    let attempts = std::sync::atomic::AtomicUsize::new(0);
+    let origin = StubServer::origin(move |_| match attempts.fetch_add(1, Ordering::SeqCst) {
+        0 => StubAction::Reply(rejection.into()),
         _ => http_200("r1"),
     });
     let fixture = ProxyFixture::with_backends(&[], &origin);
@@ -52,8 +52,8 @@
 #[test]
 fn a_read_goes_to_another_node_if_one_refuses_connections() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
-    let nowhere = StubServer::unreachable();
-    let fixture = ProxyFixture::with_backends(&[&nowhere, &node], &origin);
+    let unreachable = StubServer::unreachable();
+    let fixture = ProxyFixture::with_backends(&[&unreachable, &node], &origin);
     let mut client = fixture.client();
     for n in 0..20 {
         assert_eq!(client.get(&format!("k{n}"), &n.to_string(), 900).1, "v\r\n");
@@ -66,9 +66,13 @@
 fn a_silent_node_leads_to_a_rejection_in_time_and_loses_its_connection() {
     let (node, origin) = (StubServer::node(|_| StubAction::Ignore), idle_origin());
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let (line, _) = fixture.client().get("k", "1", 300);
-    assert!(begun.elapsed() < ms(600), "at its own deadline, not its class's: {:?}", begun.elapsed());
+    assert!(
+        started_at.elapsed() < ms(600),
+        "at its own deadline, not its class's: {:?}",
+        started_at.elapsed()
+    );
     assert_eq!(line, "SERVER_ERROR busy 500\r\n", "with a Retry-After");
     fixture.wait_until("the attempt is cancelled", || node.disconnected() == 1);
     assert_eq!((fixture.counter("calls_timeout"), node.received().len()), (1, 1));
@@ -134,12 +138,13 @@
     let names = ["node", "s-5be2a07c", "t-5be2a07c"];
     let entries: Vec<String> =
         nodes.iter().zip(names).map(|(node, name)| node.entry(name, "c6", "ready")).collect();
-    let backwards: Vec<String> = entries.iter().rev().cloned().collect();
-    let choices = |fixture: ProxyFixture| -> Vec<String> {
+    let reversed: Vec<String> = entries.iter().rev().cloned().collect();
+    let chosen_nodes = |fixture: ProxyFixture| -> Vec<String> {
         let mut client = fixture.client();
         (0..30).map(|n| client.get(&format!("key{n}"), &n.to_string(), 900).1).collect()
     };
-    let (one, other) = (choices(ProxyFixture::new(&entries)), choices(ProxyFixture::new(&backwards)));
+    let (one, other) =
+        (chosen_nodes(ProxyFixture::new(&entries)), chosen_nodes(ProxyFixture::new(&reversed)));
     assert_eq!(one, other);
     assert!(["0\r\n", "1\r\n", "2\r\n"].iter().all(|name| one.iter().any(|choice| choice == name)));
 }
@@ -150,16 +155,16 @@
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
-    let mut ask = |from: u32| {
+    let mut send_reads = |from: u32| {
         for n in from..from + 1000 {
             assert_eq!(client.get("k", &n.to_string(), 50_000).1, "v\r\n");
             sleep(ms(1));
         }
     };
-    ask(0);
+    send_reads(0);
     let before = fixture.memory_mb();
     for n in 1..4 {
-        ask(n * 1000);
+        send_reads(n * 1000);
     }
     assert!(fixture.memory_mb() <= before + 8, "from {before} to {} MB", fixture.memory_mb());
 }
@@ -189,13 +194,13 @@
     for round in 0..2 {
         let mut clients: Vec<(Client, usize)> = (0..48).map(|number| (fixture.client(), number)).collect();
         for (client, number) in &mut clients {
-            let ask = |n: usize| {
+            let read_command = |n: usize| {
                 format!(
                     "mg k{number}.{n} v O{round}.{number}.{n} Pc=read,t=acme,d={}\r\n",
                     20 + n * 48 + *number
                 )
             };
-            client.send(&(0..60).map(ask).collect::<String>());
+            client.send(&(0..60).map(read_command).collect::<String>());
         }
         for (client, _) in &mut clients {
             for _ in 0..60 {
--- a/tests/sockets/settings.rs
+++ b/tests/sockets/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 /// Serves a read and a write by settings with these texts replaced.
-fn serves(changes: &[(&str, &str)], read: &str, write: &str, tenant: &str) {
+fn assert_serves(changes: &[(&str, &str)], read: &str, write: &str, tenant: &str) {
     let node = StubServer::hit_node("v");
     let origin = StubServer::origin(|_| http_200("r1"));
     let entries = [node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready")];
@@ -15,15 +15,15 @@
     assert_eq!((line.as_str(), client.read_line().as_str()), ("VA 1 O1\r\n", "v\r\n"), "{changes:?}");
     let line = client.request(&format!("ms k 2 O2 Pc={write}{tenant},d=900,k=5\r\nhi\r\n"));
     assert_eq!(line, "HD O2 cr1\r\n", "{changes:?}");
-    let passed = origin.received().concat();
-    assert!(passed.contains(&format!("X-Labels: c={write}{tenant},d=")), "unchanged: {passed}");
+    let forwarded = origin.received().concat();
+    assert!(forwarded.contains(&format!("X-Labels: c={write}{tenant},d=")), "unchanged: {forwarded}");
 }
 
 /// The program does not depend on the names and limits of one deployment.
 #[test]
 fn other_names_limits_of_one_and_absent_fields_are_served() {
-    serves(&[], "read", "put", ",t=acme");
-    serves(
+    assert_serves(&[], "read", "put", ",t=acme");
+    assert_serves(
         &[
             (r#""Name":"read""#, r#""Name":"zapytań=1""#),
             (r#""Name":"put""#, r#""Name":"書く""#),
@@ -34,7 +34,7 @@
         ",t=ł#/%",
     );
     // No tenants, zones or machine types but the origin's; a zone and types that no setting names.
-    serves(
+    assert_serves(
         &[
             (r#""Orgs":[{"Name":"acme"}],"#, ""),
             (r#""Zones":["a"],"#, ""),
@@ -47,7 +47,7 @@
         "put",
         "",
     );
-    serves(
+    assert_serves(
         &[
             (r#""MaxAttempts":3"#, r#""MaxAttempts":1"#),
             (r#""RepeatWindow":5000.0"#, r#""RepeatWindow":1.0"#),
@@ -71,9 +71,9 @@
     let node = StubServer::node(|_| StubAction::Ignore);
     let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
     for (n, d) in [0, 1, 5, 30, 150].into_iter().enumerate() {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let line = fixture.client().request(&format!("mg k v O{n} Pc=read,t=acme,d={d}\r\n"));
         assert!(line.starts_with("SERVER_ERROR "), "{d}: {line}");
-        assert!(begun.elapsed() < ms(d + 400), "{d}: {:?}", begun.elapsed());
+        assert!(started_at.elapsed() < ms(d + 400), "{d}: {:?}", started_at.elapsed());
     }
 }
--- a/tests/sockets/shutdown.rs
+++ b/tests/sockets/shutdown.rs
@@ -48,7 +48,7 @@
     let (mut kept, mut slow) = (fixture.client(), fixture.client());
     assert_eq!((kept.request("mn\r\n"), slow.request("mn\r\n")), ("MN\r\n".into(), "MN\r\n".into()));
     fixture.signal("TERM");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     sleep(ms(800));
     assert!(std::net::TcpStream::connect(fixture.client_address).is_err(), "it still listens");
     assert_eq!(kept.get("k", "1", 900).1, "v\r\n");
@@ -58,5 +58,5 @@
     assert!(slow.read_line().starts_with("SERVER_ERROR "));
     assert_eq!((kept.read_line(), slow.read_line()), (String::new(), String::new()));
     let output = fixture.wait_for_exit();
-    assert!(output.status.success() && begun.elapsed() < ms(3000), "{:?}", begun.elapsed());
+    assert!(output.status.success() && started_at.elapsed() < ms(3000), "{:?}", started_at.elapsed());
 }
--- a/tests/sockets/starts.rs
+++ b/tests/sockets/starts.rs
@@ -12,12 +12,12 @@
 #[test]
 fn processes_started_together_are_ready_without_discovery() {
     let node = StubServer::hit_node("v");
-    let (mut shut, hangs) = (AcceptBarrier::new(), TcpListener::bind("127.0.0.1:0").unwrap());
-    shut.close();
+    let (mut closed, hanging) = (AcceptBarrier::new(), TcpListener::bind("127.0.0.1:0").unwrap());
+    closed.close();
     let addresses =
-        ["127.0.0.1:1".to_owned(), shut.address.to_string(), hangs.local_addr().unwrap().to_string()];
+        ["127.0.0.1:1".to_owned(), closed.address.to_string(), hanging.local_addr().unwrap().to_string()];
     let entries = [node.entry("s-0", "c6", "ready"), node.entry("o", "origin", "ready")];
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let processes: Vec<_> = (0..12)
         .map(|n| {
             let listen = format!("127.0.0.1:{}", free_port());
@@ -26,7 +26,7 @@
         })
         .collect();
     for (_, address) in &processes {
-        let until = begun + READY_TIMEOUT;
+        let until = started_at + READY_TIMEOUT;
         while Client::try_connect(*address)
             .is_none_or(|mut client| !client.try_send("mn\r\n") || client.read_line() != "MN\r\n")
         {
@@ -53,8 +53,8 @@
     let node = StubServer::hit_node("v");
     let entries = [node.entry("s-0", "c6", "ready"), node.entry("o", "origin", "ready")];
     let fixture = ProxyFixture::with_sockets(&entries, 64);
-    let down = format!("127.0.0.1:{}", free_port());
-    fixture.reload(&fixture.discovery.address.to_string(), &down);
+    let down_address = format!("127.0.0.1:{}", free_port());
+    fixture.reload(&fixture.discovery.address.to_string(), &down_address);
     fixture.wait_until("the watch is lost", || fixture.counter("watches_failed") > 0);
     let mut first = fixture.client();
     assert_eq!(first.get("k", "1", 900).1, "v\r\n");
@@ -63,17 +63,17 @@
     for client in &mut idle {
         client.send("mn\r\n");
     }
-    let back = TcpListener::bind(&down).unwrap();
-    let begun = Instant::now();
-    back.set_nonblocking(true).unwrap();
-    while back.accept().is_err() {
-        assert!(begun.elapsed() < Duration::from_secs(6), "discovery is back, and is not polled");
+    let restored = TcpListener::bind(&down_address).unwrap();
+    let started_at = Instant::now();
+    restored.set_nonblocking(true).unwrap();
+    while restored.accept().is_err() {
+        assert!(started_at.elapsed() < Duration::from_secs(6), "discovery is back, and is not polled");
         std::thread::sleep(ms(5));
     }
     assert_eq!(call_admin(fixture.admin_address, "GET", "/control/ready").0, 200);
     // The first connection may have been evicted.
-    let answer = fixture.client().get("k", "2", 2000).1;
-    assert_eq!(answer, "v\r\n");
+    let response = fixture.client().get("k", "2", 2000).1;
+    assert_eq!(response, "v\r\n");
 }
 
 #[test]
@@ -85,7 +85,7 @@
         )
     };
     let origin = || node("o", "ready", "1.0", "0").replace("c6", "origin");
-    let known =
+    let config_with_entries =
         |entries: &[String]| config("127.0.0.1:0", "127.0.0.1:1", 256, &endpoint_list_json(1, true, entries));
     let bad = [
         ("{".to_owned(), "EOF"),
@@ -110,21 +110,34 @@
         // Too large for a `Duration`: it would panic at a start, and at a reload.
         (good.replace(r#""ConnectTimeout":250.0"#, r#""ConnectTimeout":1e300"#), "ConnectTimeout"),
         (
-            known(&[node("s-0", "ready", "1.0", "0"), node("s-0", "ready", "1.0", "0"), origin()]),
+            config_with_entries(&[
+                node("s-0", "ready", "1.0", "0"),
+                node("s-0", "ready", "1.0", "0"),
+                origin(),
+            ]),
             "given once",
         ),
-        (known(&[node("s-0", "ready", "1.0", "0")]), "with the origin"),
-        (known(&[node("s-0", "asleep", "1.0", "0"), origin()]), "known.instances[0].lifecycle"),
-        (known(&[origin(), node("s-0", "ready", "-1.0", "0")]), "known.instances[1].weight"),
-        (known(&[origin(), node("s-0", "ready", "1e300", "0")]), "known.instances[1].weight"),
-        (known(&[origin(), node("s-0", "ready", "1.0", "-5")]), "known.instances[1].startedAtMs"),
-        (known(&[origin(), node("s-0", "ready", "1.0", "0").replace("127.0.0.1:1", "there")]), "hostPort"),
-        (known(&[r#"{"instanceId":"s-0","lifecycle":"ready"}"#.to_owned()]), "hostPort"),
+        (config_with_entries(&[node("s-0", "ready", "1.0", "0")]), "with the origin"),
+        (config_with_entries(&[node("s-0", "asleep", "1.0", "0"), origin()]), "known.instances[0].lifecycle"),
+        (config_with_entries(&[origin(), node("s-0", "ready", "-1.0", "0")]), "known.instances[1].weight"),
+        (config_with_entries(&[origin(), node("s-0", "ready", "1e300", "0")]), "known.instances[1].weight"),
+        (
+            config_with_entries(&[origin(), node("s-0", "ready", "1.0", "-5")]),
+            "known.instances[1].startedAtMs",
+        ),
+        (
+            config_with_entries(&[
+                origin(),
+                node("s-0", "ready", "1.0", "0").replace("127.0.0.1:1", "there"),
+            ]),
+            "hostPort",
+        ),
+        (config_with_entries(&[r#"{"instanceId":"s-0","lifecycle":"ready"}"#.to_owned()]), "hostPort"),
     ];
-    for (text, names) in bad {
+    for (text, expected_text) in bad {
         let output = wait_for_exit(start_proxy(&text));
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!((output.status.code(), log.lines().count()), (Some(2), 1), "{log}");
-        assert!(log.starts_with("pinetrail: cannot start: ") && log.contains(names), "{log}");
+        assert!(log.starts_with("pinetrail: cannot start: ") && log.contains(expected_text), "{log}");
     }
 }
--- a/tests/sockets/upgrades.rs
+++ b/tests/sockets/upgrades.rs
@@ -16,16 +16,16 @@
 /// commands.
 struct Load {
     stop: Arc<AtomicBool>,
-    asked: Arc<AtomicUsize>,
+    answered: Arc<AtomicUsize>,
     clients: Vec<std::thread::JoinHandle<()>>,
 }
 
 impl Load {
-    fn on(fixture: &ProxyFixture, clients: usize) -> Load {
-        let (stop, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    fn start(fixture: &ProxyFixture, clients: usize) -> Load {
+        let (stop, answered) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
         let address = fixture.client_address;
         let run = |number: usize| {
-            let (stop, asked) = (Arc::clone(&stop), Arc::clone(&asked));
+            let (stop, answered) = (Arc::clone(&stop), Arc::clone(&answered));
             spawn(move || {
                 let mut client = Client::connect(address);
                 for n in 0.. {
@@ -35,37 +35,38 @@
                     let id = format!("{number}.{n}");
                     // A command that crosses the close of its connection is not read, and is sent
                     // once more.
-                    let mut answer = client.try_get(&id);
-                    if answer.is_none() {
+                    let mut response = client.try_get(&id);
+                    if response.is_none() {
                         client = Client::connect(address);
-                        answer = client.try_get(&format!("{id}r"));
+                        response = client.try_get(&format!("{id}r"));
                     }
-                    assert_eq!(answer.as_deref(), Some("v\r\n"), "{id}");
-                    asked.fetch_add(1, Ordering::SeqCst);
+                    assert_eq!(response.as_deref(), Some("v\r\n"), "{id}");
+                    answered.fetch_add(1, Ordering::SeqCst);
                     sleep(ms(3));
                 }
             })
         };
         let clients = (0..clients).map(run).collect();
-        Load { stop, asked, clients }
+        Load { stop, answered, clients }
     }
 
-    fn end(self) -> usize {
+    fn stop(self) -> usize {
         self.stop.store(true, Ordering::SeqCst);
         for client in self.clients {
             client.join().expect("every command is answered");
         }
-        self.asked.load(Ordering::SeqCst)
+        self.answered.load(Ordering::SeqCst)
     }
 }
 
 /// No command is lost or executed twice in a hot restart, and nodes stay in maintenance.
 #[test]
 fn three_hot_restarts_lose_no_request_and_keep_maintenance() {
-    let (node, out, origin) = (StubServer::hit_node("v"), StubServer::hit_node("out"), idle_origin());
-    let mut fixture = ProxyFixture::with_backends(&[&node, &out], &origin);
+    let (node, offline_node, origin) =
+        (StubServer::hit_node("v"), StubServer::hit_node("out"), idle_origin());
+    let mut fixture = ProxyFixture::with_backends(&[&node, &offline_node], &origin);
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-1/offline").0, 200);
-    let load = Load::on(&fixture, 8);
+    let load = Load::start(&fixture, 8);
     for _ in 0..3 {
         let second = fixture.start_second_process();
         // The commands of both admin servers apply to both processes.
@@ -82,18 +83,18 @@
         assert!(wait_for_exit(first).status.success());
         sleep(ms(100));
     }
-    let asked = load.end();
+    let answered = load.stop();
     let ids: std::collections::BTreeSet<String> =
         node.received().iter().map(|line| opaque(line).to_owned()).collect();
     assert_eq!(node.received().len(), ids.len(), "nothing runs twice");
-    assert!(ids.len() >= asked && asked > 100, "{asked} of {}", ids.len());
-    assert!(out.received().is_empty(), "in maintenance before, during and after");
+    assert!(ids.len() >= answered && answered > 100, "{answered} of {}", ids.len());
+    assert!(offline_node.received().is_empty(), "in maintenance before, during and after");
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-1/online").0, 200);
     let mut client = fixture.client();
     for n in 0..40 {
         assert!(client.get(&format!("j{n}"), &format!("j{n}"), 900).0.starts_with("VA "));
     }
-    assert!(!out.received().is_empty(), "it serves again");
+    assert!(!offline_node.received().is_empty(), "it serves again");
 }
 
 /// No client waits for a second process that dies, and the next hot restart succeeds.
@@ -101,21 +102,22 @@
 fn a_second_process_that_fails_leaves_the_first_one_unchanged() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
     let mut fixture = ProxyFixture::with_backends(&[&node], &origin);
-    let taken = format!(r#""admin":"{}""#, fixture.admin_address);
-    for (from, to, names) in
-        [(r#""admin":"127.0.0.1:0""#, taken.as_str(), "endpoint:"), (r#""Grades""#, r#""Grates""#, "Grades")]
-    {
+    let admin_in_use = format!(r#""admin":"{}""#, fixture.admin_address);
+    for (from, to, expected_text) in [
+        (r#""admin":"127.0.0.1:0""#, admin_in_use.as_str(), "endpoint:"),
+        (r#""Grades""#, r#""Grates""#, "Grades"),
+    ] {
         let output = wait_for_exit(fixture.start_second_process_with(from, to));
         assert_eq!(output.status.code(), Some(2));
-        assert!(String::from_utf8_lossy(&output.stderr).contains(names));
-        assert_eq!(fixture.client().get("k", names, 900).1, "v\r\n");
+        assert!(String::from_utf8_lossy(&output.stderr).contains(expected_text));
+        assert_eq!(fixture.client().get("k", expected_text, 900).1, "v\r\n");
     }
     // Killed at different times before and after it is ready.
-    for wait in [0, 5, 20, 60] {
+    for wait_ms in [0, 5, 20, 60] {
         let child = fixture.start_second_process_with("n0", "n0");
-        sleep(ms(wait));
+        sleep(ms(wait_ms));
         kill(child);
-        assert_eq!(fixture.client().get("k", &wait.to_string(), 900).1, "v\r\n");
+        assert_eq!(fixture.client().get("k", &wait_ms.to_string(), 900).1, "v\r\n");
     }
     let (second, _) = fixture.start_second_process();
     let third = wait_for_exit(fixture.start_second_process_with("n0", "n0"));
