--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,9 +1,10 @@
-//! Faults of the system, for tests of real processes: preloaded (`LD_PRELOAD`) into a proxy, this
-//! library replaces some functions of the C library. The faults, and the step of the wall clock,
-//! are read from a file that the test changes while the proxy runs. Read [`FaultControl`] first.
+//! Injects system-call errors and a wall-clock offset into a real proxy under test. Preloaded with
+//! `LD_PRELOAD`, this library replaces some functions of the C library. The proxy reads the errors
+//! and the offset from a file that the test changes while the proxy runs. Read [`FaultControl`]
+//! first.
 //!
-//! Each replacement makes the system call by its number unless it injects a fault. `unsafe` is
-//! needed only for that, and for the file that is mapped into memory.
+//! Each replacement makes the system call by its number unless it injects an error. `unsafe` is
+//! needed only for these calls and for mapping the file into memory.
 
 #![allow(unsafe_code)]
 
@@ -12,52 +13,53 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicI32, AtomicI64, AtomicPtr, Ordering};
 
-/// The environment variable that names the control file.
+/// Name of the environment variable that holds the path of the control file.
 pub const CONTROL_FILE_VARIABLE: &str = "PINETRAIL_FAULTS";
 
 const CONTROL_FILE_BYTES: usize = size_of::<ControlFile>();
 
-/// The content of the control file, which test and proxy share.
+/// The content of the control file, which the test and the proxy map into memory.
 #[repr(C)]
 struct ControlFile {
-    /// Added to the wall clock, in ms.
+    /// Offset that is added to the wall clock, in ms.
     wall_clock_offset_ms: AtomicI64,
-    /// The error of each call, 0 for none.
+    /// `errno` with which `accept4` fails; 0 if it does not fail.
     accept_error: AtomicI32,
+    /// `errno` with which `connect` fails; 0 if it does not fail.
     connect_error: AtomicI32,
 }
 
-/// The test's end of a control file.
+/// Sets the faults of a proxy under test through its control file.
 pub struct FaultControl(&'static ControlFile);
 
 impl FaultControl {
-    /// Makes a file without faults, and opens it.
+    /// Creates a control file without faults and maps it into memory.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// If the file cannot be written, opened or mapped.
     pub fn create(path: &Path) -> std::io::Result<FaultControl> {
         std::fs::write(path, [0; CONTROL_FILE_BYTES])?;
         map_control_file(path).map(FaultControl)
     }
 
-    /// Ends all faults.
+    /// Removes all errors and the wall-clock offset.
     pub fn clear_faults(&self) {
         self.set_wall_clock_offset(0);
         self.fail_accept(0);
         self.fail_connect(0);
     }
 
-    /// Sets the wall clock of the proxy to `ms` after its true time.
+    /// Sets the proxy's wall clock `ms` milliseconds ahead of the true time; behind it if negative.
     pub fn set_wall_clock_offset(&self, ms: i64) {
         self.0.wall_clock_offset_ms.store(ms, Ordering::SeqCst);
     }
 
-    /// Lets each `accept` fail with this error; 0 ends that.
+    /// Makes each `accept4` of the proxy fail with this `errno`; 0 lets the calls succeed again.
     pub fn fail_accept(&self, error: c_int) {
         self.0.accept_error.store(error, Ordering::SeqCst);
     }
 
-    /// Lets each `connect` fail with this error; 0 ends that.
+    /// Makes each `connect` of the proxy fail with this `errno`; 0 lets the calls succeed again.
     pub fn fail_connect(&self, error: c_int) {
         self.0.connect_error.store(error, Ordering::SeqCst);
     }
@@ -65,7 +67,8 @@
 
 fn map_control_file(path: &Path) -> std::io::Result<&'static ControlFile> {
     let file = std::fs::File::options().read(true).write(true).open(path)?;
-    // SAFETY: the file has the size of `ControlFile`, whose fields are atomic; it stays mapped.
+    // SAFETY: the file has the size of `ControlFile`, whose fields are atomic, and is never
+    // unmapped.
     let mapped = unsafe {
         let protection = libc::PROT_READ | libc::PROT_WRITE;
         libc::mmap(
@@ -80,11 +83,11 @@
     if mapped == libc::MAP_FAILED {
         return Err(std::io::Error::last_os_error());
     }
-    // SAFETY: as above; every bit pattern is a value of its fields.
+    // SAFETY: as above; every bit pattern is a valid value of the fields.
     Ok(unsafe { &*mapped.cast::<ControlFile>() })
 }
 
-/// The faults of this process; none if it has no control file.
+/// Returns the faults of this process; `None` if no control file can be mapped.
 fn active_faults() -> Option<&'static ControlFile> {
     static MAPPED: AtomicPtr<ControlFile> = AtomicPtr::new(std::ptr::null_mut());
     static NONE: ControlFile = ControlFile {
@@ -94,31 +97,33 @@
     };
     let mut mapped = MAPPED.load(Ordering::Acquire);
     if mapped.is_null() {
-        // The calls that map the file meet no fault.
+        // Mapping the file calls replaced functions: these must find no faults, and must not
+        // start to map the file again.
         MAPPED.store(std::ptr::from_ref(&NONE).cast_mut(), Ordering::Release);
         let path = env_variable(CONTROL_FILE_VARIABLE)?;
         let found = map_control_file(Path::new(&path)).ok()?;
         mapped = std::ptr::from_ref(found).cast_mut();
         MAPPED.store(mapped, Ordering::Release);
     }
-    // SAFETY: it comes from a reference that lives as long as the program.
+    // SAFETY: the pointer comes from a reference that lives as long as the program.
     Some(unsafe { &*mapped })
 }
 
-/// An environment variable, read without a lock, since any code may call this.
+/// Reads an environment variable without the lock of the standard library, since any code may call
+/// the replaced functions.
 fn env_variable(name: &str) -> Option<String> {
     let name = CString::new(name).ok()?;
-    // SAFETY: the name ends with a zero; the value is copied at once.
+    // SAFETY: the name ends with a NUL byte; the value is copied at once.
     let value = unsafe { libc::getenv(name.as_ptr()) };
     if value.is_null() {
         return None;
     }
-    // SAFETY: `getenv` returned a string.
+    // SAFETY: `getenv` returned a string that ends with a NUL byte.
     unsafe { std::ffi::CStr::from_ptr(value) }.to_str().ok().map(str::to_owned)
 }
 
-/// The error with which a call fails; 0 for none. Every second interruption is left out, since the
-/// standard library repeats an interrupted call at once until it is not interrupted.
+/// Returns the `errno` with which a call fails; 0 if it is to succeed. Every second `EINTR` is
+/// skipped, since the standard library repeats an interrupted call until it is not interrupted.
 fn injected_error(read: impl Fn(&ControlFile) -> &AtomicI32) -> c_int {
     static INTERRUPTIONS: AtomicI32 = AtomicI32::new(0);
     let error = active_faults().map_or(0, |control| read(control).load(Ordering::SeqCst));
@@ -130,23 +135,23 @@
     }
 }
 
-/// Returns like a system call that failed with this error.
+/// Sets `errno` and returns -1, as a failed function of the C library does.
 fn fail_with(error: c_int) -> c_int {
-    // SAFETY: it is the address of this thread's own variable.
+    // SAFETY: the pointer is the address of this thread's own `errno`.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// Converts the result of `syscall` to that of the C library's function.
+/// Converts the result of `syscall` to the type that the C library's functions return.
 fn to_c_int(result: c_long) -> c_int {
     // These calls return descriptors, 0 or -1.
     result as c_int
 }
 
-/// Replaces the function of the C library.
+/// Replaces `clock_gettime` of the C library: adds the offset to the time of the wall clock.
 ///
 /// # Safety
-/// As for that function.
+/// The requirements of the replaced function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
     // SAFETY: the arguments are passed on unchanged.
@@ -154,16 +159,16 @@
     if result == 0 && clock == libc::CLOCK_REALTIME {
         let offset_ms =
             active_faults().map_or(0, |control| control.wall_clock_offset_ms.load(Ordering::SeqCst));
-        // SAFETY: the system has just written there.
+        // SAFETY: the kernel has just written to this address.
         unsafe { (*time).tv_sec += offset_ms / 1000 };
     }
     to_c_int(result)
 }
 
-/// Replaces the function of the C library.
+/// Replaces `accept4` of the C library: fails if the control file says so.
 ///
 /// # Safety
-/// As for that function.
+/// The requirements of the replaced function.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -178,10 +183,10 @@
     }
 }
 
-/// Replaces the function of the C library.
+/// Replaces `connect` of the C library: fails if the control file says so.
 ///
 /// # Safety
-/// As for that function.
+/// The requirements of the replaced function.
 #[no_mangle]
 pub unsafe extern "C" fn connect(
     socket: c_int,
--- a/crates/fault-shim/tests/system_faults.rs
+++ b/crates/fault-shim/tests/system_faults.rs
@@ -1,4 +1,4 @@
-//! Real proxies whose system calls fail and whose wall clock is set.
+//! Tests of real proxies whose `accept` or `connect` calls fail, or whose wall clock is set.
 
 use pinetrail_fault_shim::{FaultControl, CONTROL_FILE_VARIABLE};
 use pinetrail_test_harness::*;
@@ -7,7 +7,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// The proxy serves again within this time after the end of a fault.
+/// Longest time from the end of a fault until the proxy serves again.
 const RECOVERY_TIME: Duration = Duration::from_secs(1);
 const HOUR_MS: i64 = 3_600_000;
 
@@ -15,8 +15,9 @@
     Duration::from_millis(count)
 }
 
-/// Has proxies started with the library preloaded. All tests of this program share one control
-/// file: they run one after the other.
+/// Makes the harness start proxies with the library preloaded, and returns their control file
+/// without faults. All tests of this program share the file, so the lock that this returns makes
+/// them run one after the other.
 fn control() -> MutexGuard<'static, FaultControl> {
     static CONTROL: OnceLock<Mutex<FaultControl>> = OnceLock::new();
     let control = CONTROL.get_or_init(|| {
@@ -24,22 +25,23 @@
         let control = FaultControl::create(&file).unwrap();
         let test = std::env::current_exe().unwrap();
         let folder = test.parent().and_then(Path::parent).unwrap();
-        // Uplifted beside the programs by a build, left among the dependencies by a test.
+        // `cargo build` copies the library to the folder of the programs; `cargo test` leaves it
+        // in the folder of the test.
         let library = test.with_file_name("libpinetrail_fault_shim.so");
-        assert!(library.exists(), "{} is built with this test", library.display());
+        assert!(library.exists(), "{} was not built with this test", library.display());
         let preload = format!("LD_PRELOAD={}", library.display());
         let faults = format!("{CONTROL_FILE_VARIABLE}={}", file.display());
         let proxy = folder.join("pinetrail").display().to_string();
         set_program(PathBuf::from("/usr/bin/env"), &[&preload, &faults, &proxy]);
         Mutex::new(control)
     });
-    // A failed test may have left its fault active.
+    // A test that failed may have left its fault active.
     let control = control.lock().unwrap_or_else(PoisonError::into_inner);
     control.clear_faults();
     control
 }
 
-/// Whether a new connection is answered within a time.
+/// Returns whether the proxy answers a command on a new connection within a time.
 fn answers_new_connections_within(fixture: &ProxyFixture, time: Duration) -> bool {
     let until = Instant::now() + time;
     while Instant::now() < until {
@@ -52,27 +54,32 @@
     false
 }
 
-/// A listener is not lost when `accept` fails.
+/// Guards against a listener that stops accepting connections after an error of `accept`.
 #[test]
 fn a_proxy_accepts_again_after_each_error_of_accept() {
     let control = control();
     let origin = StubServer::origin(|_| StubAction::Ignore);
     let fixture = ProxyFixture::with_backends(&[&StubServer::hit_node("v")], &origin);
     let mut held = fixture.client();
-    assert_eq!(held.request("mn\r\n"), "MN\r\n", "it is accepted");
+    assert_eq!(held.request("mn\r\n"), "MN\r\n", "the connection is accepted before the fault");
     for error in [libc::ECONNABORTED, libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::EINTR, libc::EPROTO] {
         control.fail_accept(error);
-        // It enters the queue, and wakes the acceptor.
+        // Enters the listener's queue, and so makes the proxy call `accept`.
         let waiting = Client::try_connect(fixture.client_address);
         sleep(ms(200));
-        assert_eq!(held.get("k", &format!("held{error}"), 900).1, "v\r\n", "error {error}");
+        assert_eq!(
+            held.get("k", &format!("held{error}"), 900).1,
+            "v\r\n",
+            "errno {error}: the open connection is not served"
+        );
         control.fail_accept(0);
-        assert!(answers_new_connections_within(&fixture, RECOVERY_TIME), "error {error}");
+        assert!(answers_new_connections_within(&fixture, RECOVERY_TIME), "errno {error}: not accepting");
         drop(waiting);
     }
 }
 
-/// Requests get a response while no connection can be made, and nodes are used again after it.
+/// Guards against requests without a response while `connect` fails, and against nodes that stay
+/// unused after it succeeds again.
 #[test]
 fn requests_are_answered_while_connect_fails_and_served_after_it() {
     let control = control();
@@ -84,21 +91,22 @@
         for number in 0..2 {
             let begun = Instant::now();
             let (line, _) = client.get("k", &format!("failing{number}"), 700);
-            assert!(line.starts_with("SERVER_ERROR "), "error {error}: {line:?}");
-            assert!(begun.elapsed() < ms(2000), "error {error}: {:?}", begun.elapsed());
+            assert!(line.starts_with("SERVER_ERROR "), "errno {error}: {line:?}");
+            assert!(begun.elapsed() < ms(2000), "errno {error}: answered after {:?}", begun.elapsed());
         }
         control.fail_connect(0);
         let until = Instant::now() + WAIT_TIMEOUT;
         let mut number = 0;
         while client.get("k", &format!("after{number}"), 900).1 != "v\r\n" {
             number += 1;
-            assert!(Instant::now() < until, "error {error}: the node is not used again");
+            assert!(Instant::now() < until, "errno {error}: the node is not used again");
             sleep(ms(20));
         }
     }
 }
 
-/// Requests keep their deadlines while the wall clock is set, since durations do not depend on it.
+/// Guards against deadlines that move when the wall clock is set: time limits must be measured on
+/// the monotonic clock.
 #[test]
 fn deadlines_hold_while_the_wall_clock_is_set() {
     let control = control();
@@ -113,13 +121,14 @@
         control.set_wall_clock_offset(offset_ms);
         assert!(client.read_line().starts_with("SERVER_ERROR "));
         let took = begun.elapsed();
-        assert!(took >= ms(400) && took < ms(5000), "offset {offset_ms} ms: {took:?}");
+        assert!(took >= ms(400) && took < ms(5000), "offset {offset_ms} ms: answered after {took:?}");
         control.set_wall_clock_offset(0);
     }
-    assert_eq!(fixture.counter("overdue"), 0, "no fallback was needed");
+    assert_eq!(fixture.counter("overdue"), 0, "a request was ended by the check for overdue requests");
 }
 
-/// A node that restarts after all wall clocks were set back still counts as warming up.
+/// Guards against a node that counts as warm after a restart because the wall clocks of the proxy
+/// and the node were set back before.
 #[test]
 fn a_node_that_restarts_after_the_clock_was_set_back_is_warming_up() {
     let control = control();
--- a/crates/test-harness/src/arrival.rs
+++ b/crates/test-harness/src/arrival.rs
@@ -1,7 +1,8 @@
-//! A TCP stream that reports when the bytes that were read arrived: [`ArrivalStream`].
+//! Measures when the bytes of a TCP stream arrived, with the receive timestamps of the kernel. Read
+//! [`ArrivalStream`] first.
 //!
-//! A stub that reads its clock after a read measures its own delay too: its thread may have waited
-//! for a processor. The kernel records the arrival of a segment when its sender writes it.
+//! A stub that reads its clock after a read also measures its own delay, since its thread may have
+//! waited for a processor. On loopback the kernel timestamps a segment when its sender writes it.
 
 use nix::errno::Errno;
 use nix::sys::socket::{recv, recvmsg, setsockopt, sockopt, ControlMessageOwned, MsgFlags};
@@ -12,34 +13,34 @@
 use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The time that a thread has waited for a processor is in this file.
+/// File that shows, among others, how long the reading thread has waited for a processor.
 const SCHEDSTAT_PATH: &str = "/proc/thread-self/schedstat";
-/// How long the kernel may take to begin recording.
+/// Longest time until the kernel begins to timestamp segments.
 const START_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most that is discarded by one read.
+/// Number of bytes that one read discards at most.
 const DISCARD_SIZE_BYTES: usize = 256;
-/// How often the two clocks are read together. An interruption between the two falsifies a reading,
-/// so the shortest counts.
+/// Number of times that the monotonic clock and the wall clock are read together. An interruption
+/// between the two falsifies a reading, so the shortest one is used.
 const CLOCK_READINGS: usize = 3;
 
-/// A TCP stream that reports when the bytes that were read last, or its end, arrived.
+/// A TCP stream that reports when the bytes of the last read, or the end of the stream, arrived.
 #[derive(Debug)]
 pub struct ArrivalStream {
     stream: TcpStream,
     last_arrival: Instant,
-    /// Whether the kernel told the time of the last arrival.
+    /// Whether the kernel gave a timestamp for the bytes of the last read.
     is_timestamped: bool,
 }
 
-/// Has the kernel record arrivals on all connections that a listener accepts, also of bytes that
-/// arrive before a connection is accepted. It does so when this returns.
+/// Makes the kernel timestamp the bytes on all connections that a listener accepts, including bytes
+/// that arrive before the connection is accepted. Returns once the kernel does so.
 ///
 /// # Errors
-/// If the kernel does not support it, or does not begin in time.
+/// If the kernel does not support receive timestamps, or does not begin in time.
 pub fn record_arrivals(listener: &TcpListener) -> io::Result<()> {
     setsockopt(listener, sockopt::ReceiveTimestampns, &true)?;
     let until = Instant::now() + START_TIMEOUT;
-    // The kernel begins some time after the first socket has asked for it.
+    // The kernel begins some time after the first socket has enabled timestamps.
     while !timestamps_arrivals()? {
         if Instant::now() > until {
             return Err(io::ErrorKind::TimedOut.into());
@@ -48,7 +49,7 @@
     Ok(())
 }
 
-/// Whether the kernel records the arrival of a byte.
+/// Returns whether the kernel timestamps a byte that is sent over loopback now.
 fn timestamps_arrivals() -> io::Result<bool> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let mut writer = TcpStream::connect(listener.local_addr()?)?;
@@ -62,20 +63,20 @@
     /// Wraps a connected stream.
     ///
     /// # Errors
-    /// If the kernel does not record arrivals.
+    /// If the kernel does not support receive timestamps.
     pub fn new(stream: TcpStream) -> io::Result<ArrivalStream> {
         setsockopt(&stream, sockopt::ReceiveTimestampns, &true)?;
         Ok(ArrivalStream { stream, last_arrival: Instant::now(), is_timestamped: false })
     }
 
-    /// When the bytes that the last read returned arrived. If it found the end of the stream or an
-    /// error: when this thread was woken for it.
+    /// Returns when the bytes of the last read arrived. If the read found the end of the stream or
+    /// an error, returns when this thread was woken for it.
     pub fn last_arrival(&self) -> Instant {
         self.last_arrival
     }
 
-    /// Waits for a time, or until the end of the stream arrives; returns when it arrived. Bytes that
-    /// arrive meanwhile are discarded.
+    /// Waits until the end of the stream arrives, for at most `time`; returns when the end arrived.
+    /// Discards bytes that arrive before it.
     pub fn wait_for_end(&mut self, time: Duration) -> Option<Instant> {
         let until = Instant::now() + time;
         loop {
@@ -92,19 +93,19 @@
         }
     }
 
-    /// Whether something to read, or the end, arrives within a time.
+    /// Returns whether bytes or the end of the stream arrive within `time`.
     fn is_readable_within(&self, time: Duration) -> bool {
         let timeout = Timespec {
             tv_sec: i64::try_from(time.as_secs()).unwrap_or(i64::MAX),
             tv_nsec: i64::from(time.subsec_nanos()),
         };
         let mut polled = [PollFd::new(&self.stream, PollFlags::IN)];
-        // An interruption by a signal counts as nothing to read; tests have no handlers.
+        // An interruption by a signal counts as nothing to read; tests install no signal handlers.
         poll(&mut polled, Some(&timeout)).is_ok_and(|ready| ready > 0)
     }
 
-    /// Whether the peer's end of the stream has not arrived, as far as that can be told behind unread
-    /// bytes. It does not wait.
+    /// Returns whether the end of the stream has not been seen. Does not wait, and does not see an
+    /// end that has arrived behind unread bytes.
     pub fn is_open(&self) -> bool {
         let flags = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
         match recv(self.stream.as_raw_fd(), &mut [0], flags) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The stream.
+    /// Returns the wrapped stream.
     pub fn get_ref(&self) -> &TcpStream {
         &self.stream
     }
@@ -142,16 +143,16 @@
     }
 }
 
-/// How long this thread has waited for a processor since its start; zero if the kernel does not
-/// tell.
+/// Returns how long this thread has waited for a processor since its start; zero if the kernel
+/// keeps no scheduler statistics.
 fn run_queue_wait() -> Duration {
     let statistics = std::fs::read_to_string(SCHEDSTAT_PATH).unwrap_or_default();
     let wait_ns = statistics.split_whitespace().nth(1).and_then(|field| field.parse().ok());
     Duration::from_nanos(wait_ns.unwrap_or(0))
 }
 
-/// The moment of a Unix time in the recent past.
-#[allow(clippy::disallowed_methods, reason = "the kernel stamps arrivals by the wall clock")]
+/// Converts a Unix time in the recent past to an [`Instant`].
+#[allow(clippy::disallowed_methods, reason = "the kernel's timestamps are on the wall clock")]
 fn instant_at_unix_time(unix: Duration) -> Instant {
     let readings = (0..CLOCK_READINGS).map(|_| {
         let before = Instant::now();
--- a/crates/test-harness/src/arrival/tests.rs
+++ b/crates/test-harness/src/arrival/tests.rs
@@ -2,9 +2,9 @@
 use std::net::Shutdown;
 use std::thread::sleep;
 
-/// How late the streams of these tests are read.
+/// Delay of the tests between a write and the read.
 const READ_DELAY: Duration = Duration::from_millis(100);
-/// The most by which an arrival may differ from the moment of the write.
+/// Largest difference between a reported arrival and the time of the write.
 const CLOCK_ERROR: Duration = Duration::from_millis(20);
 
 fn connected_pair() -> (TcpStream, TcpListener) {
@@ -15,7 +15,7 @@
     (writer, listener)
 }
 
-/// Guards against a stub that takes its own delay for one of the proxy.
+/// Guards against a stub that attributes its own delay to the proxy.
 #[test]
 fn bytes_arrive_when_they_are_written_however_late_they_are_read() {
     let (mut writer, listener) = connected_pair();
@@ -31,8 +31,8 @@
         assert_eq!(reader.read(&mut [0; 16]).unwrap(), 5);
 
         let arrived = reader.last_arrival();
-        assert!(arrived + CLOCK_ERROR >= written, "round {round}: {:?} early", written - arrived);
-        assert!(arrived <= after + CLOCK_ERROR, "round {round}: {:?} late", arrived - after);
+        assert!(arrived + CLOCK_ERROR >= written, "round {round}: arrival {:?} too early", written - arrived);
+        assert!(arrived <= after + CLOCK_ERROR, "round {round}: arrival {:?} too late", arrived - after);
     }
 }
 
--- a/crates/test-harness/src/barrier.rs
+++ b/crates/test-harness/src/barrier.rs
@@ -1,5 +1,5 @@
-//! A server that the test drives step by step: accepting a connection, reading from it, writing to
-//! it. [`AcceptBarrier`] accepts connections; [`AcceptedConnection`] is one of them.
+//! A server that the test drives step by step: it accepts, reads and writes only when the test says
+//! so. [`AcceptBarrier`] accepts connections; [`AcceptedConnection`] is one of them.
 
 use crate::stub_server::read_request;
 use crate::WAIT_TIMEOUT;
@@ -8,18 +8,18 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A connect that takes longer finds the queue full.
+/// Duration after which a connection attempt counts as refused by a full accept queue.
 const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How often a pending connection is looked for.
+/// Interval between checks for a pending connection.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A listening socket that lets connections in one at a time.
+/// A listening socket whose connections the test accepts one at a time.
 pub struct AcceptBarrier {
-    /// Where it listens.
+    /// The address at which the socket listens.
     pub address: SocketAddr,
     listener: TcpListener,
-    /// Connections of its own that fill the queue while it is closed.
+    /// Connections of the test itself that fill the accept queue while the barrier is closed.
     fillers: Vec<TcpStream>,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl AcceptBarrier {
-    /// An open barrier, with a queue for a single connection.
+    /// Creates an open barrier with an accept queue for a single connection.
     pub fn new() -> AcceptBarrier {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -45,7 +45,7 @@
         AcceptBarrier { address: listener.local_addr().unwrap(), listener, fillers: Vec::new() }
     }
 
-    /// From now on no connection is established, since the queue is full. The kernel of the client
+    /// Fills the accept queue, so that no further connection is established. The client's kernel
     /// retries about every second.
     pub fn close(&mut self) {
         while let Ok(filler) = TcpStream::connect_timeout(&self.address, QUEUE_FULL_TIMEOUT) {
@@ -53,20 +53,20 @@
         }
     }
 
-    /// Lets connections be established again.
+    /// Empties the accept queue, so that connections are established again.
     pub fn open(&mut self) {
         let fillers = std::mem::take(&mut self.fillers);
         for _ in &fillers {
-            drop(self.accept().expect("the fillers are first in the queue"));
+            drop(self.accept().expect("the connections that fill the queue are first in it"));
         }
     }
 
-    /// The next connection that comes in, if one does in time.
+    /// Accepts the next connection; `None` if none comes in within [`WAIT_TIMEOUT`].
     pub fn accept(&self) -> Option<AcceptedConnection> {
         self.accept_within(WAIT_TIMEOUT)
     }
 
-    /// The next connection that comes in within this time.
+    /// Accepts the next connection; `None` if none comes in within `time`.
     pub fn accept_within(&self, time: Duration) -> Option<AcceptedConnection> {
         let until = Instant::now() + time;
         while Instant::now() < until {
@@ -79,13 +79,13 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     std::thread::sleep(POLL_INTERVAL);
                 }
-                Err(error) => panic!("{error}"),
+                Err(error) => panic!("cannot accept a connection: {error}"),
             }
         }
         None
     }
 
-    /// Its entry in discovery's list; `started` is in Unix milliseconds.
+    /// Returns the JSON entry of this server for an endpoint list; `started` is a Unix time in ms.
     pub fn entry(&self, name: &str, kind: &str, lifecycle: &str, started: u64) -> String {
         format!(
             r#"{{"instanceId":"{name}","hostPort":"{}","zone":"a","machineType":"{kind}","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":{started}}}"#,
@@ -95,22 +95,23 @@
 }
 
 impl AcceptedConnection {
-    /// The next command, or head and body where `http`; none at the end.
+    /// Reads the next request: head and body if `http`, else a command and its value. Returns
+    /// `None` at the end of the connection.
     pub fn read_request(&mut self, http: bool) -> Option<String> {
         read_request(&mut self.reader, http)
     }
 
-    /// Writes something; false if the other end has closed the connection.
+    /// Writes text; returns false if the peer has closed the connection.
     pub fn send(&mut self, text: &str) -> bool {
         self.reader.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
-    /// Resets the connection.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         SockRef::from(self.reader.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// All bytes that come within this time, and whether the connection ended.
+    /// Reads all bytes that arrive within `time`; also returns whether the connection has ended.
     pub fn read_all_within(&mut self, time: Duration) -> (Vec<u8>, bool) {
         let deadline = Instant::now() + time;
         let mut all = Vec::new();
--- a/crates/test-harness/src/client.rs
+++ b/crates/test-harness/src/client.rs
@@ -1,4 +1,5 @@
-//! The callers of a proxy: [`Client`]s, and operators at its admin endpoint ([`call_admin`]).
+//! Callers of a proxy: a cache client ([`Client`]) and an operator at the admin endpoint
+//! ([`call_admin`]).
 
 use crate::recorder::Recorder;
 use crate::WAIT_TIMEOUT;
@@ -7,37 +8,38 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long reads wait on a connection of [`Client::try_connect`].
+/// Read timeout of a connection that [`Client::try_connect`] made.
 const TRY_READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// Errors of a read when the connection has ended, or no data arrived in time.
+/// Errors of a read if the connection was reset or no data arrived in time.
 const END_OF_INPUT: [ErrorKind; 2] = [ErrorKind::ConnectionReset, ErrorKind::WouldBlock];
 
-/// A client's connection. Requests made by [`Client::get`] and [`Client::set`] are recorded for the
-/// history checker.
+/// A client's connection to a proxy. The requests and responses of [`Client::get`] and
+/// [`Client::set`] are recorded for the history checker.
 pub struct Client {
     reader: BufReader<TcpStream>,
     recorder: Recorder,
 }
 
 impl Client {
-    /// Connects; reads end after [`WAIT_TIMEOUT`].
+    /// Connects to a proxy; reads time out after [`WAIT_TIMEOUT`].
     ///
     /// # Panics
-    /// If no server listens there.
+    /// If no server listens at the address.
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client { reader: BufReader::new(stream), recorder: Recorder::current() }
     }
 
-    /// The same where possibly no server listens; reads on it end after one second.
+    /// Connects to a proxy, with a read timeout of one second; `None` if no server listens at the
+    /// address.
     pub fn try_connect(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(TRY_READ_TIMEOUT)).ok()?;
         Some(Client { reader: BufReader::new(stream), recorder: Recorder::current() })
     }
 
-    /// Writes bytes.
+    /// Writes text.
     ///
     /// # Panics
     /// If the proxy has closed the connection.
@@ -45,12 +47,13 @@
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Writes bytes as far as the proxy takes them; false if it does not take all.
+    /// Writes text; returns false if the proxy has closed the connection before all of it was
+    /// written.
     pub fn try_send(&mut self, text: &str) -> bool {
         self.reader.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
-    /// Whether the proxy has closed it.
+    /// Returns whether the proxy has closed the connection.
     pub fn is_closed(&self) -> bool {
         let stream = self.reader.get_ref();
         stream.set_nonblocking(true).unwrap();
@@ -62,13 +65,13 @@
         }
     }
 
-    /// The next line; empty at the end of the connection.
+    /// Reads the next line; empty at the end of the connection or after the read timeout.
     pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(_) => line,
             Err(error) if END_OF_INPUT.contains(&error.kind()) => String::new(),
-            Err(error) => panic!("{error}"),
+            Err(error) => panic!("cannot read a line from the proxy: {error}"),
         }
     }
 
@@ -78,12 +81,13 @@
         self.read_line()
     }
 
-    /// The reader of its responses, for responses that are not lines.
+    /// Returns the reader of the connection, for responses that are not lines.
     pub fn reader(&mut self) -> &mut BufReader<TcpStream> {
         &mut self.reader
     }
 
-    /// Gets the key `id`; the value's line, or none if the connection ended first.
+    /// Gets the key `id`. Returns the line of the value, or of the response if it has no value;
+    /// `None` if the connection ends first.
     pub fn try_get(&mut self, id: &str) -> Option<String> {
         if !self.try_send(&format!("mg {id} v O{id} Pc=read,t=acme,d=2000\r\n")) {
             return None;
@@ -92,13 +96,13 @@
         (!line.is_empty()).then(|| if line.starts_with("VA ") { self.read_line() } else { line })
     }
 
-    /// Gets a key with a deadline in milliseconds; the response's line, and the value's line if
-    /// there is one.
+    /// Gets a key with a deadline in milliseconds. Returns the line of the response and the line of
+    /// the value; the latter is empty if the response has no value.
     pub fn get(&mut self, key: &str, id: &str, deadline_ms: u32) -> (String, String) {
         self.perform(&format!("mg {key} v O{id} Pc=read,t=acme,d={deadline_ms}\r\n"))
     }
 
-    /// Sets a key with a deadline in milliseconds; the response's line.
+    /// Sets a key with a deadline in milliseconds; returns the line of the response.
     pub fn set(&mut self, class: &str, key: &str, id: &str, deadline_ms: u32) -> String {
         self.perform(&format!("ms {key} 5 O{id} Pc={class},t=acme,d={deadline_ms},k={id}\r\nhello\r\n")).0
     }
@@ -111,7 +115,7 @@
         (line, value)
     }
 
-    /// Gets a key and closes the connection after a time, without reading a response.
+    /// Requests a key and closes the connection after a time, without reading the response.
     pub fn request_and_disconnect(mut self, key: &str, id: &str, after: Duration) {
         let command = format!("mg {key} v O{id} Pc=read,t=acme,d=2000\r\n");
         self.recorder.record_request(&command);
@@ -121,12 +125,13 @@
     }
 }
 
-/// One call at a proxy's admin endpoint: its status and its text.
+/// Calls a proxy's admin endpoint without a body; returns status and body of the response.
 pub fn call_admin(admin: SocketAddr, method: &str, path: &str) -> (u16, String) {
     send_to_admin(admin, &format!("{method} {path} HTTP/1.1\r\nHost: door\r\n\r\n"))
 }
 
-/// The response of a proxy's admin endpoint to these bytes: status and text.
+/// Sends a complete HTTP request to a proxy's admin endpoint; returns status and body of the
+/// response.
 pub fn send_to_admin(admin: SocketAddr, request: &str) -> (u16, String) {
     let mut client = Client::connect(admin);
     client.send(request);
--- a/crates/test-harness/src/config.rs
+++ b/crates/test-harness/src/config.rs
@@ -1,5 +1,6 @@
-//! Configurations that the program accepts: [`config`].
+//! A configuration file that the proxy accepts: [`config`].
 
+/// The settings of every configuration, as JSON.
 const SETTINGS: &str = r#"{"GroupSize":1,"MyNumber":0,"Discovery":"ask","Zones":["a"],"Zone":0,"Tick":1.0,
     "Kinds":["c6","origin"],"FamilyInfo":{"OriginKind":1},"Orgs":[{"Name":"acme"}],
     "Grades":[{"Name":"read","Aim":400.0,"GiveUp":1000.0,"Semantics":"safe","DedupScope":"all"},
@@ -9,8 +10,8 @@
                    "ConnIdle":1500.0,"ConnectTimeout":250.0},
     "Safety":{"StartCapacity":0.2,"Cold":9000.0,"FallMultiple":3.0,"TipAfter":1500.0,"MustAskIn":10000.0}}"#;
 
-/// A configuration that the proxy accepts: where it listens, its discovery, how many descriptors it
-/// may use, and its cached endpoint list as JSON.
+/// Returns a valid configuration of a proxy: the address at which it listens, the address of
+/// discovery, its limit of file descriptors, and its cached endpoint list as JSON.
 pub fn config(listen: &str, discovery: &str, sockets: usize, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
--- a/crates/test-harness/src/discovery.rs
+++ b/crates/test-harness/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Stub servers for discovery: [`Discovery`], whose watches the test feeds line by line, and
-//! [`StaticDiscovery`], which sends its complete list to every watch.
+//! Stub servers for discovery. The test sends each line of a watch of [`Discovery`] itself;
+//! [`StaticDiscovery`] sends its complete list to every watch.
 
 use crate::recorder::Recorder;
 use crate::stub_server::read_request;
@@ -11,10 +11,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// Discovery whose watches a test feeds itself, through [`Discovery::next_watch`]. A watch ends when its
-/// sender is dropped.
+/// Stub of discovery that sends the lines which the test puts into the sender of a watch (see
+/// [`Discovery::next_watch`]). A watch ends when its sender is dropped.
 pub struct Discovery {
-    /// Where it listens.
+    /// The address at which the stub listens.
     pub address: SocketAddr,
     watches: Receiver<(String, Sender<String>)>,
 }
@@ -26,7 +26,7 @@
 }
 
 impl Discovery {
-    /// Discovery without a watch.
+    /// Starts the stub, without a watch.
     pub fn new() -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -35,7 +35,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().filter_map(Result::ok) {
                 let (watch_sender, recorder) = (watch_sender.clone(), recorder.clone());
-                // A proxy that is killed ends its connection at any moment.
+                // An error is ignored: a proxy that is killed may break its connection at any time.
                 thread::spawn(move || drop(Discovery::serve(stream, &watch_sender, &recorder)));
             }
         });
@@ -52,7 +52,7 @@
         let head = head.ok_or(ErrorKind::UnexpectedEof)?;
         let request_line = head.lines().next().unwrap_or_default().to_owned();
         let (line_sender, lines) = channel::<String>();
-        // The test may have ended.
+        // Fails only if the test has ended.
         let _ = watch_sender.send((request_line, line_sender));
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap_or(());
         for line in lines {
@@ -63,40 +63,43 @@
         Ok(())
     }
 
-    /// The next watch that the proxy opens: its request line, and a sender for the lines of its
-    /// response.
+    /// Waits for the next watch that the proxy opens. Returns its request line and a sender for the
+    /// lines of the response.
     ///
     /// # Panics
-    /// If the proxy opens none in time.
+    /// If the proxy opens no watch within [`WAIT_TIMEOUT`].
     pub fn next_watch(&self) -> (String, Sender<String>) {
-        self.watches.recv_timeout(WAIT_TIMEOUT).expect("the proxy asks for a watch")
+        self.watches.recv_timeout(WAIT_TIMEOUT).expect("the proxy opens a watch in time")
     }
 }
 
-/// A list in the form in which discovery sends it.
+/// Returns an endpoint list as the JSON that discovery sends: the complete list if `reset`, else
+/// the changed entries.
 pub fn endpoint_list_json(generation: u64, reset: bool, entries: &[String]) -> String {
     format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, entries.join(","))
 }
 
-/// Discovery that sends every watch the complete list at once, and again when it changes.
+/// Stub of discovery that sends the complete list to every watch at once, and again after each
+/// change of the list.
 pub struct StaticDiscovery {
-    /// Where it listens.
+    /// The address at which the stub listens.
     pub address: SocketAddr,
     state: Arc<(Mutex<PublishedList>, Condvar)>,
 }
 
-/// The list that watches are sent; the version grows with each change.
+/// The list that is sent to watches; its version grows with each change.
 struct PublishedList {
     list: String,
     version: u64,
+    /// Whether discovery is down, so that every watch ends.
     down: bool,
 }
 
-/// A watch is sent at least an empty line this often.
+/// Longest time between two lines of a watch; an empty line is sent if there is no change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 impl StaticDiscovery {
-    /// Discovery with this list.
+    /// Starts the stub with this list.
     pub fn new(list: String) -> StaticDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -111,12 +114,12 @@
         StaticDiscovery { address, state }
     }
 
-    /// Replaces the list.
+    /// Replaces the list, and sends the new one to every watch.
     pub fn publish(&self, list: String) {
         self.change(|published| published.list = list);
     }
 
-    /// Takes discovery down, which ends the watches, or brings it back.
+    /// Takes discovery down, which ends all watches, or brings it back.
     pub fn set_down(&self, down: bool) {
         self.change(|published| published.down = down);
     }
--- a/crates/test-harness/src/fault_proxy/datagram.rs
+++ b/crates/test-harness/src/fault_proxy/datagram.rs
@@ -1,9 +1,9 @@
-//! Fault-injecting proxies for datagrams: one in front of each member of a fleet. [`DatagramFaultProxies`]
-//! owns their sockets and threads.
+//! Fault-injecting proxies for datagrams, one in front of each member of a fleet. Read
+//! [`DatagramFaultProxies`] first, which owns their sockets and threads.
 //!
-//! A member is known to the others by the address of its proxy. The sender's own address identifies
-//! the path of a datagram. It is forwarded from the sender's proxy, so that the addresses that
-//! members learn from each other lead through the proxies too.
+//! Members know each other by the addresses of the proxies. A datagram's path is found from the
+//! source address of the sending member. The datagram is forwarded from the socket of the sender's
+//! proxy, so that the addresses that members learn from each other also lead through the proxies.
 
 use super::path::{Path, PathCounts, PathFaults};
 use rand::rngs::StdRng;
@@ -15,33 +15,34 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How often it is checked whether the proxies are to stop.
+/// Longest time between checks whether the proxies are to stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest datagram.
+/// Size of the receive buffer; no datagram is longer.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// When a datagram arrives, and in the order of sending where two arrive at once.
+/// The order in which datagrams arrive: by time, then by the order of sending.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     due: Instant,
     sequence: u64,
 }
 
-/// A datagram on its way.
+/// A datagram in flight.
 struct Datagram {
     path: Path,
     bytes: Vec<u8>,
 }
 
+/// The faults, counts and datagrams of all paths.
 struct State {
-    /// The own socket of each member.
+    /// The address of each member's own socket.
     member_addresses: Vec<SocketAddr>,
-    /// The paths that were changed; every other one has no faults.
+    /// The faults of the paths that have been changed; every other path has none.
     faults: BTreeMap<Path, PathFaults>,
     counts: BTreeMap<Path, PathCounts>,
     rng: StdRng,
     in_flight: BTreeMap<Arrival, Datagram>,
-    /// How many datagrams were put in flight.
+    /// The number of datagrams that have been put in flight.
     sequence: u64,
 }
 
@@ -54,7 +55,7 @@
         self.counts.entry(path).or_default()
     }
 
-    /// Loses a datagram, or puts it in flight once or twice, by the faults of its path.
+    /// Applies the faults of a path to a datagram: drops it, or puts one or two copies in flight.
     fn accept(&mut self, path: Path, bytes: &[u8]) {
         let faults = self.faults_of(path);
         if faults.partitioned || self.rng.random_bool(faults.loss) {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// A copy of these bytes; with this probability one bit of it is inverted.
+    /// Returns a copy of these bytes, in which one bit is inverted with the given probability.
     fn corrupt(&mut self, bytes: &[u8], probability: f64) -> Vec<u8> {
         let mut bytes = bytes.to_vec();
         if !bytes.is_empty() && self.rng.random_bool(probability) {
@@ -87,8 +88,8 @@
         Duration::from_millis(self.rng.random_range(least..=most))
     }
 
-    /// Takes out the next datagram if it is due; it is lost if a partition has begun in the
-    /// meantime.
+    /// Removes and returns the next datagram that is due; drops any whose path has been partitioned
+    /// since it was sent.
     fn take_due(&mut self, now: Instant) -> Option<Datagram> {
         while self.next_due().is_some_and(|due| due <= now) {
             let (_, datagram) = self.in_flight.pop_first()?;
@@ -107,26 +108,26 @@
     }
 }
 
-/// The state that the threads of the proxies share.
+/// The state that the threads of all proxies share.
 struct Shared {
     /// The socket of the proxy in front of each member.
     sockets: Vec<UdpSocket>,
     /// Guards the faults of all paths and the datagrams in flight on them.
     state: Mutex<State>,
-    /// Notified when a datagram is put in flight, and to stop.
+    /// Notified when a datagram is put in flight and when the proxies stop.
     in_flight_changed: Condvar,
     stop: AtomicBool,
 }
 
-/// The proxies of one fleet. Their threads end when this is dropped.
+/// The datagram proxies of one fleet. Dropping this value stops their threads.
 pub struct DatagramFaultProxies {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl DatagramFaultProxies {
-    /// Proxies at the advertised addresses, for members whose own sockets are at the others. The
-    /// seed decides which datagrams are lost, duplicated, corrupted and delayed.
+    /// Starts proxies at the advertised addresses, which forward to the members' own addresses. The
+    /// seed determines which datagrams are lost, duplicated, corrupted and delayed.
     ///
     /// # Panics
     /// If an advertised address cannot be bound.
@@ -155,10 +156,10 @@
         DatagramFaultProxies { shared, threads }
     }
 
-    /// Changes the faults of the path between two members.
+    /// Changes the faults of the path from one member to another.
     ///
     /// # Panics
-    /// If a thread of the proxies panicked.
+    /// If a thread of the proxies has panicked.
     pub fn change_path(&self, from: usize, to: usize, change: impl FnOnce(&mut PathFaults)) {
         let mut state = self.shared.state.lock().unwrap();
         change(state.faults.entry(Path { from, to }).or_insert(PathFaults::NONE));
@@ -174,16 +175,16 @@
         }
     }
 
-    /// How many datagrams the path between two members has delivered and lost.
+    /// Returns how many datagrams the path from one member to another has delivered and lost.
     ///
     /// # Panics
-    /// If a thread of the proxies panicked.
+    /// If a thread of the proxies has panicked.
     pub fn counts(&self, from: usize, to: usize) -> PathCounts {
         let state = self.shared.state.lock().unwrap();
         state.counts.get(&Path { from, to }).copied().unwrap_or_default()
     }
 
-    /// The present faults of all paths, for connections that take the same ones.
+    /// Returns a view of the faults of all paths, for the proxies of connections on the same paths.
     pub(crate) fn path_view(&self) -> PathView {
         PathView(Arc::clone(&self.shared))
     }
@@ -200,17 +201,17 @@
     }
 }
 
-/// Reads the faults of paths while the proxies run.
+/// A read-only view of the faults of all paths, which follows their changes.
 #[derive(Clone)]
 pub(crate) struct PathView(Arc<Shared>);
 
 impl PathView {
-    /// The present faults of a path.
+    /// Returns the present faults of a path.
     pub(super) fn faults(&self, path: Path) -> PathFaults {
         self.0.state.lock().unwrap().faults_of(path)
     }
 
-    /// Whether the proxies have stopped.
+    /// Returns whether the proxies have stopped.
     pub(super) fn is_stopped(&self) -> bool {
         self.0.stop.load(Ordering::Acquire)
     }
@@ -223,7 +224,7 @@
         while !self.stop.load(Ordering::Acquire) {
             let Ok((length, sender)) = self.sockets[to].recv_from(&mut buffer) else { continue };
             let mut state = self.state.lock().unwrap();
-            // A datagram from outside the fleet is on no path.
+            // A datagram that no member has sent is on no path, so it is dropped.
             let Some(from) = state.member_addresses.iter().position(|member| *member == sender) else {
                 continue;
             };
@@ -232,13 +233,13 @@
         }
     }
 
-    /// Delivers datagrams that are due, until the proxies stop.
+    /// Delivers the datagrams that are due, until the proxies stop.
     fn deliver(&self) {
         let mut state = self.state.lock().unwrap();
         while !self.stop.load(Ordering::Acquire) {
             let now = Instant::now();
             if let Some(Datagram { path, bytes }) = state.take_due(now) {
-                // It comes from the sender's proxy. A send to a member that has ended may fail.
+                // An error is ignored: a send to a member that has ended may fail.
                 let _ = self.sockets[path.from].send_to(&bytes, state.member_addresses[path.to]);
                 continue;
             }
@@ -249,7 +250,7 @@
 }
 
 fn bind(address: &SocketAddr) -> UdpSocket {
-    let socket = UdpSocket::bind(address).expect("the proxy's address is free");
+    let socket = UdpSocket::bind(address).expect("the fault proxy can bind its address");
     socket.set_read_timeout(Some(POLL_INTERVAL)).unwrap();
     socket
 }
--- a/crates/test-harness/src/fault_proxy/mod.rs
+++ b/crates/test-harness/src/fault_proxy/mod.rs
@@ -1,7 +1,8 @@
-//! Fault-injecting proxies, which run inside the test's process. [`DatagramFaultProxies`] stand on every
-//! directed path between the members of a fleet and decide the faults of a path ([`PathFaults`]);
-//! the [`PeerFaultProxies`] apply the same faults to the members' TCP connections. A
-//! [`StreamFaultProxy`] stands between one member and one server that it calls.
+//! Fault-injecting proxies that run inside the test's process. [`DatagramFaultProxies`] forward the
+//! datagrams on every directed path between the members of a fleet, and hold the faults of each
+//! path ([`PathFaults`]). [`PeerFaultProxies`] apply the same faults to the TCP connections between
+//! members. A [`StreamFaultProxy`] forwards the connections from one proxy under test to one
+//! server.
 
 mod datagram;
 mod path;
@@ -16,16 +17,17 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 
-/// How much a proxy copies at a time from a connection.
+/// Size of the buffer into which a proxy reads from a connection.
 const COPY_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Reads what a connection has, up to the length of the buffer; 0 at its end or if it is broken.
+/// Reads the bytes that are available on a connection into a buffer; returns their number, 0 at the
+/// end of the connection or if it is broken.
 fn read_some(stream: &mut TcpStream, buffer: &mut [u8]) -> usize {
     stream.read(buffer).unwrap_or(0)
 }
 
-/// Forwards bytes; no bytes, or a broken connection, end this direction of both connections.
-/// Returns whether the direction is still open.
+/// Forwards bytes from one connection to another. If there are none or the write fails, closes this
+/// direction of both connections. Returns whether the direction is still open.
 fn forward(bytes: &[u8], from: &TcpStream, to: &mut TcpStream) -> bool {
     if !bytes.is_empty() && to.write_all(bytes).is_ok() {
         return true;
@@ -34,9 +36,9 @@
     false
 }
 
-/// Ends one direction of two connections.
+/// Closes the direction from one connection to another, in both connections.
 fn close_direction(from: &TcpStream, to: &TcpStream) {
-    // Either may have ended by itself.
+    // Errors are ignored: either connection may have ended by itself.
     let _ = to.shutdown(Shutdown::Write);
     let _ = from.shutdown(Shutdown::Read);
 }
--- a/crates/test-harness/src/fault_proxy/path.rs
+++ b/crates/test-harness/src/fault_proxy/path.rs
@@ -1,4 +1,4 @@
-//! The faults of one directed path between two members, and its counters.
+//! The faults and the counts of a directed path between two members.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 impl Path {
-    /// The path in the other direction.
+    /// Returns the path in the opposite direction.
     pub(super) fn reversed(self) -> Path {
         Path { from: self.to, to: self.from }
     }
@@ -19,25 +19,25 @@
 /// The faults of one directed path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PathFaults {
-    /// Nothing passes.
+    /// Whether nothing passes: datagrams are lost, and the bytes of connections are held back.
     pub partitioned: bool,
     /// The share of datagrams that is lost, from 0 to 1.
     pub loss: f64,
-    /// The share that arrives twice, from 0 to 1.
+    /// The share of datagrams that arrives twice, from 0 to 1.
     pub duplicated: f64,
-    /// The share in which one bit arrives inverted, from 0 to 1.
+    /// The share of datagrams in which one bit is inverted, from 0 to 1.
     pub corrupted: f64,
-    /// The shortest time that a datagram takes.
+    /// The shortest delay of a datagram.
     pub min_delay: Duration,
-    /// The longest time that it takes. Datagrams with different delays are reordered. On a
-    /// connection every read takes this long.
+    /// The longest delay of a datagram. Datagrams with different delays may be reordered. On a
+    /// connection, the bytes of every read are delayed by this time.
     pub max_delay: Duration,
-    /// The most bytes a second that pass on a connection; none for no limit.
+    /// Limit of bytes per second on a connection; `None` for no limit.
     pub max_bytes_per_s: Option<u64>,
 }
 
 impl PathFaults {
-    /// A path without any fault.
+    /// A path without faults, which every path is at first.
     pub(super) const NONE: PathFaults = PathFaults {
         partitioned: false,
         loss: 0.0,
@@ -52,8 +52,8 @@
 /// How many datagrams a path has delivered and lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PathCounts {
-    /// Forwarded to the receiver.
+    /// The number of datagrams that were forwarded to the receiver.
     pub delivered: u64,
-    /// Lost, at random or in a partition.
+    /// The number of datagrams that were lost, at random or to a partition.
     pub lost: u64,
 }
--- a/crates/test-harness/src/fault_proxy/peer.rs
+++ b/crates/test-harness/src/fault_proxy/peer.rs
@@ -1,6 +1,8 @@
-//! Fault-injecting proxies for the TCP connections between the members of a fleet: one listener in
-//! front of each member. The sender's own address identifies the path of a connection; its faults
-//! are those of the same path's datagrams. [`PeerFaultProxies`] starts them.
+//! Fault-injecting proxies for the TCP connections between the members of a fleet, with one
+//! listener in front of each member. Read [`PeerFaultProxies`] first.
+//!
+//! A connection's path is found from the source address of the member that dials. The connection
+//! has the same faults as the datagrams of its path.
 
 use super::datagram::PathView;
 use super::path::Path;
@@ -11,25 +13,25 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often it is checked whether there is a connection, or whether a path passes again.
+/// Interval between checks for a new connection or for the end of a partition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The most bytes that are read at once on a path that is throttled.
+/// Largest number of bytes that are read at once on a path with a rate limit.
 const THROTTLED_READ_BYTES: usize = 256;
 
-/// One end of a connection that is open.
+/// One of the two streams of an open connection: to the member that dialed, or to the other one.
 struct OpenStream {
     path: Path,
     stream: TcpStream,
 }
 
-/// The proxies for the connections of one fleet. Their threads end with the datagram proxies.
+/// The connection proxies of one fleet. Their threads stop when the datagram proxies do.
 pub struct PeerFaultProxies {
-    /// Guards both ends of every connection that was opened.
+    /// Guards both streams of every connection that has been opened and not reset.
     open: Arc<Mutex<Vec<OpenStream>>>,
 }
 
 impl PeerFaultProxies {
-    /// Proxies at the advertised addresses, for members that listen at the others.
+    /// Starts proxies at the advertised addresses, which forward to the members' own addresses.
     pub(crate) fn new(
         advertised: &[SocketAddr],
         members: &[SocketAddr],
@@ -38,7 +40,7 @@
         let open: Arc<Mutex<Vec<OpenStream>>> = Arc::default();
         let sources: Vec<IpAddr> = members.iter().map(SocketAddr::ip).collect();
         for (to, address) in advertised.iter().enumerate() {
-            let listener = TcpListener::bind(address).expect("the proxy's address is free");
+            let listener = TcpListener::bind(address).expect("the fault proxy can bind its address");
             listener.set_nonblocking(true).unwrap();
             let acceptor = Acceptor {
                 to,
@@ -52,16 +54,16 @@
         PeerFaultProxies { open }
     }
 
-    /// Breaks all connections that are open between two members.
+    /// Breaks all open connections between two members.
     ///
     /// # Panics
-    /// If a thread of the proxies panicked.
+    /// If a thread of the proxies has panicked.
     pub fn reset(&self, a: usize, b: usize) {
         let path = Path { from: a, to: b };
         self.open.lock().unwrap().retain(|open| {
             let is_between = open.path == path || open.path == path.reversed();
             if is_between {
-                // It may have ended by itself.
+                // An error is ignored: the connection may have ended by itself.
                 let _ = open.stream.shutdown(Shutdown::Both);
             }
             !is_between
@@ -72,7 +74,7 @@
 /// Accepts the connections to one member.
 struct Acceptor {
     to: usize,
-    /// Where the member listens.
+    /// The address at which the member listens.
     target: SocketAddr,
     /// The source address of each member.
     sources: Vec<IpAddr>,
@@ -81,7 +83,7 @@
 }
 
 impl Acceptor {
-    /// Accepts until the proxies stop.
+    /// Accepts connections until the proxies stop.
     fn run(&self, listener: &TcpListener) {
         while !self.paths.is_stopped() {
             match listener.accept() {
@@ -100,7 +102,7 @@
             paths: self.paths.clone(),
             open: Arc::clone(&self.open),
         };
-        // Ends with the connection.
+        // The thread ends with the connection.
         thread::spawn(move || connection.run(client));
     }
 }
@@ -116,7 +118,8 @@
 impl Connection {
     fn run(self, client: TcpStream) {
         client.set_nonblocking(false).unwrap();
-        // While the path is partitioned no connection is made, and the dialing member times out.
+        // While the path is partitioned the other member is not dialed, so the dialing member times
+        // out.
         wait_while_partitioned(&self.paths, self.path);
         let Ok(server) = TcpStream::connect(self.target) else { return };
         for stream in [&client, &server] {
@@ -127,13 +130,13 @@
         let (Ok(client_input), Ok(server_output)) = (client.try_clone(), server.try_clone()) else { return };
         let paths = self.paths.clone();
         let path = self.path;
-        // Ends with the connection.
+        // The thread ends with the connection.
         thread::spawn(move || copy(client_input, server_output, path, &paths));
         copy(server, client, path.reversed(), &self.paths);
     }
 }
 
-/// Waits until a path passes, or the proxies stop.
+/// Waits until a path is not partitioned or the proxies stop.
 fn wait_while_partitioned(paths: &PathView, path: Path) {
     while paths.faults(path).partitioned && !paths.is_stopped() {
         thread::sleep(POLL_INTERVAL);
@@ -162,7 +165,7 @@
     }
 }
 
-/// How long this many bytes take on a path.
+/// Returns how long the bytes of one read take on a path, by its delay and its rate limit.
 fn transfer_time(paths: &PathView, path: Path, bytes: usize) -> Duration {
     let faults = paths.faults(path);
     let throttled_ms = faults.max_bytes_per_s.map_or(0, |limit| bytes as u64 * 1000 / limit.max(1));
--- a/crates/test-harness/src/fault_proxy/stream.rs
+++ b/crates/test-harness/src/fault_proxy/stream.rs
@@ -1,4 +1,4 @@
-//! A fault-injecting proxy for connections, from a proxy under test to one server that it calls:
+//! A fault-injecting proxy for the connections from a proxy under test to one server that it calls:
 //! [`StreamFaultProxy`].
 
 use super::{forward, read_some, COPY_BUFFER_BYTES};
@@ -8,21 +8,22 @@
 
 #[derive(Default)]
 struct State {
+    /// Whether all data is held back.
     partitioned: bool,
-    /// Both ends of every connection that was opened since the last reset.
+    /// Both streams of every connection that was opened since the last reset.
     open: Vec<TcpStream>,
 }
 
 #[derive(Default)]
 struct Shared {
-    /// Guards whether anything passes, and the open connections.
+    /// Guards the partition and the list of open connections.
     state: Mutex<State>,
     /// Notified when a partition begins or ends.
     partition_changed: Condvar,
 }
 
 impl Shared {
-    /// Waits while nothing passes.
+    /// Waits until there is no partition.
     fn wait_while_partitioned(&self) {
         let mut state = self.state.lock().unwrap();
         while state.partitioned {
@@ -31,20 +32,20 @@
     }
 }
 
-/// The proxy in front of one server. Its threads end with the test's process, those of a connection
-/// with the connection. Clones control the same proxy.
+/// A fault-injecting proxy in front of one server. Its listener runs until the test's process ends,
+/// the threads of a connection until the connection ends. Clones control the same proxy.
 #[derive(Clone)]
 pub struct StreamFaultProxy {
-    /// The address at which it accepts connections.
+    /// The address at which the proxy accepts connections.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl StreamFaultProxy {
-    /// Starts a proxy in front of this server.
+    /// Starts a proxy in front of the server at `target`.
     ///
     /// # Panics
-    /// If it cannot listen.
+    /// If the proxy cannot listen.
     pub fn start(target: SocketAddr) -> StreamFaultProxy {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -59,18 +60,18 @@
         StreamFaultProxy { address, shared }
     }
 
-    /// From now on nothing passes, and neither end is notified.
+    /// Holds back all data from now on, without closing connections.
     ///
     /// # Panics
-    /// If a thread of the proxy panicked.
+    /// If a thread of the proxy has panicked.
     pub fn partition(&self) {
         self.set_partitioned(true);
     }
 
-    /// Everything passes again, beginning with the bytes that were held back.
+    /// Forwards data again, beginning with the bytes that were held back.
     ///
     /// # Panics
-    /// If a thread of the proxy panicked.
+    /// If a thread of the proxy has panicked.
     pub fn heal(&self) {
         self.set_partitioned(false);
     }
@@ -80,14 +81,14 @@
         self.shared.partition_changed.notify_all();
     }
 
-    /// Breaks the connections that are open.
+    /// Breaks all open connections.
     ///
     /// # Panics
-    /// If a thread of the proxy panicked.
+    /// If a thread of the proxy has panicked.
     pub fn reset(&self) {
         let open = std::mem::take(&mut self.shared.state.lock().unwrap().open);
         for stream in open {
-            // It may have ended by itself.
+            // An error is ignored: the connection may have ended by itself.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -96,7 +97,7 @@
 /// Serves one connection until either end closes it.
 fn serve(client: TcpStream, target: SocketAddr, shared: &Arc<Shared>) {
     shared.wait_while_partitioned();
-    // If no server listens the connection breaks, as it would without a proxy.
+    // If the server does not listen, the client's connection closes, as without this proxy.
     let Ok(server) = TcpStream::connect(target) else { return };
     let ends = [client.try_clone(), server.try_clone()];
     shared.state.lock().unwrap().open.extend(ends.into_iter().flatten());
--- a/crates/test-harness/src/fleet/config.rs
+++ b/crates/test-harness/src/fleet/config.rs
@@ -1,4 +1,4 @@
-//! The configurations of a fleet's members.
+//! Builds the configurations of a fleet's members and writes them to files.
 
 use super::{Fleet, PEER_PORT};
 use crate::config::config;
@@ -9,11 +9,11 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Descriptors of each member.
+/// Limit of file descriptors of each member.
 const MEMBER_SOCKETS: usize = 256;
 
 impl Fleet {
-    /// The configuration of a member that contacts these peers first.
+    /// Returns the configuration of a member whose `fleet.peers` are these members.
     pub fn config(&self, member: usize, peers: &[usize]) -> Value {
         let discovery = self.server_faults[member][self.nodes.len() + 1].address.to_string();
         let text = config(
@@ -22,9 +22,9 @@
             MEMBER_SOCKETS,
             &endpoint_list_json(1, true, &self.endpoints(member)),
         );
-        let mut config: Value = serde_json::from_str(&text).expect("the harness writes JSON");
-        // Note: a process that dials a free port of its own source address may connect to itself,
-        // and then occupies that port. So members listen at addresses of their own.
+        let mut config: Value = serde_json::from_str(&text).expect("the harness writes valid JSON");
+        // A process that dials a free port of its own source address may connect to itself, and
+        // then occupies that port. Therefore each member listens at an address of its own.
         let free = SocketAddr::new(self.member_address(member).ip(), 0);
         let listen = self.client_addresses[member].unwrap_or(free);
         config["name"] = json!(Fleet::name(member));
@@ -37,8 +37,8 @@
         config
     }
 
-    /// The list of endpoints, with the addresses at which this member's fault proxies accept
-    /// connections.
+    /// Returns the entries of a member's endpoint list, with the addresses of the fault proxies in
+    /// front of the servers.
     fn endpoints(&self, member: usize) -> Vec<String> {
         let proxied_entry = |server: &StubServer, name: &str, kind: &str, proxy_index: usize| {
             let entry = server.entry(name, kind, "ready");
@@ -67,7 +67,7 @@
         }
         let founders = self.options.founders.iter();
         fleet["founders"] = founders.map(|founder| self.advertised_address(*founder).to_string()).collect();
-        // Shorter than the defaults, so that tests need not wait long.
+        // These times are shorter than the defaults, to keep the tests short.
         for (field, ms) in [("ask_ms", 200), ("vote_ms", 900), ("lease_ms", 2000), ("call_ms", 1000)] {
             fleet[field] = json!(ms);
         }
@@ -89,26 +89,30 @@
         })
     }
 
-    /// The folder in which a member that is a founder keeps its durable state.
+    /// Returns the folder in which a member that is a founder keeps its durable state.
     pub fn state_dir(&self, member: usize) -> PathBuf {
         self.temp_dir.join(format!("state-{member}"))
     }
 
-    /// Writes the configuration of a member that contacts these peers first to a file of its own.
+    /// Writes the configuration of a member whose `fleet.peers` are these members to a new file;
+    /// returns the path.
     pub(super) fn write_config(&self, member: usize, peers: &[usize]) -> PathBuf {
         write_config(&self.config(member, peers).to_string())
     }
 
-    /// Replaces the configuration file of a member; a running process reads it at SIGHUP only.
+    /// Replaces the configuration file of a member; a running process reads it only at SIGHUP.
     pub fn set_config(&mut self, member: usize, config: &Value) {
-        std::fs::write(&self.configs[member], config.to_string()).expect("the file can be written");
+        std::fs::write(&self.configs[member], config.to_string())
+            .expect("the configuration file of a member can be written");
     }
 
-    /// From now on a member's processes listen for clients at the address that its first one got.
+    /// Makes every later process of a member listen for clients at `address`, which the system
+    /// assigned to its first process.
     pub(super) fn keep_client_address(&mut self, member: usize, address: SocketAddr) {
         self.client_addresses[member] = Some(address);
-        let text = std::fs::read_to_string(&self.configs[member]).expect("the file was written before");
-        let mut config: Value = serde_json::from_str(&text).expect("the harness writes JSON");
+        let text = std::fs::read_to_string(&self.configs[member])
+            .expect("the configuration file of a member can be read");
+        let mut config: Value = serde_json::from_str(&text).expect("the harness writes valid JSON");
         config["listen"] = json!(address.to_string());
         self.set_config(member, &config);
     }
--- a/crates/test-harness/src/fleet/faults.rs
+++ b/crates/test-harness/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults between and in the members of a fleet.
+//! Injects faults into the members of a fleet, the paths between them and its cache nodes.
 
 use super::Fleet;
 use crate::script::{Fault, Script, ScriptStep};
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 impl Fleet {
-    /// Causes a fault, or ends it.
+    /// Starts or ends a fault, and records it in the timeline.
     pub fn inject(&mut self, fault: &Fault) {
         self.record_action(&fault.to_string());
         match fault {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Nothing passes between members of different sides.
+    /// Partitions the paths between members of different sides, in both directions.
     pub fn partition(&self, sides: &[&[usize]]) {
         for (at, side) in sides.iter().enumerate() {
             for (_, other) in sides.iter().enumerate().filter(|(other, _)| *other != at) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Plays a script in real time.
+    /// Injects the faults of a script at their times; returns after the last one.
     pub fn run_script(&mut self, script: &Script) {
         let start = Instant::now();
         for ScriptStep { at_ms, fault } in &script.steps {
--- a/crates/test-harness/src/fleet/launch.rs
+++ b/crates/test-harness/src/fleet/launch.rs
@@ -1,4 +1,4 @@
-//! Starting and ending the processes of a fleet's members.
+//! Starts, replaces and kills the processes of a fleet's members.
 
 use super::{Fleet, Process, StartingProcess};
 use crate::client::call_admin;
@@ -10,11 +10,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often it is checked whether a process is ready.
+/// Interval between checks whether a process is ready.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Fleet {
-    /// Starts a member, at the address for clients that it had before, if any.
+    /// Starts a member and waits until it is ready. A member that ran before keeps its address for
+    /// clients.
     pub fn start(&mut self, member: usize) {
         self.record_action(&format!("start {member}"));
         let process = self.launch(member);
@@ -22,7 +23,8 @@
         self.processes[member] = Some(process);
     }
 
-    /// Starts members of which none gets ready before the others run.
+    /// Starts several members and then waits until each is ready, for members that become ready
+    /// only after others have started.
     pub fn start_together(&mut self, members: &[usize]) {
         let starting: Vec<(usize, StartingProcess)> =
             members.iter().map(|member| (*member, self.start_process(*member))).collect();
@@ -34,14 +36,14 @@
         }
     }
 
-    /// Starts a process of a member, and does not wait until it is ready.
+    /// Starts a process of a member without waiting until it is ready.
     pub fn start_process(&self, member: usize) -> StartingProcess {
         let mut child = spawn_with_config(&self.configs[member], &self.temp_dir);
         let lines = self.follow_log(&mut child, member);
         StartingProcess { child: Some(child), lines }
     }
 
-    /// Starts a process on the configuration of a member; it is ready when this returns.
+    /// Starts a process with the configuration of a member and waits until it is ready.
     fn launch(&self, member: usize) -> Process {
         let starting = self.start_process(member);
         self.wait_until_ready(member, starting)
@@ -50,16 +52,17 @@
     /// Waits until a process has logged its addresses and is ready.
     ///
     /// # Panics
-    /// If it is not ready in time.
+    /// If the process does not log its addresses or is not ready in time.
     pub fn wait_until_ready(&self, member: usize, mut starting: StartingProcess) -> Process {
-        let child = starting.child.take().expect("it is waited for once");
-        // The process belongs to this value from here on, so that a panic ends it.
+        let child = starting.child.take().expect("a starting process is waited for only once");
+        // The process is owned by this value from here on, so that a panic ends it.
         let unknown = self.advertised_address(member);
         let mut process = Process { child, client_address: unknown, admin_address: unknown, ended: false };
         let mut client_address = None;
         let mut admin_address = None;
         while client_address.is_none() || admin_address.is_none() {
-            let line = starting.lines.recv_timeout(WAIT_TIMEOUT).expect("the proxy logs where it listens");
+            let line =
+                starting.lines.recv_timeout(WAIT_TIMEOUT).expect("the process logs its addresses in time");
             let address_after = |words: &str| line.split_once(words).and_then(|(_, at)| at.parse().ok());
             admin_address = admin_address.or(address_after(" call "));
             client_address = client_address.or(address_after(" listens on "));
@@ -68,14 +71,14 @@
         process.client_address = client_address.unwrap_or(unknown);
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while call_admin(process.admin_address, "GET", "/control/ready").0 != 200 {
-            assert!(Instant::now() < deadline, "member {member} is not ready");
+            assert!(Instant::now() < deadline, "member {member} is not ready within {WAIT_TIMEOUT:?}");
             thread::sleep(POLL_INTERVAL);
         }
         process
     }
 
-    /// Adds each line of a process's log to the timeline, and forwards it. The threads end with
-    /// the process's output.
+    /// Adds each line of a process's log to the timeline and sends it to the receiver that this
+    /// returns. The threads end when the process closes its output.
     fn follow_log(&self, child: &mut Child, member: usize) -> Receiver<String> {
         let log = BufReader::new(child.stderr.take().expect("standard error is piped"));
         let (sender, lines) = channel();
@@ -83,41 +86,42 @@
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 timeline.record(&name, line.trim_start_matches("pinetrail: "));
-                // The receiver is dropped once the process is ready.
+                // An error is ignored: the receiver is dropped once the process is ready.
                 let _ = sender.send(line);
             }
         });
-        // Standard output is read as well: a full pipe would block the process.
+        // Standard output is also read, since a full pipe would block the process.
         let printed = BufReader::new(child.stdout.take().expect("standard output is piped"));
         thread::spawn(move || printed.lines().map_while(Result::ok).count());
         lines
     }
 
-    /// Kills a member.
+    /// Kills the process of a member.
     pub fn kill(&mut self, member: usize) {
         self.record_action(&format!("kill {member}"));
         self.processes[member] = None;
     }
 
-    /// Takes the process of a member out of the fleet's hands.
+    /// Removes the process of a member from the fleet and returns it; the caller ends it.
     ///
     /// # Panics
     /// If the member does not run.
     pub fn take_process(&mut self, member: usize) -> Process {
-        self.processes[member].take().expect("it runs")
+        self.processes[member].take().expect("the member is running")
     }
 
-    /// Starts a second process of a member beside the first; it is ready when this returns.
+    /// Starts a second process of a member while the first one runs, and waits until the second is
+    /// ready.
     pub fn start_second_process(&self, member: usize) -> Process {
         self.record_action(&format!("second process of {member}"));
         self.launch(member)
     }
 
-    /// Puts a process in the place of a member's, which is returned.
+    /// Replaces the process of a member; returns the replaced one.
     ///
     /// # Panics
     /// If the member does not run.
     pub fn replace_process(&mut self, member: usize, process: Process) -> Process {
-        self.processes[member].replace(process).expect("it runs")
+        self.processes[member].replace(process).expect("the member is running")
     }
 }
--- a/crates/test-harness/src/fleet/mod.rs
+++ b/crates/test-harness/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Several real proxies that know each other, with a fault-injecting proxy on every path between
-//! them and from each of them to the servers that it calls. [`Fleet`] owns the processes, the paths
-//! and the servers; [`Options`] says how many there are and what their configurations have.
+//! Several real proxies that form a fleet, with a fault-injecting proxy on every path between them
+//! and from each of them to the servers that it calls. Read [`Fleet`] first, which owns the
+//! processes, the fault proxies and the servers; [`Options`] sets their number and configuration.
 
 mod config;
 mod faults;
@@ -27,57 +27,60 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The port of members and of the fault proxies between them, each at an address of its own.
+/// UDP port of the members and of the fault proxies between them, which differ in their addresses.
 const MEMBER_PORT: u16 = 7946;
-/// The same for the connections of the peer transport.
+/// TCP port of the members and of the fault proxies between them, for the peer transport.
 const PEER_PORT: u16 = 7947;
-/// The last byte of the address of the first member, and of the first fault proxy.
+/// Last byte of the first member's address.
 const FIRST_MEMBER: usize = 1;
+/// Last byte of the address of the first fault proxy between members.
 const FIRST_FAULT_PROXY: usize = 101;
-/// How often [`Fleet::wait_until`] checks its condition.
+/// Interval between checks of the condition of [`Fleet::wait_until`].
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Numbers the fleets of one test program.
 static FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// A fleet of real processes. All of them end with it.
+/// A fleet of real processes. Dropping it kills all of them.
 pub struct Fleet {
-    /// The options that it was made with.
+    /// The options of the fleet.
     pub options: Options,
-    /// The second and third byte of the addresses of its members.
+    /// The second and third byte of the members' addresses.
     network: [u8; 2],
+    /// The process of each member that runs.
     processes: Vec<Option<Process>>,
-    /// Where clients reach each member, once it has started.
+    /// The address for clients of each member; unset before its first start.
     client_addresses: Vec<Option<SocketAddr>>,
+    /// The configuration file of each member.
     configs: Vec<PathBuf>,
     /// The fault proxies for datagrams between members.
     pub datagram_faults: DatagramFaultProxies,
-    /// The fault proxies for the connections of the peer transport.
+    /// The fault proxies for the connections of the peer transport between members.
     pub peer_faults: PeerFaultProxies,
     /// The fault proxies from each member to each cache node, the origin and discovery, in this
     /// order.
     pub server_faults: Vec<Vec<StreamFaultProxy>>,
-    /// The cache nodes.
+    /// The stubs of the cache nodes.
     pub nodes: Vec<StubServer>,
-    /// The origin.
+    /// The stub of the origin.
     pub origin: StubServer,
-    /// Discovery.
+    /// The stub of discovery.
     pub discovery: StaticDiscovery,
-    /// The events of the test, in the order of time.
+    /// The log lines of the members and the actions of the harness, with their times.
     pub timeline: Timeline,
     temp_dir: PathBuf,
     _slot: FleetSlot,
 }
 
 impl Fleet {
-    /// A fleet without running processes.
+    /// Creates a fleet with its servers and fault proxies, without starting a member.
     ///
     /// # Panics
-    /// If its files cannot be written or its fault proxies cannot listen.
+    /// If a file cannot be written or a fault proxy cannot listen.
     pub fn new(options: Options, nodes: Vec<StubServer>, origin: StubServer) -> Fleet {
         let slot = FleetSlot::acquire();
         let number = FLEETS.fetch_add(1, Ordering::SeqCst);
-        // Each run has addresses of its own: on a shared address another process could take a port
-        // between a crash and a restart.
+        // Each run uses its own addresses: on a shared address another process could take a port
+        // between a member's crash and its restart.
         let mixed = std::process::id().wrapping_mul(97).wrapping_add(number);
         let network = [(mixed >> 8) as u8 | 0x40, mixed as u8];
         let members = options.members;
@@ -99,7 +102,7 @@
         let proxies_of_member = || targets.iter().map(|to| StreamFaultProxy::start(*to)).collect();
         let server_faults = (0..members).map(|_| proxies_of_member()).collect();
         let temp_dir = run_folder().join(format!("fleet-{number}"));
-        std::fs::create_dir_all(&temp_dir).expect("a folder for temporary files can be made");
+        std::fs::create_dir_all(&temp_dir).expect("the folder for temporary files can be created");
         let mut fleet = Fleet {
             options,
             network,
@@ -120,7 +123,7 @@
         fleet
     }
 
-    /// A fleet whose members all run, with these cache nodes.
+    /// Creates a fleet with these cache nodes and this origin, and starts all its members.
     pub fn start_all(options: Options, nodes: Vec<StubServer>, origin: StubServer) -> Fleet {
         let mut fleet = Fleet::new(options, nodes, origin);
         let all: Vec<usize> = (0..fleet.options.members).collect();
@@ -134,54 +137,54 @@
         fleet
     }
 
-    /// The name of a member.
+    /// Returns the name of a member.
     pub fn name(member: usize) -> String {
         format!("n{member}")
     }
 
-    /// Where others reach a member: the fault proxy in front of it.
+    /// Returns the address at which the other members reach a member: that of its fault proxy.
     pub fn advertised_address(&self, member: usize) -> SocketAddr {
         address(self.network, FIRST_FAULT_PROXY + member)
     }
 
-    /// Where a member's own socket is.
+    /// Returns the address of a member's own socket.
     pub fn member_address(&self, member: usize) -> SocketAddr {
         address(self.network, FIRST_MEMBER + member)
     }
 
-    /// The process of a member.
+    /// Returns the process of a member.
     ///
     /// # Panics
     /// If the member does not run.
     pub fn process(&self, member: usize) -> &Process {
-        self.processes[member].as_ref().expect("it runs")
+        self.processes[member].as_ref().expect("the member is running")
     }
 
-    /// Whether a member runs.
+    /// Returns whether a member runs.
     pub fn is_running(&self, member: usize) -> bool {
         self.processes[member].is_some()
     }
 
-    /// A client's connection to a member.
+    /// Connects a new client to a member.
     pub fn client(&self, member: usize) -> Client {
         Client::connect(self.process(member).client_address)
     }
 
-    /// The fleet as a member reports it; none if it does not.
+    /// Returns the view of the fleet that a member reports; `None` if its status is not 200.
     ///
     /// # Panics
-    /// If the answer is no JSON.
+    /// If the member does not run or the response is not JSON.
     pub fn report(&self, member: usize) -> Option<Report> {
         let (status, text) = call_admin(self.process(member).admin_address, "GET", "/control/fleet");
         if status != 200 {
             return None;
         }
-        let json: serde_json::Value = serde_json::from_str(&text).expect("the answer is JSON");
+        let json: serde_json::Value = serde_json::from_str(&text).expect("the response is JSON");
         Some(Report::from(json))
     }
 
-    /// Whether each of these members believes that exactly these members are alive, and suspects no
-    /// other.
+    /// Returns whether each of these members reports exactly these members as alive, and none as
+    /// suspect.
     pub fn all_agree(&self, members: &[usize]) -> bool {
         let names: Vec<String> = members.iter().map(|member| Fleet::name(*member)).collect();
         members.iter().all(|member| {
@@ -191,14 +194,18 @@
         })
     }
 
-    /// Waits until a condition holds.
+    /// Waits until a condition holds; `what` describes it in the message of the panic.
     ///
     /// # Panics
-    /// If it does not hold in time; the message has the timeline.
+    /// If the condition does not hold within twice [`WAIT_TIMEOUT`]; the message has the timeline.
     pub fn wait_until(&self, what: &str, holds: impl Fn(&Fleet) -> bool) {
         let deadline = Instant::now() + WAIT_TIMEOUT * 2;
         while !holds(self) {
-            assert!(Instant::now() < deadline, "timed out: {what}\n{}", self.timeline);
+            assert!(
+                Instant::now() < deadline,
+                "timed out waiting until {what}; the timeline:\n{}",
+                self.timeline
+            );
             thread::sleep(POLL_INTERVAL);
         }
     }
@@ -209,7 +216,7 @@
     }
 }
 
-/// An address of a fleet by its last byte.
+/// Returns an address in the network of a fleet, by its last byte.
 fn address(network: [u8; 2], last_byte: usize) -> SocketAddr {
     SocketAddr::from(([127, network[0], network[1], last_byte as u8], MEMBER_PORT))
 }
@@ -231,7 +238,7 @@
         self.processes.clear();
         let _ = std::fs::remove_dir_all(&self.temp_dir);
         for config in &self.configs {
-            // A file that stays does no harm.
+            // An error is ignored: the file is in the run's folder, which is removed later.
             let _ = std::fs::remove_file(config);
         }
     }
--- a/crates/test-harness/src/fleet/options.rs
+++ b/crates/test-harness/src/fleet/options.rs
@@ -1,26 +1,28 @@
-//! The size and configuration of a test's fleet.
+//! The options of a test's fleet: its size and what its members are configured with.
 
-/// How many members a fleet has, and how they are configured.
+/// The number of members of a fleet and their configuration.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The most members that run.
+    /// The largest number of members that run.
     pub members: usize,
-    /// The members that each one is configured to contact first, by their numbers.
+    /// `fleet.peers`: the members that each member contacts first, by their numbers.
     pub peers: Vec<usize>,
-    /// `fleet.size`: the most members that are remembered.
+    /// `fleet.size`: the largest number of members that a member remembers.
     pub size: usize,
-    /// Seeds the random faults between members.
+    /// The seed of the random faults between members.
     pub seed: u64,
-    /// The members that are founders, by their numbers; without any there is no quota.
+    /// `fleet.founders`: the members that are founders, by their numbers; without any there is no
+    /// quota.
     pub founders: Vec<usize>,
-    /// `fleet.node_calls`: attempts in flight of all members together at one cache node.
+    /// `fleet.node_calls`: limit of the attempts that all members together have in flight at one
+    /// cache node.
     pub node_calls: Option<usize>,
-    /// Whether `fleet.policy` is configured; it needs founders.
+    /// Whether `fleet.policy` is configured, which requires founders.
     pub policy: bool,
 }
 
 impl Options {
-    /// This many members, each configured with the addresses of all.
+    /// Returns options for this number of members, each of which has all as its peers.
     pub fn with_members(members: usize) -> Options {
         Options {
             members,
--- a/crates/test-harness/src/fleet/process.rs
+++ b/crates/test-harness/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of a member, from its start until it is ended.
+//! A process of a member, while it starts ([`StartingProcess`]) and after that ([`Process`]).
 
 use crate::process::signal;
 use crate::WAIT_TIMEOUT;
@@ -8,39 +8,40 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often it is checked whether a process has ended.
+/// Interval between checks whether a process has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One process of a member.
+/// A process of a member that has been ready. Dropping it kills the process.
 pub struct Process {
     pub(super) child: Child,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub client_address: SocketAddr,
-    /// Where operators call.
+    /// The address of the admin endpoint.
     pub admin_address: SocketAddr,
+    /// Whether the process has exited.
     pub(super) ended: bool,
 }
 
 impl Process {
-    /// Waits for its end by itself.
+    /// Waits until the process exits by itself; returns its exit status.
     pub fn wait_for_exit(mut self) -> ExitStatus {
         let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait().expect("it is a child") {
+            if let Some(status) = self.child.try_wait().expect("the process is a child of this one") {
                 self.ended = true;
                 return status;
             }
-            assert!(Instant::now() < until, "the program does not end");
+            assert!(Instant::now() < until, "the process has not exited within {WAIT_TIMEOUT:?}");
             thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal, by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         signal(&self.child, name);
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -49,33 +50,35 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if !self.ended {
-            // It may have ended by itself. A stopped one is ended as well.
+            // An error is ignored: the process may have ended by itself. SIGKILL also ends a
+            // process that is paused.
             let _ = self.child.kill().and_then(|()| self.child.wait());
         }
     }
 }
 
-/// A process that may not be ready yet.
+/// A process of a member that may not be ready yet. Dropping it kills the process, unless
+/// [`Fleet::wait_until_ready`](super::Fleet::wait_until_ready) has taken it.
 pub struct StartingProcess {
     pub(super) child: Option<Child>,
-    /// The lines of its log, as they come.
+    /// Receives each line of the process's log.
     pub(super) lines: Receiver<String>,
 }
 
 impl StartingProcess {
-    /// Sends it a signal.
+    /// Sends the process a signal, by its name without `SIG`.
     ///
     /// # Panics
-    /// If it has been waited for already.
+    /// If the process has been waited for.
     pub fn signal(&self, name: &str) {
-        signal(self.child.as_ref().expect("it is not ready yet"), name);
+        signal(self.child.as_ref().expect("the process has not been waited for"), name);
     }
 }
 
 impl Drop for StartingProcess {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // An error is ignored: the process may have ended by itself.
             let _ = child.kill().and_then(|()| child.wait());
         }
     }
--- a/crates/test-harness/src/fleet/report.rs
+++ b/crates/test-harness/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What a member answers to `GET /control/fleet`.
+//! The response of a member to `GET /control/fleet`: [`Report`].
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -7,16 +7,16 @@
 /// A member's view of its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The answer as it came.
+    /// The response as it was received.
     pub json: Value,
     /// The partition side: `whole`, `majority`, `minority` or `alone`.
     pub side: String,
-    /// What it believes of each member, by name.
+    /// The members that the reporting member knows, by name.
     pub members: BTreeMap<String, ReportedMember>,
 }
 
 impl Report {
-    /// The names of those in a state.
+    /// Returns the names of the members that are reported in a state.
     pub fn names_in_state(&self, state: &str) -> Vec<&str> {
         self.members.iter().filter(|(_, member)| member.state == state).map(|(name, _)| &**name).collect()
     }
@@ -34,17 +34,17 @@
     }
 }
 
-/// One member as another one reports it.
+/// The state and address of a member in a [`Report`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportedMember {
     /// `alive`, `suspect`, `failed` or `left`.
     pub state: String,
-    /// Where its datagrams go.
+    /// The address to which datagrams for the member are sent.
     pub address: String,
 }
 
 impl ReportedMember {
-    /// Whether it is taken for alive, at this address.
+    /// Returns whether the member is reported as alive at this address.
     pub fn is_alive_at(&self, address: SocketAddr) -> bool {
         self.state == "alive" && self.address == address.to_string()
     }
--- a/crates/test-harness/src/fleet/slot.rs
+++ b/crates/test-harness/src/fleet/slot.rs
@@ -1,19 +1,19 @@
-//! Bounds how many fleets run at once: more would compete for the processor, and appear slow to
-//! each other.
+//! Limits how many fleets run at once in a test program: the processes of more fleets would compete
+//! for the processor, so that members appear slow to each other.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Fleets that may run at once in one test program.
+/// Limit of fleets that run at once in one test program.
 const MAX_RUNNING: usize = 3;
 
-/// How many fleets run now, and the tests that wait for one of them to end.
+/// The number of fleets that run, and the condition that notifies waiting tests when one ends.
 static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
-/// The right to run one fleet; given back when it is dropped.
+/// A permit to run one fleet, which is released when it is dropped.
 pub(super) struct FleetSlot;
 
 impl FleetSlot {
-    /// Waits until a fleet may run.
+    /// Waits until fewer than [`MAX_RUNNING`] fleets run.
     pub(super) fn acquire() -> FleetSlot {
         let (running, ended) = &RUNNING;
         let running = running.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -1,9 +1,9 @@
-//! Real processes of the program, and everything that they talk to: cache nodes, origin, discovery,
-//! clients and operators, on loopback. Every wait is bounded; every process that was started is
-//! ended, also after a panic.
+//! Runs real processes of the proxy, and on loopback everything that they talk to: cache nodes,
+//! origin, discovery, clients and operators. Every wait is bounded; every process that was started
+//! is ended, also after a panic.
 //!
-//! For one proxy see [`ProxyFixture`], for several that know each other, with faults between them,
-//! [`fleet::Fleet`].
+//! Tests of one proxy start with [`ProxyFixture`]; tests of a fleet, with faults between its
+//! members, with [`fleet::Fleet`].
 
 mod arrival;
 mod barrier;
@@ -34,5 +34,5 @@
 
 use std::time::Duration;
 
-/// How long a test waits for an expected event.
+/// Longest time that a test waits for an expected event.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/test-harness/src/policy/clients.rs
+++ b/crates/test-harness/src/policy/clients.rs
@@ -1,5 +1,5 @@
-//! Clients that send requests to members all the time, and record which version decided each:
-//! [`PolicyClients`].
+//! Clients that keep sending requests to members and record which policy version decided each of
+//! them: [`PolicyClients`].
 
 use crate::client::Client;
 use crate::fleet::Fleet;
@@ -10,14 +10,14 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How many clients each member has.
+/// Number of clients of each member.
 const CLIENTS_PER_MEMBER: usize = 2;
-/// Between two requests of a client.
+/// Pause before each request of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(2);
 /// Numbers the requests of one test program.
 static REQUESTS: AtomicU64 = AtomicU64::new(0);
 
-/// A time of the clock that all clients read, in ms.
+/// Returns the time in ms on the clock that all clients use; it starts at the first call.
 pub fn now_ms() -> f64 {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed().as_secs_f64() * 1000.0
@@ -26,20 +26,20 @@
 /// The state that the clients share.
 #[derive(Default)]
 struct Shared {
-    /// Guards the requests that a version decided.
+    /// Guards the requests that were decided by a version.
     decisions: Mutex<Vec<PolicyDecision>>,
     rejected: AtomicU64,
     stop: AtomicBool,
 }
 
-/// Clients that send requests until this is stopped or dropped.
+/// Clients that send requests until this value is stopped or dropped.
 pub struct PolicyClients {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl PolicyClients {
-    /// Starts clients of all members that run.
+    /// Starts clients for every member that runs.
     pub fn start(fleet: &Fleet) -> PolicyClients {
         let running = (0..fleet.options.members).filter(|member| fleet.is_running(*member));
         let members: Vec<(String, SocketAddr)> =
@@ -47,7 +47,7 @@
         PolicyClients::start_at(&members)
     }
 
-    /// Starts clients of members with these names and addresses.
+    /// Starts clients for the members with these names and addresses.
     pub fn start_at(members: &[(String, SocketAddr)]) -> PolicyClients {
         let mut clients = PolicyClients { shared: Arc::default(), threads: Vec::new() };
         for (name, address) in members {
@@ -61,25 +61,26 @@
         clients
     }
 
-    /// How many requests were rejected so far.
+    /// Returns how many requests have been rejected so far.
     pub fn rejected(&self) -> u64 {
         self.shared.rejected.load(Ordering::Acquire)
     }
 
-    /// Whether a version decided a request of this proxy that was sent after a time of [`now_ms`].
+    /// Returns whether a version has decided a request to this proxy that was sent after
+    /// `since_ms`, a time of [`now_ms`].
     ///
     /// # Panics
-    /// If a client panicked.
+    /// If a client has panicked.
     pub fn decided_since(&self, proxy: &str, version: u64, since_ms: f64) -> bool {
         let decisions = self.shared.decisions.lock().unwrap();
         let mut of_proxy = decisions.iter().filter(|decision| decision.proxy == proxy);
         of_proxy.any(|decision| decision.version == version && decision.sent > since_ms)
     }
 
-    /// Stops the clients; the requests that a version decided.
+    /// Stops the clients; returns the requests that were decided by a version.
     ///
     /// # Panics
-    /// If a client panicked.
+    /// If a client has panicked.
     pub fn stop(mut self) -> Vec<PolicyDecision> {
         self.shared.stop.store(true, Ordering::Release);
         for thread in self.threads.drain(..) {
@@ -88,15 +89,20 @@
         std::mem::take(&mut *self.shared.decisions.lock().unwrap())
     }
 
-    /// Stops the clients and checks that each version became active at one moment. Returns the
+    /// Stops the clients and checks that no two versions were active at the same time. Returns the
     /// versions 1 to 3, each with the number of requests that it decided.
     ///
     /// # Panics
-    /// If two versions were active at once, or no request was decided.
+    /// If two versions were active at the same time, or no request was decided by a version.
     pub fn check(self) -> Vec<(u64, usize)> {
         let decisions = self.stop();
         let violations = check_policies(&decisions, 0.0).expect("at least one request was decided");
-        assert!(violations.is_empty(), "{} violations; the first: {}", violations.len(), violations[0]);
+        assert!(
+            violations.is_empty(),
+            "{} violations of the policy rule, the first: {}",
+            violations.len(),
+            violations[0]
+        );
         let count = |version| decisions.iter().filter(|decision| decision.version == version).count();
         [1, 2, 3].map(|version| (version, count(version))).to_vec()
     }
@@ -109,8 +115,8 @@
 }
 
 impl Shared {
-    /// One client: sends requests until it is stopped, and connects again when its connection has
-    /// ended.
+    /// Runs one client: sends requests until the clients are stopped, and connects again after its
+    /// connection has ended.
     fn send_requests(&self, proxy: &str, address: SocketAddr) {
         let mut connection = None;
         while !self.stop.load(Ordering::Acquire) {
@@ -130,18 +136,18 @@
     }
 }
 
-/// The result of a request.
+/// The result of one request.
 enum RequestResult {
-    /// A version decided it.
+    /// A policy version decided the request.
     Decided(PolicyDecision),
-    /// It was rejected or failed, by no version.
+    /// The request was rejected or failed, so that no version can be told from its response.
     Rejected,
-    /// The connection has ended.
+    /// The connection ended before the response.
     Disconnected,
 }
 
-/// Sends one request and waits for its response. A response shows only whether the version was odd
-/// or even, so a run has two versions.
+/// Sends one request and waits for its response. The response shows only whether the version was
+/// odd or even, so the versions of a run are taken to be 1 and 2.
 fn send_request(client: &mut Client, proxy: &str) -> RequestResult {
     let number = REQUESTS.fetch_add(1, Ordering::AcqRel);
     let class = if number.is_multiple_of(2) { "read" } else { "scan" };
--- a/crates/test-harness/src/policy/mod.rs
+++ b/crates/test-harness/src/policy/mod.rs
@@ -1,9 +1,9 @@
-//! A fleet with one policy: what its members report of it ([`policy_status`], [`change_outcome`]),
-//! clients that see which version decided each request ([`PolicyClients`]), and whole runs under
-//! faults ([`run_under_faults`]).
+//! Tests of a fleet with a common policy: the policy that members report ([`policy_status`],
+//! [`change_outcome`]), clients that find out which version decided each request
+//! ([`PolicyClients`]), and complete runs under faults ([`run_under_faults`]).
 //!
-//! Two policies alternate: the class `read` of one is called `scan` by the other. So an odd version
-//! serves `read` and does not know `scan`, and an even one the other way round.
+//! Two policies alternate, in which the same class is named `read` and `scan`. An odd version
+//! therefore serves `read` and rejects `scan` as unknown; an even version does the opposite.
 
 mod clients;
 mod run;
@@ -16,7 +16,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// The settings of a version.
+/// Returns the settings of a version.
 pub fn settings(fleet: &Fleet, version: u64) -> Value {
     let mut settings = fleet.config(0, &[])["settings"].clone();
     if version.is_multiple_of(2) {
@@ -25,7 +25,8 @@
     settings
 }
 
-/// Proposes a change of this name that follows a version: the status of the answer, and its JSON.
+/// Proposes the change `id` to follow the version `after`; returns the status and JSON of the
+/// response.
 pub fn propose(admin: SocketAddr, id: &str, after: u64, settings: &Value) -> (u16, Value) {
     let body = json!({"id": id, "after": after, "settings": settings}).to_string();
     let request = format!(
@@ -36,12 +37,12 @@
     (status, serde_json::from_str(&text).unwrap_or(Value::Null))
 }
 
-/// What an admin server answers to `GET` of a path; null if it is no JSON.
+/// Gets a path of an admin endpoint; returns the JSON of the response, null if it has none.
 pub fn get_json(admin: SocketAddr, path: &str) -> Value {
     serde_json::from_str(&call_admin(admin, "GET", path).1).unwrap_or(Value::Null)
 }
 
-/// The version that is active at a member, and the member's state.
+/// Returns the version that is active at a member and the state of the member.
 pub fn policy_status(fleet: &Fleet, member: usize) -> (u64, String) {
     let status = get_json(fleet.process(member).admin_address, "/control/policy");
     let version = status["version"].as_u64().unwrap_or(0);
@@ -49,7 +50,7 @@
     (version, state.to_owned())
 }
 
-/// How a change ended, as a member reports it; empty while it is open or not known.
+/// Returns the outcome of a change that a member reports; empty if the change is open or unknown.
 pub fn change_outcome(fleet: &Fleet, member: usize, id: &str) -> String {
     let path = format!("/control/policy/changes/{id}");
     let change = get_json(fleet.process(member).admin_address, &path);
--- a/crates/test-harness/src/policy/run.rs
+++ b/crates/test-harness/src/policy/run.rs
@@ -1,4 +1,4 @@
-//! Complete runs of a policy change, and what clients observed in each: [`PolicyRun`].
+//! Complete runs of a policy change. Read [`PolicyRun`] first, which holds what clients observed.
 
 use super::{policy_status, propose, settings, PolicyClients};
 use crate::fleet::Fleet;
@@ -7,33 +7,33 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The number of faults of a seed.
+/// Number of faults in a run.
 const FAULTS_PER_SEED: usize = 4;
-/// The time within which these faults happen.
+/// Time within which all faults of a run begin and end.
 const FAULT_PERIOD_MS: u64 = 4800;
-/// How long clients send requests before the first reload and after the last one.
+/// Time for which clients send requests before the first reload, and after the pause of the last.
 const TRAFFIC_MARGIN: Duration = Duration::from_millis(200);
 
-/// The observations of one run with real processes.
+/// What clients observed in one run with real processes.
 #[derive(Clone, Debug)]
 pub struct PolicyRun {
-    /// The seed; 0 for a run with reloads.
+    /// The seed of the run; 0 for a run with reloads.
     pub seed: u64,
-    /// How many requests show that two versions were active at once; the largest `usize` if no
-    /// request was decided.
+    /// The number of requests that show that two versions were active at the same time;
+    /// `usize::MAX` if no request was decided.
     pub violations: usize,
-    /// For how long two versions decided requests, in ms.
+    /// The time for which both versions decided requests, in ms.
     pub overlap_ms: f64,
-    /// How many requests a version decided.
+    /// The number of requests that were decided by a version.
     pub decided: usize,
-    /// How many requests were rejected.
+    /// The number of requests that were rejected.
     pub rejected: u64,
-    /// The version that is active everywhere in the end; 0 for a run with reloads.
+    /// The version that is active at all members at the end; 0 for a run with reloads.
     pub version: u64,
 }
 
 impl PolicyRun {
-    /// Stops the clients, and evaluates what they observed.
+    /// Stops the clients and evaluates what they observed.
     fn evaluate(seed: u64, clients: PolicyClients, version: u64) -> PolicyRun {
         let rejected = clients.rejected();
         let decisions = clients.stop();
@@ -51,19 +51,19 @@
     }
 }
 
-/// Proposes a change while faults of a seed happen to a fleet that has one policy, and waits until
-/// all agree.
+/// Proposes a change to a fleet with a common policy while faults drawn from a seed are injected,
+/// and waits until all members have the same version.
 ///
 /// # Panics
-/// If they do not agree in time.
+/// If the members do not have the same version in time.
 pub fn run_under_faults(mut fleet: Fleet, seed: u64) -> PolicyRun {
-    fleet.wait_until("all have the first version", have_one_version);
+    fleet.wait_until("all members have the first version", have_one_version);
     let clients = PolicyClients::start(&fleet);
     let script = Script::from_seed(seed, fleet.options.members, FAULTS_PER_SEED, FAULT_PERIOD_MS);
     let proposer = propose_in_background(&fleet, seed);
     fleet.run_script(&script);
-    proposer.join().expect("a panic was caught");
-    fleet.wait_until("all agree", have_one_version);
+    proposer.join().expect("a panic of the proposal is caught");
+    fleet.wait_until("all members have the same version", have_one_version);
     let version = policy_status(&fleet, 0).0;
     PolicyRun::evaluate(seed, clients, version)
 }
@@ -73,24 +73,24 @@
     first.1 == "steady" && (0..fleet.options.members).all(|member| policy_status(fleet, member) == first)
 }
 
-/// Proposes the second version at a member and a moment that the seed decides. The thread ends
-/// after it.
+/// Starts a thread that proposes the second version, at a member and a time that depend on the
+/// seed. The thread ends after the proposal.
 fn propose_in_background(fleet: &Fleet, seed: u64) -> JoinHandle<()> {
     let delay = Duration::from_millis(200 + seed * 379 % 4000);
     let admin = fleet.process(seed as usize % fleet.options.members).admin_address;
     let next = settings(fleet, 2);
     thread::spawn(move || {
         thread::sleep(delay);
-        // The member may be down just then.
+        // A panic is ignored: the member may be down at that time.
         let _ = std::panic::catch_unwind(|| propose(admin, "x", 1, &next));
     })
 }
 
-/// Makes the same change by SIGHUP at each proxy in turn, in a fleet without a common policy; a
-/// pause follows each.
+/// Makes the same change with SIGHUP at one member after the other, with a pause after each, in a
+/// fleet without a common policy.
 ///
 /// # Panics
-/// If a proxy does not run.
+/// If a member does not run.
 pub fn run_with_reloads(mut fleet: Fleet, pause: Duration) -> PolicyRun {
     let clients = PolicyClients::start(&fleet);
     thread::sleep(TRAFFIC_MARGIN);
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -1,7 +1,8 @@
-//! The program as a process: how it is started, where it listens, and how it ends.
+//! Starts the proxy as a process, reads its addresses in its log, sends it signals and waits for
+//! its exit. Read [`start_proxy`] first.
 //!
-//! The owner of a process ends it: [`crate::ProxyFixture`] and [`crate::fleet::Process`] do so when
-//! they are dropped.
+//! The owner of a process ends it: [`crate::ProxyFixture`] and [`crate::fleet::Process`] kill their
+//! process when they are dropped.
 
 use crate::run_folder::run_folder;
 use crate::WAIT_TIMEOUT;
@@ -17,7 +18,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often it is checked whether a process has ended.
+/// Interval between checks whether a process has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The command that starts the proxy.
@@ -27,19 +28,19 @@
 }
 
 static PROGRAM: OnceLock<Program> = OnceLock::new();
-/// Where the logs of processes are kept; none unless [`keep_request_logs`] was called.
+/// Folder in which the logs of processes are kept; unset unless [`keep_request_logs`] was called.
 static LOG_FOLDER: OnceLock<PathBuf> = OnceLock::new();
 /// Numbers the configuration files of one test program.
 static CONFIG_FILES: AtomicUsize = AtomicUsize::new(0);
 
-/// A proxy that has logged where it listens.
+/// A process of the proxy that has logged the addresses at which it listens.
 pub(crate) struct StartedProcess {
     pub(crate) child: Child,
     pub(crate) client_address: SocketAddr,
     pub(crate) admin_address: SocketAddr,
 }
 
-/// Writes a configuration to a file of its own.
+/// Writes a configuration to a new file in the run's folder; returns its path.
 pub(crate) fn write_config(config: &str) -> PathBuf {
     let number = CONFIG_FILES.fetch_add(1, Ordering::SeqCst);
     let path = run_folder().join(format!("{number}.json"));
@@ -47,7 +48,7 @@
     path
 }
 
-/// Starts the proxy on a configuration.
+/// Starts the proxy with a configuration, without waiting until it listens.
 ///
 /// # Panics
 /// If the configuration cannot be written or the program cannot be started.
@@ -55,25 +56,25 @@
     spawn_with_config(&write_config(config), run_folder())
 }
 
-/// Starts all proxies with this command from now on; only the first call counts. The default is the
-/// program beside the running test.
+/// Sets the command that starts every later proxy; only the first call has an effect. The default
+/// is the program in the folder above that of the running test.
 pub fn set_program(path: PathBuf, arguments: &[&str]) {
     let arguments = arguments.iter().map(|argument| (*argument).to_owned()).collect();
-    // A second call is ignored, as documented.
+    // A later call has no effect, as documented.
     let _ = PROGRAM.set(Program { path, arguments });
 }
 
-/// Has all proxies that [`crate::ProxyFixture`] starts from now on write their request logs, each
-/// into a file of its own in this folder; only the first call counts.
+/// Makes every proxy that [`crate::ProxyFixture`] starts later write its request log to a separate
+/// file in this folder; only the first call has an effect.
 pub fn keep_request_logs(folder: PathBuf) {
     let _ = LOG_FOLDER.set(folder);
 }
 
 fn command() -> Command {
     let program = PROGRAM.get_or_init(|| {
-        // Tests run from a folder beside it.
-        let test = std::env::current_exe().expect("the test knows where it is");
-        let folder = test.parent().and_then(Path::parent).expect("tests lie in a folder of their own");
+        // Cargo puts the program into the folder above that of the tests.
+        let test = std::env::current_exe().expect("the path of the running test is known");
+        let folder = test.parent().and_then(Path::parent).expect("the running test is two folders deep");
         Program { path: folder.join("pinetrail"), arguments: Vec::new() }
     });
     let mut command = Command::new(&program.path);
@@ -81,7 +82,7 @@
     command
 }
 
-/// Starts the proxy on the configuration in a file, with this folder for its `$TMPDIR`.
+/// Starts the proxy with a configuration file and this folder as its `$TMPDIR`.
 pub(crate) fn spawn_with_config(config: &Path, temp_dir: &Path) -> Child {
     let mut command = command();
     command.env("LB_CONFIG", config);
@@ -91,27 +92,27 @@
     }
     command.stdout(Stdio::piped());
     command.stderr(Stdio::piped());
-    command.spawn().expect("the proxy starts")
+    command.spawn().expect("the proxy's program can be started")
 }
 
-/// Starts the proxy and reads in its log where it listens for operators and for clients.
+/// Starts the proxy and waits until it has logged its addresses for operators and for clients.
 pub(crate) fn start_and_find_addresses(config: &Path, temp_dir: &Path) -> StartedProcess {
     let mut child = spawn_with_config(config, temp_dir);
     let log = BufReader::new(child.stderr.take().unwrap());
     let mut log_file = log_file(&child);
     let (sender, addresses) = channel();
-    // Ends at the second address if no log is kept. The rest of the log is not read then, and the
-    // proxy must not end for that.
+    // If no log is kept, the thread ends at the second address and closes the pipe: a proxy whose
+    // log cannot be written must continue to run.
     thread::spawn(move || {
         let mut missing = 2;
         for line in log.lines().map_while(Result::ok) {
             if let Some(address) = logged_address(&line) {
                 missing -= 1;
-                // The receiver is gone only after a panic in the test.
+                // Fails only if the test has panicked.
                 let _ = sender.send(address);
             }
             match &mut log_file {
-                // A log that cannot be kept is no fault of the proxy.
+                // An error is ignored: a log that cannot be kept is no fault of the proxy.
                 Some(file) => drop(writeln!(file, "{line}")),
                 None if missing == 0 => return,
                 None => {}
@@ -119,27 +120,28 @@
         }
     });
     let admin_address =
-        addresses.recv_timeout(WAIT_TIMEOUT).expect("the proxy logs where operators reach it");
-    let client_address = addresses.recv_timeout(WAIT_TIMEOUT).expect("the proxy logs where it listens");
+        addresses.recv_timeout(WAIT_TIMEOUT).expect("the proxy logs its address for operators in time");
+    let client_address =
+        addresses.recv_timeout(WAIT_TIMEOUT).expect("the proxy logs its address for clients in time");
     StartedProcess { child, client_address, admin_address }
 }
 
-/// The file that keeps the log of a process, if logs are kept.
+/// Creates the file that keeps the log of a process; `None` if logs are not kept.
 fn log_file(child: &Child) -> Option<LineWriter<File>> {
     let path = LOG_FOLDER.get()?.join(format!("{}.log", child.id()));
     File::create(path).ok().map(LineWriter::new)
 }
 
-/// The address in a log line that says where the proxy listens.
+/// Returns the address in a log line that says where the proxy listens; `None` for any other line.
 fn logged_address(line: &str) -> Option<SocketAddr> {
     let (_, address) = line.split_once(" call ").or_else(|| line.split_once(" listens on "))?;
     address.parse().ok()
 }
 
-/// Sends a signal, by its name without `SIG`, to a process that this one started.
+/// Sends a signal, by its name without `SIG`, to a process that this one has started.
 ///
 /// # Panics
-/// If the tests use no signal of this name, or the process has ended.
+/// If the harness does not support the signal, or the process cannot be signalled.
 pub fn signal(child: &Child, name: &str) {
     let number = match name {
         "HUP" => Signal::HUP,
@@ -147,20 +149,20 @@
         "USR1" => Signal::USR1,
         "STOP" => Signal::STOP,
         "CONT" => Signal::CONT,
-        _ => panic!("the tests use no signal {name}"),
+        _ => panic!("the harness does not support the signal {name:?}"),
     };
     let pid = Pid::from_child(child);
-    rustix::process::kill_process(pid, number).expect("the process runs");
+    rustix::process::kill_process(pid, number).expect("the process can be signalled");
 }
 
-/// Waits until the program has ended by itself; what it printed.
+/// Waits until a process exits by itself; returns its exit status and its output.
 ///
 /// # Panics
-/// If it does not end in time.
+/// If the process does not exit within [`WAIT_TIMEOUT`].
 pub fn wait_for_exit(mut child: Child) -> Output {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while child.try_wait().unwrap().is_none() {
-        assert!(Instant::now() < deadline, "the program does not end");
+        assert!(Instant::now() < deadline, "the process has not exited within {WAIT_TIMEOUT:?}");
         thread::sleep(POLL_INTERVAL);
     }
     child.wait_with_output().unwrap()
--- a/crates/test-harness/src/proxy_fixture.rs
+++ b/crates/test-harness/src/proxy_fixture.rs
@@ -1,4 +1,4 @@
-//! One real proxy as a process, with a discovery of its own. Tests start with [`ProxyFixture`].
+//! One real proxy as a process, with its own stub of discovery. Read [`ProxyFixture`] first.
 
 use crate::client::Client;
 use crate::config::config;
@@ -15,49 +15,53 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Descriptors of a proxy, unless a test sets them.
+/// Limit of file descriptors of a proxy, unless a test sets it.
 const DEFAULT_SOCKETS: usize = 256;
-/// Memory limit of a proxy, unless a test sets it.
+/// Memory limit of a proxy in MB, unless a test sets it.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// How often [`ProxyFixture::wait_until`] checks its condition.
+/// Interval between checks of a condition or of the exit of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running proxy and its discovery. The process is killed when this is dropped.
+/// A running proxy and its stub of discovery. Dropping the fixture kills the process.
 pub struct ProxyFixture {
-    /// The discovery that the proxy watches.
+    /// The stub of discovery that the proxy watches.
     pub discovery: Discovery,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub client_address: SocketAddr,
-    /// The proxy's admin endpoint.
+    /// The address of the proxy's admin endpoint.
     pub admin_address: SocketAddr,
+    /// The proxy's process; none after its end.
     child: Option<Child>,
+    /// The proxy's configuration file.
     config: PathBuf,
-    /// The proxy's `$TMPDIR`.
+    /// The `$TMPDIR` of the proxy.
     temp_dir: PathBuf,
 }
 
 impl ProxyFixture {
-    /// A proxy whose cached list has these entries; it has answered `mn`.
+    /// Starts a proxy whose cached endpoint list has these entries, and waits until the proxy
+    /// answers `mn`.
     pub fn new(entries: &[String]) -> ProxyFixture {
         ProxyFixture::with_sockets(entries, DEFAULT_SOCKETS)
     }
 
-    /// The same with this many descriptors.
+    /// Starts a proxy with a limit of file descriptors; see [`ProxyFixture::new`].
     pub fn with_sockets(entries: &[String], sockets: usize) -> ProxyFixture {
         ProxyFixture::with_limits(entries, sockets, DEFAULT_MEMORY_MB)
     }
 
-    /// The same with these limits.
+    /// Starts a proxy with limits of file descriptors and of memory; see [`ProxyFixture::new`].
     pub fn with_limits(entries: &[String], sockets: usize, memory_mb: usize) -> ProxyFixture {
         ProxyFixture::start(entries, sockets, memory_mb, &[])
     }
 
-    /// A proxy whose configuration has some text replaced.
+    /// Starts a proxy after replacing a text in its configuration; see [`ProxyFixture::new`].
     pub fn with_config_change(entries: &[String], from: &str, to: &str) -> ProxyFixture {
         ProxyFixture::with_config_changes(entries, &[(from, to)])
     }
 
-    /// The same for several texts.
+    /// Starts a proxy after replacing several texts in its configuration; see
+    /// [`ProxyFixture::new`].
     pub fn with_config_changes(entries: &[String], changes: &[(&str, &str)]) -> ProxyFixture {
         ProxyFixture::start(entries, DEFAULT_SOCKETS, DEFAULT_MEMORY_MB, changes)
     }
@@ -65,8 +69,8 @@
     fn start(entries: &[String], sockets: usize, memory_mb: usize, changes: &[(&str, &str)]) -> ProxyFixture {
         let discovery = Discovery::new();
         let mut entries = entries.to_vec();
-        // A list without an origin is invalid. A test without an origin of its own gets an
-        // unreachable one.
+        // An endpoint list without an origin is invalid, so an unreachable origin is added if a
+        // test has none.
         if !entries.is_empty() && !entries.iter().any(|entry| entry.contains(r#""origin""#)) {
             let unreachable = StubServer::unreachable();
             entries.push(unreachable.entry("o", "origin", "ready"));
@@ -88,7 +92,8 @@
         fixture
     }
 
-    /// A proxy for these cache nodes, `s-0` on, and this origin.
+    /// Starts a proxy with these cache nodes, which are named `s-0`, `s-1` and so on, and this
+    /// origin.
     pub fn with_backends(nodes: &[&StubServer], origin: &StubServer) -> ProxyFixture {
         let mut entries: Vec<String> =
             nodes.iter().enumerate().map(|(n, node)| node.entry(&format!("s-{n}"), "c6", "ready")).collect();
@@ -96,12 +101,12 @@
         ProxyFixture::new(&entries)
     }
 
-    /// A new connection of a client.
+    /// Connects a new client.
     pub fn client(&self) -> Client {
         Client::connect(self.client_address)
     }
 
-    /// The value of one of the proxy's counters.
+    /// Reads one of the proxy's counters.
     ///
     /// # Panics
     /// If there is no counter of this name.
@@ -113,25 +118,25 @@
         loop {
             let line = client.read_line();
             if line == "END\r\n" {
-                return found.expect("the counter exists");
+                return found.expect("`stats` has the counter");
             }
             found = line.strip_prefix(&prefix).map(|n| n.trim().parse().unwrap()).or(found);
         }
     }
 
-    /// Waits until a condition holds.
+    /// Waits until a condition holds; `what` describes it in the message of the panic.
     ///
     /// # Panics
-    /// If it does not hold in time.
+    /// If the condition does not hold within [`WAIT_TIMEOUT`].
     pub fn wait_until(&self, what: &str, holds: impl Fn() -> bool) {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while !holds() {
-            assert!(Instant::now() < deadline, "timed out: {what}");
+            assert!(Instant::now() < deadline, "timed out after {WAIT_TIMEOUT:?} waiting until {what}");
             thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// The most memory that the proxy has had so far, in MB.
+    /// Returns the peak resident memory of the proxy, in MB.
     pub fn memory_mb(&self) -> u64 {
         let path = format!("/proc/{}/status", self.child.as_ref().unwrap().id());
         let status = std::fs::read_to_string(path).unwrap();
@@ -139,12 +144,13 @@
         kb.unwrap().parse::<u64>().unwrap() / 1024
     }
 
-    /// Sends the process a signal, by its name without `SIG`.
+    /// Sends the proxy a signal, by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         signal(self.child.as_ref().unwrap(), name);
     }
 
-    /// Writes a configuration for a second process of this proxy.
+    /// Writes the configuration for a second process of this proxy, which listens at the same
+    /// address; returns the path.
     fn second_config(&self) -> PathBuf {
         let text = std::fs::read_to_string(&self.config).unwrap();
         write_config(
@@ -152,8 +158,8 @@
         )
     }
 
-    /// Starts a second process of this proxy, which is ready when this returns: it and its admin
-    /// endpoint.
+    /// Starts a second process of this proxy and waits until it is ready; returns the process and
+    /// the address of its admin endpoint.
     pub fn start_second_process(&self) -> (Child, SocketAddr) {
         let second = start_and_find_addresses(&self.second_config(), &self.temp_dir);
         assert_eq!(second.client_address, self.client_address);
@@ -162,35 +168,36 @@
         (second.child, second.admin_address)
     }
 
-    /// From now on `$TMPDIR` is a folder whose path is too long for the address of a Unix socket.
+    /// Makes `$TMPDIR` of every later process a folder whose path is too long for the address of a
+    /// Unix socket.
     pub fn use_long_temp_dir(&mut self) {
         self.temp_dir = self.temp_dir.join("long".repeat(40));
         std::fs::create_dir_all(&self.temp_dir).unwrap();
     }
 
-    /// Kills the proxy and starts it anew at the same addresses.
+    /// Kills the proxy and starts it again at the same address for clients.
     pub fn restart(&mut self) {
         self.kill();
         self.start_again();
     }
 
-    /// Kills the proxy; it has ended when this returns.
+    /// Kills the proxy and waits for its end.
     ///
     /// # Panics
-    /// If it was killed before.
+    /// If the process has ended before.
     pub fn kill(&mut self) {
-        let mut child = self.child.take().expect("it is killed once");
+        let mut child = self.child.take().expect("the process has not ended before");
         child.kill().and_then(|()| child.wait()).unwrap();
     }
 
-    /// Waits for the end of the process, which it was asked for before; returns whether it ended in
-    /// time.
+    /// Waits until the process, which has been asked to stop, exits; returns whether it exited
+    /// within `time`.
     ///
     /// # Panics
-    /// If it has ended before.
+    /// If the process has ended before.
     pub fn exits_within(&mut self, time: Duration) -> bool {
         let until = Instant::now() + time;
-        let child = self.child.as_mut().expect("it ends once");
+        let child = self.child.as_mut().expect("the process has not ended before");
         while child.try_wait().unwrap().is_none() {
             if Instant::now() >= until {
                 return false;
@@ -201,33 +208,35 @@
         true
     }
 
-    /// Starts a proxy that has ended anew at the same addresses.
+    /// Starts the proxy again, after its end, at the same address for clients.
     pub fn start_again(&mut self) {
         let (child, admin) = self.start_second_process();
         self.child = Some(child);
         self.admin_address = admin;
     }
 
-    /// A second process on a configuration with some text replaced.
+    /// Starts a second process of this proxy after replacing a text in its configuration, without
+    /// waiting until the process is ready.
     pub fn start_second_process_with(&self, from: &str, to: &str) -> Child {
         let text = std::fs::read_to_string(self.second_config()).unwrap();
         spawn_with_config(&write_config(&text.replace(from, to)), &self.temp_dir)
     }
 
-    /// Puts a second process in the place of the first, which is returned.
+    /// Replaces the process of this fixture by a second one; returns the first.
     pub fn replace_process(&mut self, (child, admin): (Child, SocketAddr)) -> Child {
         self.admin_address = admin;
         self.child.replace(child).unwrap()
     }
 
-    /// Replaces some text in the configuration, and has the proxy reload it.
+    /// Replaces a text in the configuration file and makes the proxy reload the file.
     pub fn reload(&self, from: &str, to: &str) {
         let text = std::fs::read_to_string(&self.config).unwrap();
         std::fs::write(&self.config, text.replace(from, to)).unwrap();
         self.signal("HUP");
     }
 
-    /// Waits for the end of the process, which it was asked for before; what it printed.
+    /// Waits until the process, which has been asked to stop, exits; returns its exit status and
+    /// output.
     pub fn wait_for_exit(mut self) -> Output {
         wait_for_exit(self.child.take().unwrap())
     }
@@ -236,7 +245,7 @@
 impl Drop for ProxyFixture {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // An error is ignored: the process may have ended by itself.
             let _ = child.kill().and_then(|()| child.wait());
         }
         let _ = std::fs::remove_dir_all(&self.temp_dir);
--- a/crates/test-harness/src/recorder.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -1,5 +1,5 @@
-//! Records what the harness sees of a proxy from outside: what clients, cache nodes, the origin and
-//! discovery sent and received. Each test has a [`Recorder`] of its own, to which all its stubs and
+//! Records for the history checker what clients, cache nodes, the origin and discovery send to a
+//! proxy and receive from it. Each test has its own [`Recorder`], to which all its stubs and
 //! clients write.
 
 mod from_json;
@@ -11,27 +11,28 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The largest error of recorded times, which extends each time limit: 50 ms on sockets, as the
-/// protocol allows, and the scheduling delay of a busy machine. The seeded histories check the
-/// exact limits.
+/// Largest error of recorded times, by which the checker extends each time limit: 50 ms on sockets,
+/// as the protocol allows, and the scheduling delay of a busy machine. The exact limits are checked
+/// on simulated histories.
 const CLOCK_ERROR_MS: Time = 250.0;
-/// All processes of one proxy have the same name, since the rules treat them as one.
+/// Name of the proxy in the history; the same for all its processes, since the rules treat them as
+/// one proxy.
 const PROXY: &str = "p";
 
 /// The events recorded so far. Clones write to the same recording.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
-    /// The same moment in ms since the Unix epoch.
+    /// The time of `start`, in ms since the Unix epoch.
     start_unix_ms: f64,
-    /// Guards the recorded events, in the order of time.
+    /// Guards the events, which are kept in the order of time.
     recording: Arc<Mutex<Recording>>,
 }
 
 #[derive(Default)]
 struct Recording {
     events: Vec<(Time, HistoryEvent)>,
-    /// How many attempts were numbered.
+    /// The number of attempts that have been recorded; the last one has this number.
     attempts: u64,
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl Recorder {
-    #[allow(clippy::disallowed_methods, reason = "compared with start times, which are Unix times")]
+    #[allow(clippy::disallowed_methods, reason = "endpoint lists give the starts of nodes as Unix times")]
     fn new() -> Recorder {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
         Recorder {
@@ -50,27 +51,28 @@
         }
     }
 
-    /// The recorder of the test which this thread runs.
+    /// Returns the recorder of this thread, and so of the test that the thread runs.
     pub fn current() -> Recorder {
         CURRENT.with(Recorder::clone)
     }
 
-    /// The ms since the recording's start.
+    /// Returns the time since the start of the recording, in ms.
     fn now(&self) -> Time {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
     fn record(&self, event: HistoryEvent) {
         let mut recording = self.recording.lock().unwrap();
-        // The time is read under the lock, so that events are in the order of time.
+        // The clock is read under the lock, so that events are stored in the order of time.
         let at = self.now();
         recording.events.push((at, event));
     }
 
-    /// Records that a configuration became active, and that its endpoint list is known.
+    /// Records that a configuration has become active and that the proxy knows its cached endpoint
+    /// list.
     ///
     /// # Panics
-    /// If the configuration is not one that the proxy accepts.
+    /// If the configuration is invalid.
     pub fn record_active_config(&self, config: &str) {
         let config: Value = serde_json::from_str(config).unwrap();
         let limits = from_json::figures(&config["settings"]);
@@ -78,8 +80,8 @@
         self.record_endpoint_list(&config["known"].to_string());
     }
 
-    /// Records that discovery sent an endpoint list or changes to it. Text that is not JSON is
-    /// ignored.
+    /// Records that discovery has sent an endpoint list or changes to it. Ignores text that is not
+    /// JSON.
     ///
     /// # Panics
     /// If an entry lacks a field.
@@ -91,7 +93,7 @@
         self.record(HistoryEvent::EndpointsListed { proxy: PROXY.into(), is_complete, nodes });
     }
 
-    /// Records that a client's command is about to be sent.
+    /// Records that a client is about to send a command.
     ///
     /// # Panics
     /// If the command has no deadline.
@@ -102,10 +104,11 @@
         self.record(HistoryEvent::RequestSent { proxy: PROXY.into(), request, class, budget });
     }
 
-    /// Records that a client received its response: its line, and the line of its value.
+    /// Records that a client has received the response to a command: the line of the response and
+    /// the line of its value.
     ///
     /// # Panics
-    /// If the line reports a write without a receipt.
+    /// If the line reports a successful write without a receipt.
     pub fn record_response(&self, command: &str, line: &str, value: &str) {
         let request = crate::opaque(command).to_owned();
         let answer = match line.split(' ').next() {
@@ -117,21 +120,21 @@
         self.record(HistoryEvent::ResponseReceived { request, outcome: answer });
     }
 
-    /// Records that a client closes its connection.
+    /// Records that the client of a command closes its connection.
     pub fn record_client_gone(&self, command: &str) {
         let request = crate::opaque(command).to_owned();
         self.record(HistoryEvent::ClientDisconnected { request });
     }
 
-    /// Records that the process has exited by itself.
+    /// Records that the proxy has exited by itself.
     pub fn record_exit(&self) {
         self.record(HistoryEvent::ProxyEnded { proxy: PROXY.into(), how: ProxyEnd::Exited });
     }
 
-    /// Records that a backend has read a request; the number of the attempt.
+    /// Records that a backend has read a request; returns the number of the attempt.
     ///
     /// # Panics
-    /// If a thread panicked while it recorded something.
+    /// If a thread has panicked while it recorded an event.
     pub fn record_backend_request(&self, address: &str, text: &str) -> u64 {
         let transaction = text.lines().find_map(|line| line.strip_prefix("X-Txn: "));
         let request = transaction.map_or_else(|| crate::opaque(text).to_owned(), |id| format!("O{id}"));
@@ -153,33 +156,33 @@
         recording.attempts
     }
 
-    /// Records that a backend is about to answer an attempt with this text; with none that its
-    /// connection has ended.
+    /// Records that a backend is about to send this response to an attempt; if there is none, that
+    /// the connection of the attempt has ended.
     ///
     /// # Panics
-    /// If an HTTP response has no end of its head.
+    /// If the head of an HTTP response has no end.
     pub fn record_backend_response(&self, attempt: u64, text: Option<&str>) {
         let end = text.map_or(AttemptOutcome::Broken, end_of_attempt);
         self.record(HistoryEvent::AttemptEnded { attempt, outcome: end });
     }
 
-    /// Records that a process reported its quota, from 0 to 1; its attempts run for at most
-    /// `longest_attempt` ms.
+    /// Records the quota that a process reports, as a share from 0 to 1. An attempt of the process
+    /// lasts at most `longest_attempt` ms.
     pub fn record_quota(&self, proxy: &str, part: f64, longest_attempt: Time) {
         let proxy = proxy.to_owned();
         self.record(HistoryEvent::QuotaStated { proxy, fraction: part, longest_attempt });
     }
 
-    /// Records how many attempts all proxies together may have in flight at a backend.
+    /// Records the limit of attempts that all proxies together may have in flight at a backend.
     pub fn record_attempt_limit(&self, address: &str, limit: usize) {
         let address = address.to_owned();
         self.record(HistoryEvent::AttemptLimitSet { address, limit });
     }
 
-    /// The recorded history.
+    /// Returns the history of all events that have been recorded.
     ///
     /// # Panics
-    /// If a thread panicked while it recorded something.
+    /// If a thread has panicked while it recorded an event.
     pub fn history(&self) -> History {
         let events = self.recording.lock().unwrap().events.clone();
         History { clock_error: CLOCK_ERROR_MS, events }
@@ -188,25 +191,30 @@
     /// Checks the recorded history against all rules.
     ///
     /// # Panics
-    /// If a rule is violated, or the history cannot be checked.
+    /// If a rule is violated or the history cannot be checked.
     pub fn check(&self) {
         assert_no_violation(&check(&self.history()).expect("the history is complete"));
     }
 
-    /// Checks the recorded quotas alone.
+    /// Checks only the recorded quotas.
     ///
     /// # Panics
-    /// If quotas add up to more than one, or none was recorded.
+    /// If at some time the quotas add up to more than 1, or no quota was recorded.
     pub fn check_quota(&self) {
         assert_no_violation(&check_quota(&self.history()).expect("quotas were recorded"));
     }
 }
 
 fn assert_no_violation(violations: &[Violation]) {
-    assert!(violations.is_empty(), "{} violations, the first: {}", violations.len(), violations[0]);
+    assert!(
+        violations.is_empty(),
+        "{} violations of the rules, the first: {}",
+        violations.len(),
+        violations[0]
+    );
 }
 
-/// How a backend ends an attempt with this response.
+/// Returns how an attempt ends whose backend sends this response.
 fn end_of_attempt(text: &str) -> AttemptOutcome {
     if text.starts_with("VA ") {
         AttemptOutcome::Served(text.lines().nth(1).unwrap_or_default().to_owned())
@@ -223,7 +231,7 @@
     }
 }
 
-/// A label of a command's list, such as `c` in `Pc=read,t=acme`.
+/// Returns the value of a label of a command, such as `read` for `c` in `Pc=read,t=acme`.
 fn label<'a>(command: &'a str, name: &str) -> Option<&'a str> {
     let labels = command.split_whitespace().find_map(|word| word.strip_prefix('P'))?;
     labels.split(',').find_map(|label| label.strip_prefix(name)?.strip_prefix('='))
--- a/crates/test-harness/src/recorder/from_json.rs
+++ b/crates/test-harness/src/recorder/from_json.rs
@@ -1,15 +1,15 @@
-//! Reads what the history checker needs from a configuration and from an endpoint list.
+//! Converts configurations and endpoint lists, which are JSON, to the types of the history checker.
 
 use pinetrail_history_checker::{Class, DeduplicationScope, Idempotency, Limits, Node, NodeState};
 use serde_json::Value;
 
-/// A response counts as in time for this long after its deadline.
+/// Time after its deadline, in ms, within which a response counts as in time.
 const ANSWER_SLACK_MS: f64 = 20.0;
-/// New attempts may still go to a draining node for this long after the drain was listed.
+/// Time after the listing of a drain, in ms, within which new attempts may still go to the node.
 const DRAIN_GRACE_MS: f64 = 1000.0;
 
-/// A node from its entry in an endpoint list. Its start counts from this moment, in ms since the
-/// Unix epoch.
+/// Converts an entry of an endpoint list to a node. The start of the node becomes relative to
+/// `start_unix_ms`, the start of the recording in ms since the Unix epoch.
 pub(super) fn node(entry: &Value, start_unix_ms: f64) -> Node {
     let text = |key: &str| entry[key].as_str().unwrap().to_owned();
     Node {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The figures in the settings of a configuration.
+/// Reads the figures that the rules need from the settings of a configuration.
 pub(super) fn figures(settings: &Value) -> Limits {
     let permissions = &settings["Permissions"];
     let safety = &settings["Safety"];
--- a/crates/test-harness/src/run_folder.rs
+++ b/crates/test-harness/src/run_folder.rs
@@ -1,19 +1,19 @@
-//! The folder for the files of one run of a test program: configurations, temporary folders and
+//! Manages the folder of one run of a test program, with the configurations, temporary folders and
 //! logs of the processes that it starts. Read [`run_folder`] first.
 
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
 
-/// What the names of these folders begin with; the number of the process follows.
+/// Prefix of the names of run folders; the process id of the test program follows.
 const PREFIX: &str = "pinetrail-run-";
 
 static RUN_FOLDER: OnceLock<PathBuf> = OnceLock::new();
 
-/// The folder of this run, made at the first call. What ended runs left behind is removed then: a
-/// program that is ended from outside cannot remove its own.
+/// Returns the folder of this run. The first call creates it, and removes the folders that ended
+/// runs left behind, since a test program that is killed cannot remove its own.
 ///
 /// # Panics
-/// If it cannot be made.
+/// If the folder cannot be created.
 pub fn run_folder() -> &'static Path {
     RUN_FOLDER.get_or_init(|| {
         let parent = std::env::temp_dir();
@@ -27,19 +27,19 @@
 /// Removes the folder of this run, once its processes have ended.
 pub fn remove_run_folder() {
     if let Some(folder) = RUN_FOLDER.get() {
-        // What remains is removed by a later run.
+        // Files that cannot be removed now are removed by a later run.
         let _ = std::fs::remove_dir_all(folder);
     }
 }
 
-/// Removes the folders of processes that do not run any more.
+/// Removes the folders of test programs that no longer run.
 fn remove_leftovers(parent: &Path) {
     let Ok(entries) = std::fs::read_dir(parent) else { return };
     for entry in entries.filter_map(Result::ok) {
         let name = entry.file_name();
         let owner = name.to_str().and_then(|name| name.strip_prefix(PREFIX));
         if owner.is_some_and(|owner| !Path::new("/proc").join(owner).exists()) {
-            // Another run may be removing it as well.
+            // An error is ignored: another run may be removing the same folder.
             let _ = std::fs::remove_dir_all(entry.path());
         }
     }
--- a/crates/test-harness/src/script.rs
+++ b/crates/test-harness/src/script.rs
@@ -1,5 +1,5 @@
-//! Scripts of faults: written by hand, a line each, or drawn from a seed. Read [`Script`] first,
-//! then [`Fault`].
+//! Fault scripts, parsed from text with one fault a line or drawn from a seed. Read [`Script`]
+//! first, then [`Fault`].
 
 mod parse;
 #[cfg(test)]
@@ -11,30 +11,31 @@
 use rand::{RngExt, SeedableRng};
 use std::fmt;
 
-/// One fault, or its end. Members and cache nodes are given by their numbers.
+/// The start or the end of a fault. Members and cache nodes are given by their numbers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A member is killed by SIGKILL.
+    /// A member is killed with SIGKILL.
     Kill(usize),
-    /// A member starts again, under its name, with only its configuration.
+    /// A member that does not run starts under its name, with only its configuration.
     Start(usize),
-    /// A member is stopped by SIGSTOP.
+    /// A member is paused with SIGSTOP.
     Stop(usize),
-    /// A stopped member continues, by SIGCONT.
+    /// A paused member continues with SIGCONT.
     Continue(usize),
-    /// A hot restart: a second process takes over, and the first is asked to end.
+    /// A member performs a hot restart: its second process takes over, and its first one exits.
     HotRestart(usize),
-    /// Nothing passes from the first member to the second.
+    /// Nothing passes from the first member to the second: datagrams are lost, and the bytes of
+    /// connections are held back.
     Cut(usize, usize),
-    /// Nothing passes between the sides, in either direction.
+    /// Nothing passes between members of different sides, in either direction.
     Partition(Vec<Vec<usize>>),
-    /// Every path between members passes again.
+    /// No path between members is partitioned any longer.
     Heal,
-    /// This percentage of datagrams is lost, on every path.
+    /// This percentage of datagrams is lost on every path between members.
     Loss(u32),
-    /// A cache node breaks its connections and does not respond.
+    /// A cache node fails: its connections break, and requests on new ones get no response.
     NodeDown(usize),
-    /// A cache node responds again.
+    /// A cache node that failed responds again.
     NodeUp(usize),
 }
 
@@ -64,19 +65,19 @@
     members.join(",")
 }
 
-/// A fault and when it happens.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptStep {
-    /// In ms from the beginning of the script.
+    /// Time since the start of the script, in ms.
     pub at_ms: u64,
-    /// The fault.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// A sequence of faults in the order of time.
+/// A sequence of faults in the order of time. Its text form has one line for each step.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Script {
-    /// Its steps.
+    /// The steps in the order of time.
     pub steps: Vec<ScriptStep>,
 }
 
@@ -90,7 +91,8 @@
 }
 
 impl Script {
-    /// Faults of a seed for this many members. Each ends within `duration_ms`; there are none after that.
+    /// Draws a number of faults for a number of members from a seed. Each fault begins and ends
+    /// within `duration_ms`.
     pub fn from_seed(seed: u64, members: usize, faults: usize, duration_ms: u64) -> Script {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut script = Script::default();
@@ -105,7 +107,7 @@
     }
 }
 
-/// A fault and what ends it.
+/// Draws a fault; returns it and the step that ends it.
 fn draw_fault(rng: &mut StdRng, members: usize) -> (Fault, Fault) {
     let member = rng.random_range(0..members);
     let other = (member + rng.random_range(1..members)) % members;
--- a/crates/test-harness/src/script/parse.rs
+++ b/crates/test-harness/src/script/parse.rs
@@ -1,27 +1,27 @@
-//! Reading a [`Script`] from text.
+//! Parses a [`Script`] from text.
 
 use super::{Fault, Script, ScriptStep};
 use thiserror::Error;
 
-/// Why a text is no script.
+/// The reasons for which a text is not a script.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ScriptError {
-    /// A line does not have a time in ms and a fault with its arguments.
+    /// A line is not a time in ms followed by a fault with its arguments.
     #[error("line {line}: no fault: {text:?}")]
     NoFault {
-        /// The number of the line, from 1 on.
+        /// The number of the line, counted from 1.
         line: usize,
-        /// The line.
+        /// The text of the line.
         text: String,
     },
 }
 
 impl Script {
-    /// Reads lines of a time in ms and a fault; what follows a `#` is ignored, and so are empty
-    /// lines. The lines need not be in the order of time.
+    /// Parses lines of a time in ms and a fault. Ignores empty lines and the rest of a line after
+    /// `#`. The lines need not be in the order of time.
     ///
     /// # Errors
-    /// The first line that is no fault.
+    /// [`ScriptError::NoFault`] for the first line that is not a fault.
     pub fn parse(text: &str) -> Result<Script, ScriptError> {
         let mut script = Script::default();
         for (index, line) in text.lines().enumerate() {
@@ -67,7 +67,7 @@
     word.parse().ok()
 }
 
-/// Members of one side are separated by commas, and the sides by bars.
+/// Parses the sides of a partition: members are separated by commas, sides by `|`.
 fn parse_sides(word: &str) -> Option<Vec<Vec<usize>>> {
     word.split('|').map(|side| side.split(',').map(parse_number).collect()).collect()
 }
--- a/crates/test-harness/src/stub_server.rs
+++ b/crates/test-harness/src/stub_server.rs
@@ -1,8 +1,8 @@
-//! The servers that a proxy calls: stubs for cache nodes and the origin, on ephemeral loopback
+//! Stubs of the servers that a proxy calls (cache nodes and the origin), on ephemeral loopback
 //! ports.
 //!
-//! A test hands [`StubServer`] a function from each request to a [`StubAction`]. Every request and
-//! reply is also noted by the test's [`Recorder`].
+//! A test gives [`StubServer`] a function that returns a [`StubAction`] for each request. The
+//! [`Recorder`] of the test records every request and response.
 
 use crate::recorder::Recorder;
 use std::io::{BufRead, BufReader, Write};
@@ -13,22 +13,22 @@
 
 /// What a stub server does with a request.
 pub enum StubAction {
-    /// Writes these bytes.
+    /// Sends this text as the response.
     Reply(String),
-    /// Writes by itself, with its own timing.
+    /// Calls a function that writes the response itself, with its own timing.
     ReplyWith(Box<dyn FnOnce(&mut TcpStream)>),
     /// Sends no response, and continues with the next request.
     Ignore,
-    /// Ends the connection.
+    /// Closes the connection.
     Disconnect,
 }
 
 /// The protocol of a stub server.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Protocol {
-    /// The memcache meta commands: a request is a line, and a write's value.
+    /// The memcache meta commands: a request is a line, followed by the value if it is a write.
     Memcache,
-    /// HTTP: a request is a head, and a body by its `Content-Length`.
+    /// HTTP: a request is a head, followed by a body as long as its `Content-Length`.
     Http,
 }
 
@@ -42,9 +42,9 @@
     max_in_flight: AtomicUsize,
 }
 
-/// A stub server for a cache node or the origin. Its threads end with the test's process.
+/// A stub of a cache node or of the origin. Its threads end with the test's process.
 pub struct StubServer {
-    /// The address at which it accepts connections.
+    /// The address at which the stub accepts connections.
     pub address: SocketAddr,
     activity: Arc<Activity>,
 }
@@ -72,54 +72,54 @@
         StubServer { address, activity }
     }
 
-    /// A cache node, which speaks the memcache meta commands.
+    /// Starts a cache node, which speaks the memcache meta commands.
     pub fn node(act: impl Fn(&str) -> StubAction + Send + Sync + 'static) -> StubServer {
         StubServer::start(Protocol::Memcache, act)
     }
 
-    /// A cache node that holds every key; its value names it.
+    /// Starts a cache node that has every key, with its own name as the value.
     pub fn hit_node(name: &'static str) -> StubServer {
         StubServer::node(move |line| {
             StubAction::Reply(format!("VA {} {} h1\r\n{name}\r\n", name.len(), opaque(line)))
         })
     }
 
-    /// A cache node that holds nothing.
+    /// Starts a cache node that has no key.
     pub fn miss_node() -> StubServer {
         StubServer::node(|line| StubAction::Reply(format!("EN {}\r\n", opaque(line))))
     }
 
-    /// A server at an address at which no process listens.
+    /// Returns a server with an address at which no process listens.
     pub fn unreachable() -> StubServer {
         StubServer { address: SocketAddr::from(([127, 0, 0, 1], 1)), activity: Arc::default() }
     }
 
-    /// The origin, which speaks HTTP.
+    /// Starts an origin, which speaks HTTP.
     pub fn origin(act: impl Fn(&str) -> StubAction + Send + Sync + 'static) -> StubServer {
         StubServer::start(Protocol::Http, act)
     }
 
-    /// The requests that it has read, in their order.
+    /// Returns the requests that the stub has read, in the order of reading.
     pub fn received(&self) -> Vec<String> {
         self.activity.received.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The most requests that it had in flight at once.
+    /// Returns the largest number of requests that the stub was processing at once.
     pub fn max_in_flight(&self) -> usize {
         self.activity.max_in_flight.load(Ordering::SeqCst)
     }
 
-    /// Connections that it has accepted.
+    /// Returns the number of connections that the stub has accepted.
     pub fn connected(&self) -> usize {
         self.activity.connected.load(Ordering::SeqCst)
     }
 
-    /// Connections that have ended.
+    /// Returns the number of accepted connections that have ended.
     pub fn disconnected(&self) -> usize {
         self.activity.disconnected.load(Ordering::SeqCst)
     }
 
-    /// Its entry in discovery's list.
+    /// Returns the JSON entry of this server for an endpoint list.
     pub fn entry(&self, name: &str, kind: &str, lifecycle: &str) -> String {
         format!(
             r#"{{"instanceId":"{name}","hostPort":"{}","zone":"a","machineType":"{kind}","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#,
@@ -157,7 +157,7 @@
                 StubAction::Disconnect => break,
             }
         }
-        // For an attempt that was answered the first recorded end counts.
+        // Of an attempt that has been answered, the checker uses the first recorded end.
         if let Some(number) = last_request {
             self.recorder.record_backend_response(number, None);
         }
@@ -173,8 +173,8 @@
     }
 }
 
-/// The next request of a connection: a head and its body where `http`, else a line and a write's
-/// value. None at the end of the connection.
+/// Reads the next request of a connection: head and body if `http`, else a line and the value of a
+/// write. Returns `None` at the end of the connection or if the request cannot be read.
 pub(crate) fn read_request(reader: &mut impl BufRead, http: bool) -> Option<String> {
     let mut text = String::new();
     while reader.read_line(&mut text).ok()? > 0 {
@@ -188,7 +188,7 @@
     None
 }
 
-/// How many bytes follow a request's head or line; none if the length cannot be parsed.
+/// Returns how many bytes follow the head or line of a request; `None` if a write has no length.
 fn body_length(text: &str, http: bool) -> Option<usize> {
     const LINE_END_BYTES: usize = 2;
     if http {
@@ -202,12 +202,12 @@
     Some(0)
 }
 
-/// The `O` flag of a line, unchanged.
+/// Returns the opaque token of a line with its `O` prefix; `O?` if the line has none.
 pub fn opaque(line: &str) -> &str {
     line.split_whitespace().find(|word| word.starts_with('O')).unwrap_or("O?")
 }
 
-/// A complete HTTP response with this body.
+/// Returns the action that sends a complete HTTP response with status 200 and this body.
 pub fn http_200(body: &str) -> StubAction {
     StubAction::Reply(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
--- a/crates/test-harness/src/timeline.rs
+++ b/crates/test-harness/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The events of a test with their times, for people to read: [`Timeline`].
+//! Collects the events of a test with their times, for people to read: [`Timeline`].
 
 use std::fmt;
 use std::sync::{Arc, Mutex};
@@ -7,13 +7,14 @@
 /// One event of a process or of the harness.
 #[derive(Clone)]
 struct Entry {
-    /// In ms since the beginning.
+    /// Time since the start of the timeline, in ms.
     at_ms: u128,
+    /// The name of the process or of the part of the harness.
     source: String,
     text: String,
 }
 
-/// Events with their times; clones write to the same timeline.
+/// Events with their times. Clones write to the same timeline.
 #[derive(Clone)]
 pub struct Timeline {
     start: Instant,
@@ -22,12 +23,12 @@
 }
 
 impl Timeline {
-    /// An empty timeline; times count from now.
+    /// Creates an empty timeline whose times are measured from now.
     pub fn new() -> Timeline {
         Timeline { start: Instant::now(), entries: Arc::default() }
     }
 
-    /// Adds an event of the process or part of the harness with this name.
+    /// Adds an event of the process or part of the harness that is named `source`.
     ///
     /// # Panics
     /// If a thread panicked while it added an event.
@@ -36,13 +37,13 @@
         self.entries.lock().unwrap().push(entry);
     }
 
-    /// The ms since its beginning.
+    /// Returns the time since the start of the timeline, in ms.
     pub fn elapsed_ms(&self) -> u128 {
         self.start.elapsed().as_millis()
     }
 
-    /// The time of the first event of this name that contains this text, from a time on, both in
-    /// ms.
+    /// Returns the time in ms of the first event of `source` that contains `text` and is not before
+    /// `from_ms`.
     ///
     /// # Panics
     /// If a thread panicked while it added an event.
@@ -50,7 +51,8 @@
         self.first_match_of_both(source, text, "", from_ms)
     }
 
-    /// The same for an event that contains both texts.
+    /// Returns the time in ms of the first event of `source` that contains both texts and is not
+    /// before `from_ms`.
     ///
     /// # Panics
     /// If a thread panicked while it added an event.
@@ -60,7 +62,7 @@
         of_them.find(|entry| entry.text.contains(one) && entry.text.contains(other)).map(|entry| entry.at_ms)
     }
 
-    /// The number of events of this name that contain this text, from a time in ms on.
+    /// Returns the number of events of `source` that contain `text` and are not before `from_ms`.
     ///
     /// # Panics
     /// If a thread panicked while it added an event.
