--- a/tests/common/edited_history.rs
+++ b/tests/common/edited_history.rs
@@ -1,28 +1,33 @@
-//! Histories of short simulated days, and edits of them: one event added, removed, moved or
-//! repeated.
+//! Histories of short simulations, and edits of them: one event added, removed, moved or repeated.
 
 use super::fleet::{simulate, Fault};
 use pinetrail_history_checker::{
     check, AttemptOutcome, History, HistoryEvent, Reason, ResponseOutcome, Time,
 };
 
+/// Asserts that the checker finds no violation.
 pub(crate) fn assert_accepted(history: &History) {
-    let violations = check(history).expect("it can be judged");
-    assert!(violations.is_empty(), "{} in all, first {}", violations.len(), violations[0]);
+    let violations = check(history).expect("the history can be checked");
+    assert!(violations.is_empty(), "{} violations, the first: {}", violations.len(), violations[0]);
 }
 
-/// The history is refused, for this reason alone, and names the request or node.
+/// Asserts that the checker finds a violation, that all violations have this reason and this
+/// request or node as their subject, and that the first one names the events at fault.
 pub(crate) fn assert_violation(history: &History, reason: Reason, subject: &str) {
-    let violations = check(history).expect("it can be judged");
+    let violations = check(history).expect("the history can be checked");
     let reasons: Vec<(Reason, &str)> =
         violations.iter().map(|violation| (violation.reason, violation.subject.as_str())).collect();
     assert!(!reasons.is_empty() && reasons.iter().all(|found| *found == (reason, subject)), "{reasons:?}");
     let last = violations[0].events.last().copied();
-    assert!(last.is_some_and(|event| event < history.events.len()), "it names the events at fault");
+    assert!(
+        last.is_some_and(|event| event < history.events.len()),
+        "the violation names the events at fault"
+    );
 }
 
-/// A short day without faults, and one of its requests that a node served at once: the places in
-/// the history of when it was asked, received, closed and answered, and its id.
+/// Returns a short history whose only fault is a drain, with one request that a single attempt
+/// served: the indices of the events at which the request was sent, the attempt was received, the
+/// attempt ended and the response was received, and the id of the request.
 pub(crate) fn history_with_served_request() -> (History, [usize; 4], String) {
     let history = simulate(3, 1200.0, &[(300.0, Fault::Drain(2))]);
     assert_accepted(&history);
@@ -30,7 +35,8 @@
     (history, at, id)
 }
 
-/// A request of a class with one call, which served it.
+/// Finds the last request of a class that a single attempt served; returns its id and the indices
+/// of its events, as [`history_with_served_request`] does.
 pub(crate) fn find_served_request(history: &History, class: &str) -> (String, [usize; 4]) {
     let events = || history.events.iter().enumerate();
     let of_class = events().filter_map(|(at, (_, event))| match event {
@@ -53,10 +59,10 @@
         })?;
         Some((id.clone(), [requested, received, ended, answered]))
     });
-    found.next_back().expect("one was served")
+    found.next_back().expect("a single attempt served a request of the class")
 }
 
-/// The history with an event more, in its place by time.
+/// Returns the history with an event inserted at its place by time.
 pub(crate) fn with_event(history: &History, at: Time, event: HistoryEvent) -> History {
     let mut changed = history.clone();
     let index = changed.events.partition_point(|event| event.0 <= at);
@@ -70,12 +76,13 @@
     changed
 }
 
-/// The history with an event moved to another time.
+/// Returns the history with an event moved to another time.
 pub(crate) fn with_event_moved(history: &History, index: usize, to: Time) -> History {
     with_event(&without_event(history, index), to, history.events[index].1.clone())
 }
 
-/// The attempt at an index once more, under another number, to this node and at this time.
+/// Returns the history with a copy of the attempt at an index, under another number and at this
+/// node and time. The copy fails.
 pub(crate) fn with_attempt(history: &History, received: usize, address: &str, at: Time) -> History {
     let HistoryEvent::AttemptReceived { proxy, request, work, .. } = history.events[received].1.clone()
     else {
@@ -94,9 +101,9 @@
     )
 }
 
-/// A history in which a request of this class was served, with its proxy's answer taken later so
-/// that there is room for more attempts: the history, the indices of its attempt and its answer,
-/// its id.
+/// Returns a history in which a request of this class was served, with the response moved to a
+/// later time so that there is time for more attempts: the history, the indices of the attempt and
+/// the response, and the id of the request.
 pub(crate) fn history_with_late_response(class: &str) -> (History, usize, usize, String) {
     let history = simulate(5, 3000.0, &[]);
     let (id, [requested, received, _, answered]) = find_served_request(&history, class);
@@ -118,6 +125,7 @@
     (history, received, answered.unwrap(), id)
 }
 
+/// Returns the time at which the attempt at an index arrived, and the address of its node.
 pub(crate) fn arrival_and_address(history: &History, received: usize) -> (Time, String) {
     let HistoryEvent::AttemptReceived { address, first_byte_at, .. } = history.events[received].1.clone()
     else {
@@ -126,7 +134,7 @@
     (first_byte_at, address)
 }
 
-/// A node that is in the same zone or cell as another, or is not.
+/// Finds another node that is, or is not, in the same zone or cell as the node at this address.
 pub(crate) fn other_node(address: &str, group_of: fn(u32) -> u32, is_same_group: bool) -> String {
     let number = |address: &str| address[1..].parse::<u32>().unwrap();
     let others = (1..=super::fleet::NODES).filter(|n| *n != number(address));
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,10 +1,10 @@
-//! A fleet in simulated time: several decision modules that share nothing, cache nodes, an origin,
-//! clients, and faults from a seed. Everything that is visible from outside is recorded. Read
-//! [`play`] first.
+//! Simulation of a fleet: several decision modules that share no state, cache nodes, an origin,
+//! clients, and faults generated from a seed. Everything that is visible from outside is recorded.
+//! Read [`simulate`] first.
 
 mod faults;
 
-// Not every test program that has this module uses them.
+// Not every test program that includes this module uses these items.
 #[allow(unused_imports)]
 pub(crate) use faults::{random_script, Fault};
 
@@ -16,21 +16,23 @@
 
 pub(crate) const PROXIES: usize = 4;
 pub(crate) const NODES: u32 = 6;
-/// Work of an attempt.
+/// Work of one attempt.
 const ATTEMPT_WORK: f64 = 10.0;
-/// Work that a warm node can take in a ms.
+/// Capacity of a warm node, in work per ms.
 const NODE_WORK_PER_MS: f64 = 1.1;
-/// Every open request ends within this time after the last request.
+/// Duration of the recording after the last request. Every open request ends within it.
 const RECORDING_AFTER_MS: Milliseconds = 3000.0;
-/// Mean time between two requests of all clients together.
+/// Mean interval between two requests of all clients together.
 const REQUEST_INTERVAL_MS: Milliseconds = 2.0;
 
-/// An event at a time of the fleet's clock.
+/// An event of the simulation.
 enum FleetEvent {
     RequestArrives,
+    /// A timer with this token fires at this incarnation of a proxy.
     TimerFires(usize, u32, u64),
     AttemptArrives(SentAttempt),
     AttemptEnds(SentAttempt, Outcome),
+    /// A change of the endpoint list arrives at a proxy.
     ListArrives(usize, Vec<EndpointInfo>),
     Fault(Fault),
     ClientLeaves(usize, RequestNumber),
@@ -42,12 +44,13 @@
     proxy: usize,
     incarnation: u32,
     id: RequestNumber,
-    /// Its number among the request's attempts.
+    /// Number of the attempt among those of its request.
     ordinal: u8,
     server: BackendNumber,
     sent: Milliseconds,
+    /// When the attempt times out.
     until: Milliseconds,
-    /// Its number among the recorded attempts.
+    /// Number of the attempt among all recorded attempts.
     number: u64,
 }
 
@@ -56,7 +59,7 @@
     incarnation: u32,
     alive: bool,
     discovery_cut_until: Milliseconds,
-    /// The requests without a final response.
+    /// Requests without a final response.
     open: BTreeMap<RequestNumber, OpenRequest>,
 }
 
@@ -73,6 +76,7 @@
     silent_until: Milliseconds,
     refuses_until: Milliseconds,
     fails_until: Milliseconds,
+    /// When each attempt in progress ends.
     attempt_ends: Vec<Milliseconds>,
 }
 
@@ -80,24 +84,26 @@
     now: Milliseconds,
     until: Milliseconds,
     rng: SmallRng,
+    /// Scheduled events by time in µs, and by sequence number if the times are equal.
     event_queue: BTreeMap<(u64, u64), FleetEvent>,
+    /// Sequence number of the event that was scheduled last.
     sequence: u64,
     proxies: Vec<Proxy>,
     nodes: BTreeMap<BackendNumber, StubNode>,
-    /// The endpoint list of discovery.
+    /// Endpoint list of discovery.
     list: BTreeMap<BackendNumber, EndpointInfo>,
     next_request: RequestNumber,
     recorder: EventRecorder,
 }
 
-/// Plays a day with these faults; returns its recording.
+/// Simulates a fleet for `until` ms under the faults of a script; returns the recorded history.
 pub(crate) fn simulate(seed: u64, until: Milliseconds, script: &[(Milliseconds, Fault)]) -> History {
     let mut fleet = Fleet::new(seed, until);
     for (at, fault) in script {
         fleet.schedule(*at, FleetEvent::Fault(*fault));
     }
     fleet.run();
-    // The recording continues until the deadline of every request.
+    // An event at the end shows that the recording extends past the deadline of every request.
     fleet.recorder.record_list(fleet.until + RECORDING_AFTER_MS, "p0", false, &[]);
     fleet.recorder.history()
 }
@@ -135,7 +141,7 @@
         fleet
     }
 
-    /// Schedules an event this long after now.
+    /// Schedules an event `after` ms from now.
     fn schedule(&mut self, after: Milliseconds, event: FleetEvent) {
         self.sequence += 1;
         let at = ((self.now + after) * 1000.0).ceil() as u64;
@@ -354,7 +360,7 @@
         self.nodes.entry(server).or_default()
     }
 
-    /// Changes an entry of the endpoint list, which reaches each proxy a little later.
+    /// Changes an entry of the endpoint list. The change reaches each proxy after a random delay.
     fn update_list(&mut self, member: EndpointInfo) {
         self.list.insert(member.backend.0, member);
         for proxy in 0..PROXIES {
@@ -377,7 +383,7 @@
 fn balancer(number: usize, incarnation: u32) -> Balancer {
     let numbered = format!(r#""GroupSize":{PROXIES},"MyNumber":{number}"#);
     let json = settings_json(true).replace(r#""GroupSize":3"#, &numbered);
-    let settings = Settings::from_json(json.as_bytes()).expect("the settings are legal");
+    let settings = Settings::from_json(json.as_bytes()).expect("the settings are valid");
     Balancer::new(settings, number as u64 + 100 * u64::from(incarnation))
 }
 
--- a/tests/common/fleet/faults.rs
+++ b/tests/common/fleet/faults.rs
@@ -1,29 +1,29 @@
-//! Faults of the fleet, and scripts of them.
+//! Faults of the simulated fleet, and random scripts of them.
 
 use super::*;
 
-/// A fault in a script.
+/// A fault that a script injects into the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
-    /// A node is replaced at its address by another process, and listed again.
+    /// A new process replaces a node at its address and is listed with its new start time.
     Restart(BackendNumber),
-    /// It drains until the end.
+    /// A node drains until the end of the simulation.
     Drain(BackendNumber),
-    /// It has left, and no list contains it any more.
+    /// A node has left the fleet and is listed as gone.
     Gone(BackendNumber),
-    /// It does not respond for a time.
+    /// A node does not respond for a time.
     Silent(BackendNumber, Milliseconds),
-    /// It refuses connections for a time.
+    /// A node refuses connections for a time.
     Refuses(BackendNumber, Milliseconds),
-    /// It fails every other attempt for a time.
+    /// A node fails half of its attempts, chosen at random, for a time.
     Fails(BackendNumber, Milliseconds),
-    /// A proxy is killed, and starts again with the complete list as it is then.
+    /// A proxy is killed and later starts again with the complete endpoint list of that time.
     Kill(usize),
     /// A proxy receives nothing from discovery for a time.
     DiscoveryCut(usize, Milliseconds),
 }
 
-/// Faults drawn from a seed: each kind may come at any time, several at once.
+/// Generates faults from a seed. Their kinds and times are random, so that several may overlap.
 pub(crate) fn random_script(seed: u64, until: Milliseconds) -> Vec<(Milliseconds, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xfa17);
     let mut draw = |_| {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A harness that drives one balancer by hand, and settings for it. Read [`BalancerHarness`] first.
+//! Shared support for tests: a harness that drives one balancer by hand, its settings, a simulated
+//! fleet, and recorded histories. Read [`BalancerHarness`] first.
 #![allow(dead_code)]
 
 pub(crate) mod edited_history;
@@ -10,26 +11,26 @@
 use pinetrail::settings::Settings;
 use pinetrail::time::{TimeSpan, Timestamp};
 
-/// A request, as tests count them.
+/// Number of a request in a test.
 pub(crate) type RequestNumber = u64;
-/// A backend, as tests count them.
+/// Number of a backend in a test.
 pub(crate) type BackendNumber = u32;
-/// A key, as tests count them; 0 for none.
+/// Number of a key in a test; 0 if a request has no key.
 pub(crate) type KeyNumber = u64;
-/// A point in time or a span on the clock of a test, in ms.
+/// Time or duration on the clock of a test, in ms.
 pub(crate) type Milliseconds = f64;
 
-/// A span of so many ms.
+/// Converts a duration in ms.
 pub(crate) fn span(ms: Milliseconds) -> TimeSpan {
     TimeSpan::from_ms(ms)
 }
 
-/// The point in time so many ms after the origin of a test's clock.
+/// Converts a time in ms since the origin of a test's clock.
 pub(crate) fn time(ms: Milliseconds) -> Timestamp {
     Timestamp::from_ms(ms)
 }
 
-/// Every outcome that an attempt may have.
+/// All outcomes that an attempt can have.
 pub(crate) const ALL_OUTCOMES: [Outcome; 9] = [
     Outcome::Ok,
     Outcome::Error,
@@ -48,7 +49,7 @@
 pub(crate) const KEYED_ZONE: u8 = 2;
 pub(crate) const KEYED_CELL: u8 = 3;
 pub(crate) const UNSAFE: u8 = 4;
-/// The names of the classes, by their numbers.
+/// Names of the request classes, indexed by class number.
 pub(crate) const CLASSES: [&str; 5] = ["safe", "keyed all", "keyed zone", "keyed cell", "unsafe"];
 
 pub(crate) fn settings_json(with_origin: bool) -> String {
@@ -97,26 +98,27 @@
     }
 }
 
-/// One balancer and its clock.
+/// A balancer and its simulated clock.
 pub(crate) struct BalancerHarness {
     pub balancer: Balancer,
     pub now: Milliseconds,
 }
 
 impl BalancerHarness {
-    /// A balancer that knows the cache nodes 1 to `servers` and an origin.
+    /// Creates a balancer that knows the cache nodes 1 to `servers` and an origin.
     pub(crate) fn with_origin(servers: u32) -> BalancerHarness {
         BalancerHarness::new(true, servers)
     }
 
-    /// A balancer that knows the cache nodes 1 to `servers`, which fetch by themselves.
+    /// Creates a balancer that knows the cache nodes 1 to `servers`, which fetch missing values
+    /// themselves.
     pub(crate) fn without_origin(servers: u32) -> BalancerHarness {
         BalancerHarness::new(false, servers)
     }
 
     fn new(with_origin: bool, servers: u32) -> BalancerHarness {
         let settings =
-            Settings::from_json(settings_json(with_origin).as_bytes()).expect("the settings are legal");
+            Settings::from_json(settings_json(with_origin).as_bytes()).expect("the settings are valid");
         let mut harness = BalancerHarness { balancer: Balancer::new(settings, 7), now: 100_000.0 };
         let mut list: Vec<EndpointInfo> = (1..=servers).map(endpoint).collect();
         if with_origin {
@@ -126,12 +128,12 @@
         harness
     }
 
-    /// One of 200 proxies, without an origin.
+    /// Creates the balancer of one of 200 proxies, without an origin.
     pub(crate) fn numbered(number: u32, servers: u32) -> BalancerHarness {
         BalancerHarness::numbered_with(number, servers, |json| json)
     }
 
-    /// The same with its settings changed.
+    /// Creates the balancer of one of 200 proxies with its settings edited by `change`.
     pub(crate) fn numbered_with(
         number: u32,
         servers: u32,
@@ -141,7 +143,7 @@
             settings_json(false)
                 .replace(r#""GroupSize":3"#, &format!(r#""GroupSize":200,"MyNumber":{number}"#)),
         );
-        let settings = Settings::from_json(json.as_bytes()).expect("the settings are legal");
+        let settings = Settings::from_json(json.as_bytes()).expect("the settings are valid");
         let mut harness =
             BalancerHarness { balancer: Balancer::new(settings, u64::from(number)), now: 100_000.0 };
         harness.event(Event::EndpointList {
@@ -168,6 +170,7 @@
         self.event(Event::Request(request))
     }
 
+    /// Reports the end of an attempt that took 10 ms.
     pub(crate) fn end(
         &mut self,
         id: RequestNumber,
@@ -198,7 +201,8 @@
         }))
     }
 
-    /// Fires the deadline timer of a request, found among the actions that its arrival caused.
+    /// Advances the clock to the deadline of a request and fires its timer, which is the longest
+    /// one among the actions that the arrival of the request caused.
     pub(crate) fn fire_deadline(&mut self, arrival: &[Action]) -> Vec<Action> {
         let longest = arrival
             .iter()
@@ -209,12 +213,12 @@
                 _ => None,
             })
             .max_by(|a, b| a.0.total_cmp(&b.0));
-        let (delay, token) = longest.expect("a request sets its deadline timer");
+        let (delay, token) = longest.expect("the arrival of a request sets its deadline timer");
         self.now += delay;
         self.event(Event::Timer(token))
     }
 
-    /// Sends a read of `key` that is served at once; the backend that took it.
+    /// Sends a read of `key` and serves it at once; returns the backend that received it.
     pub(crate) fn serve_read(&mut self, id: RequestNumber, key: KeyNumber) -> BackendNumber {
         let server = sent(&self.request(read(id, key))).expect("the read is sent").1;
         self.end(id, 0, server, Outcome::Ok);
@@ -222,6 +226,7 @@
     }
 }
 
+/// Returns the request and the backend of each attempt that the actions start.
 pub(crate) fn sent_attempts(actions: &[Action]) -> Vec<(RequestNumber, BackendNumber)> {
     actions
         .iter()
@@ -235,15 +240,17 @@
         .collect()
 }
 
+/// Returns the request and the backend of the first attempt that the actions start.
 pub(crate) fn sent(actions: &[Action]) -> Option<(RequestNumber, BackendNumber)> {
     sent_attempts(actions).first().copied()
 }
 
-/// The response to a request of which another attempt could have an effect twice.
+/// Returns the failure of a request whose effect another attempt could repeat.
 pub(crate) fn unsafe_to_repeat(request: RequestNumber) -> Action {
     Action::Fail { request: RequestId(request), reason: GiveUpReason::RepeatUnsafe }
 }
 
+/// Returns the actions that end a request without serving it.
 pub(crate) fn final_responses(actions: &[Action]) -> Vec<&Action> {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).collect()
 }
--- a/tests/common/recorded_events.rs
+++ b/tests/common/recorded_events.rs
@@ -1,4 +1,5 @@
-//! What can be seen of a proxy or a fleet from outside, recorded as a history for the checker.
+//! Records the events of a proxy or a fleet that are visible from outside, as a history for the
+//! checker. Read [`EventRecorder`] first.
 
 use super::{settings_json, BackendNumber, Milliseconds, CLASSES};
 use pinetrail::interface::{EndpointInfo, EndpointState, Outcome};
@@ -7,12 +8,13 @@
     AttemptOutcome, Class, DeduplicationScope, History, HistoryEvent, Idempotency, Limits, Node,
 };
 
-/// Events, in the order in which they were seen. Of an attempt nothing is seen where no connection
-/// came about: its place is kept until its end is known.
+/// Recorder of events in the order in which they happen. An attempt whose connection fails is not
+/// visible at the backend, so the place of each attempt stays reserved until its end is known.
 #[derive(Default)]
 pub(crate) struct EventRecorder {
     events: Vec<Option<(Milliseconds, HistoryEvent)>>,
-    /// Each attempt's place among the events, and what comes there unless its connection fails.
+    /// For each attempt, the index of its reserved place among the events and the event that fills
+    /// the place unless the connection fails.
     attempts: Vec<(usize, Option<(Milliseconds, HistoryEvent)>)>,
 }
 
@@ -21,7 +23,7 @@
         self.events.push(Some((at, event)));
     }
 
-    /// Records an attempt; its number.
+    /// Records an attempt; returns its number.
     pub(crate) fn record_attempt(
         &mut self,
         at: Milliseconds,
@@ -44,7 +46,7 @@
         attempt
     }
 
-    /// Records how an attempt ended.
+    /// Records the end of an attempt.
     pub(crate) fn record_end(&mut self, at: Milliseconds, attempt: u64, outcome: Outcome, value: &str) {
         let (index, received) = &mut self.attempts[attempt as usize];
         let end = match outcome {
@@ -79,7 +81,7 @@
         self.record(at, HistoryEvent::ResponseReceived { request: request.to_owned(), outcome: answer });
     }
 
-    /// All that was recorded, by time.
+    /// Returns all recorded events in the order of time.
     pub(crate) fn history(mut self) -> History {
         for (index, received) in &mut self.attempts {
             if let Some(received) = received.take() {
@@ -111,7 +113,7 @@
     }
 }
 
-/// The figures that [`settings_json`] states, read from it anew.
+/// Returns the figures in [`settings_json`], read independently of the program's own parser.
 pub(crate) fn figures() -> Limits {
     let settings: serde_json::Value = serde_json::from_str(&settings_json(true)).unwrap();
     let figure = |group: &str, name: &str| settings[group][name].as_f64().unwrap();
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -1,6 +1,6 @@
-//! The rules, judged by what can be seen from outside of fleets under faults from seeds. For each
-//! rule the smallest change to a history that keeps it is refused, and its neighbour within the
-//! limit is not.
+//! Checks of the rules on the visible events of simulated fleets under seeded faults. For each
+//! rule, the smallest edit of a history that breaks the rule is reported as a violation, and the
+//! edit just within the limit is accepted.
 
 mod common;
 
@@ -20,10 +20,15 @@
         let history = simulate(seed, DURATION_MS, &random_script(seed, DURATION_MS));
         requests +=
             history.events.iter().filter(|event| matches!(event.1, HistoryEvent::RequestSent { .. })).count();
-        let violations = check(&history).expect("it can be judged");
-        assert!(violations.is_empty(), "seed {seed}: {} in all, first {}", violations.len(), violations[0]);
+        let violations = check(&history).expect("the history can be checked");
+        assert!(
+            violations.is_empty(),
+            "seed {seed}: {} violations, the first: {}",
+            violations.len(),
+            violations[0]
+        );
     }
-    assert!(requests > 100_000, "{requests}");
+    assert!(requests > 100_000, "{requests} requests");
 }
 
 #[test]
@@ -48,7 +53,10 @@
     assert!(matches!(check(&out_of_order), Err(CheckError::OutOfOrder(_))));
     let mut unfinished = without_event(&history, history.events.len() - 1);
     unfinished.events.truncate(requested + 1);
-    assert!(matches!(check(&unfinished), Err(CheckError::Unfinished(_))), "{id}");
+    assert!(
+        matches!(check(&unfinished), Err(CheckError::Unfinished(_))),
+        "the recording ends before the deadline of {id}"
+    );
 }
 
 #[test]
@@ -70,7 +78,7 @@
         Reason::FabricatedResponse,
         &id,
     );
-    // Who has left is owed nothing; who left after its time was.
+    // A client that disconnects before the deadline is owed no response; one that does so later is.
     let disconnect = HistoryEvent::ClientDisconnected { request: id.clone() };
     assert_accepted(&with_event(&without_event(&history, answered), deadline, disconnect.clone()));
     assert_violation(
@@ -86,7 +94,7 @@
     let HistoryEvent::RequestSent { proxy, .. } = history.events[requested].1.clone() else { panic!() };
     let at = history.events[requested].0;
     for (how, is_lost) in [(ProxyEnd::Killed, false), (ProxyEnd::Exited, true)] {
-        // Only what it is about: what else the proxy held is left out.
+        // The other requests that the proxy held are left out.
         let is_relevant = |event: &HistoryEvent| match event {
             HistoryEvent::RequestSent { request, .. }
             | HistoryEvent::ResponseReceived { request, .. }
@@ -181,7 +189,7 @@
                 assert_violation(&changed, Reason::UnsafeRejection, &id)
             }
         }
-        // What was turned away never ran: then every class may be refused.
+        // A rejected attempt never ran: then a request of any class may be rejected.
         let mut rejected = history.clone();
         let HistoryEvent::AttemptReceived { attempt, .. } = rejected.events[received].1 else { panic!() };
         rejected.events.iter_mut().for_each(|event| match &mut event.1 {
@@ -220,7 +228,8 @@
         Reason::TooManyAttempts,
         &id,
     );
-    // Where two at once are not allowed, one more must wait for the end of the one before.
+    // Where two attempts at once are not allowed, the next one must wait for the end of the one
+    // before.
     let (mut history, received, _, id) = history_with_late_response("safe");
     history.events.iter_mut().for_each(|event| {
         if let HistoryEvent::ConfigActivated { limits, .. } = &mut event.1 {
--- a/tests/node_histories.rs
+++ b/tests/node_histories.rs
@@ -1,5 +1,5 @@
-//! The rules on draining and cold nodes: the smallest change to a history that breaks one is
-//! refused, and its neighbour within the limit is not.
+//! Checks of the rules on draining and cold nodes: the smallest edit of a history that breaks a
+//! rule is reported as a violation, and the edit just within the limit is accepted.
 
 mod common;
 
@@ -21,7 +21,7 @@
         _ => None,
     });
     let node = node.unwrap();
-    // Nothing else goes there: the history is kept to the one request and one proxy.
+    // All other requests are removed, so that nothing else goes to the node.
     let mut one_request = history.clone();
     let HistoryEvent::AttemptReceived { request: id, attempt, .. } = history.events[received].1.clone()
     else {
@@ -47,7 +47,8 @@
         };
         assert_accepted(&with_state_listed(first - limit));
         assert_violation(&with_state_listed(first - limit - 0.001), reason, &address);
-        // To be told so twice gives no more time; to be told that it is back does.
+        // A second list with the same state does not extend the limit; a list in which the node is
+        // ready again lifts it.
         let listed_twice = with_event(
             &with_state_listed(first - limit - 0.001),
             first - 1.0,
@@ -76,7 +77,8 @@
     assert_violation(&never_listed, Reason::NeverListed, &address);
 }
 
-/// Guards against a budget counted for each proxy alone: the last straw comes from another one.
+/// Guards against a work budget that is counted for each proxy alone: the attempt that exceeds the
+/// budget comes from another proxy.
 #[test]
 fn a_cold_node_that_is_sent_more_than_it_can_take_is_refused() {
     let history = simulate(11, 5000.0, &[(1000.0, Fault::Restart(2))]);
@@ -99,7 +101,7 @@
                 _ => sum,
             }
         });
-    assert!(sent > 0.0 && sent < max_work, "{sent} of {max_work}");
+    assert!(sent > 0.0 && sent < max_work, "work {sent} of at most {max_work}");
     let with_extra_work = |extra_work: Time| {
         let received = history.events.iter().rposition(|event| match &event.1 {
             HistoryEvent::AttemptReceived { address, .. } => address == "n2" && event.0 <= at,
@@ -110,7 +112,7 @@
             panic!()
         };
         *work += extra_work;
-        // What comes after is no work, so that this is the whole of it.
+        // Later attempts are given no work, so that the total ends with this attempt.
         heavier.events.iter_mut().filter(|event| event.0 > at).for_each(|event| match &mut event.1 {
             HistoryEvent::AttemptReceived { address, work, .. } if address == "n2" => *work = 0.0,
             _ => {}
@@ -118,7 +120,7 @@
         heavier
     };
     let remaining_work = {
-        // The budget is that of the moment of the last attempt.
+        // The budget is the one at the time of the last attempt.
         let received = history.events.iter().rfind(|event| match &event.1 {
             HistoryEvent::AttemptReceived { address, .. } => address == "n2" && event.0 <= at,
             _ => false,
