--- a/tests/golden/admin.rs
+++ b/tests/golden/admin.rs
@@ -1,4 +1,4 @@
-//! Responses of the admin server of one proxy without a fleet, head and body.
+//! Tests of the responses, head and body, of the admin server of one proxy without a fleet.
 
 use crate::{compare, escaped, origin, silent_origin};
 use pinetrail_test_harness::{opaque, Client, ProxyFixture, StubAction, StubServer};
@@ -7,16 +7,19 @@
 use std::sync::mpsc::channel;
 use std::sync::Mutex;
 
-/// The complete response of an admin server to these bytes.
+/// Returns the complete response of an admin server to the text of a request.
 pub(crate) fn complete_response(admin: SocketAddr, request: &str) -> String {
     let mut client = Client::connect(admin);
     client.send(request);
     let mut response = String::new();
-    client.reader().read_to_string(&mut response).expect("the admin server answers, and closes");
+    client
+        .reader()
+        .read_to_string(&mut response)
+        .expect("the admin server responds and closes the connection");
     response
 }
 
-/// A request of this line, without a body.
+/// Returns a request with this request line and without a body.
 pub(crate) fn request(line: &str) -> String {
     format!("{line} HTTP/1.1\r\nHost: door\r\n\r\n")
 }
@@ -86,7 +89,7 @@
         "GET /control/policy/changes/",
         "GET /control/out-of-service",
         "GET /control/in-service",
-        // These exist only with a fleet.
+        // These paths exist only with a fleet.
         "GET /control/fleet",
         "GET /control/policy",
         "GET /control/policy/changes/x",
@@ -95,7 +98,7 @@
         "POST /control/policy",
     ];
     compare(
-        "wrong calls",
+        "unknown requests",
         include_str!("recorded/wrong_calls.txt"),
         &exchanges(fixture.admin_address, &lines),
     );
@@ -120,16 +123,16 @@
         let shown = if request.len() < 200 { escaped(&request) } else { escaped(&request[..40]) + "..." };
         format!("> {shown}\n< {}\n", escaped(&complete_response(fixture.admin_address, &request)))
     });
-    compare("no calls", include_str!("recorded/no_calls.txt"), &exchanges.concat());
+    compare("malformed requests", include_str!("recorded/no_calls.txt"), &exchanges.concat());
 }
 
 #[test]
 fn a_draining_process_answers_admin_requests_as_recorded() {
-    // The request stays open until the test releases it.
+    // The node responds only when the test releases it.
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let node = StubServer::node(move |line| {
-        // Dropping the sender releases it as well.
+        // Dropping the sender releases the node as well.
         let _ = released.lock().unwrap().recv();
         StubAction::Reply(format!("VA 1 {}\r\nv\r\n", opaque(line)))
     });
@@ -137,10 +140,10 @@
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=9000\r\n");
-    fixture.wait_until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node receives the request", || node.received().len() == 1);
     fixture.signal("TERM");
     let ready = request("GET /control/ready");
-    fixture.wait_until("it stops", || {
+    fixture.wait_until("draining", || {
         !complete_response(fixture.admin_address, &ready).starts_with("HTTP/1.1 200")
     });
     let lines = ["GET /control/ready", "POST /control/out-of-service", "POST /control/in-service"];
@@ -159,12 +162,12 @@
     let admin = fixture.admin_address;
     let responses = std::thread::scope(|scope| {
         let handles = requests.map(|request| scope.spawn(move || complete_response(admin, request)));
-        handles.map(|handle| handle.join().expect("it is answered"))
+        handles.map(|handle| handle.join().expect("the admin server responds"))
     });
     let shown = |(request, response): (&str, String)| {
         let (request, response) = (escaped(request), escaped(&response));
         format!("> {request}\n< {response}\n")
     };
     let actual: String = requests.into_iter().zip(responses).map(shown).collect();
-    compare("half a call", include_str!("recorded/half_calls.txt"), &actual);
+    compare("half a request", include_str!("recorded/half_calls.txt"), &actual);
 }
--- a/tests/golden/backends.rs
+++ b/tests/golden/backends.rs
@@ -1,4 +1,4 @@
-//! The requests of the proxy to cache nodes, the origin and discovery.
+//! Tests of the proxy's requests to cache nodes, the origin and discovery.
 
 use crate::{compare, escaped, origin, without_number};
 use pinetrail_test_harness::{
@@ -10,10 +10,11 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long the test waits for an expected request.
+/// Longest time that the test waits for a request.
 const WAIT: Duration = Duration::from_secs(10);
 
-/// Requests as lines of a recording, without the remaining time and the address, which vary.
+/// Formats requests as lines of a recording, with marks for the remaining time and the address,
+/// which vary.
 fn normalized(received: &[String], server: &StubServer) -> String {
     let normalized: String = received.iter().map(|request| escaped(request) + "\n").collect();
     without_number(&normalized, ",d=", "LEFT").replace(&server.address.to_string(), "ADDRESS")
@@ -42,7 +43,7 @@
     }
     let writes = [
         "ms w/1 5 O3 Pc=put,t=acme,d=9000,k=5c\r\nhello\r\n",
-        // Without a key, and empty.
+        // No idempotency key, and an empty value.
         "ms w 0 O4 Pc=confirm,t=acme,d=9000\r\n\r\n",
     ];
     for command in writes {
@@ -50,7 +51,7 @@
     }
     let (to_node, to_origin) = (normalized(&node.received(), &node), normalized(&origin.received(), &origin));
     let actual = format!("# to the cache node\n{to_node}# to the origin\n{to_origin}");
-    compare("calls", include_str!("recorded/calls.txt"), &actual);
+    compare("attempts", include_str!("recorded/calls.txt"), &actual);
 }
 
 #[test]
@@ -61,7 +62,7 @@
     let list = endpoint_list_json(7, true, &[origin.entry("o", "origin", "ready")]);
     let (sender, watches) = channel();
     thread::spawn(move || {
-        // Each watch gets one list, and its connection ends.
+        // Each watch gets one list, then its connection ends.
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
             let mut reader = BufReader::new(stream.try_clone().unwrap());
@@ -71,7 +72,7 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n",
                 list.len() + 1
             );
-            // The proxy and the test may have ended.
+            // The proxy or the test may have ended.
             let _ = stream.write_all(response.as_bytes());
             let _ = sender.send(head);
         }
--- a/tests/golden/clients.rs
+++ b/tests/golden/clients.rs
@@ -1,9 +1,9 @@
-//! Responses on a client's connection to each form of the protocol, and to malformed input.
+//! Tests of the responses to clients: to each command of the protocol, and to malformed input.
 
 use crate::{compare, escaped, origin, silent_origin, without_number};
 use pinetrail_test_harness::{call_admin, opaque, Client, ProxyFixture, StubAction, StubServer};
 
-/// A cache node that holds the keys that do not begin with `absent`.
+/// Starts a cache node that holds all keys except those that begin with `absent`.
 fn node() -> StubServer {
     StubServer::node(|line| {
         if line.starts_with("mg absent") {
@@ -14,7 +14,8 @@
     })
 }
 
-/// Sends a command; returns it with the complete response, and whether the connection serves on.
+/// Sends a command; returns the command, its complete response, and whether the connection remains
+/// usable.
 fn exchange(client: &mut Client, command: &str) -> String {
     client.send(command);
     let mut response = client.read_line();
--- a/tests/golden/counters.rs
+++ b/tests/golden/counters.rs
@@ -1,10 +1,10 @@
-//! The names of the counters in `stats`, in their order.
+//! Tests of the names of the counters in `stats` and of their order.
 
 use crate::{compare, origin};
 use pinetrail_test_harness::fleet::{Fleet, Options};
 use pinetrail_test_harness::{Client, StubServer};
 
-/// The names in `stats`; each line has a name and a number.
+/// Returns the names in `stats`; checks that each line has a name and a number.
 fn names(mut client: Client) -> String {
     client.send("stats\r\n");
     let mut names = String::new();
@@ -20,7 +20,7 @@
     }
 }
 
-/// The names in the `stats` of a member with these options.
+/// Starts a member with these options; returns the names in its `stats`.
 fn stats_names(options: Options, has_fleet: bool) -> String {
     let mut fleet = Fleet::new(options, vec![StubServer::hit_node("v")], origin());
     if !has_fleet {
--- a/tests/golden/fleet.rs
+++ b/tests/golden/fleet.rs
@@ -1,4 +1,4 @@
-//! Responses of the admin servers of a fleet: its members, quotas, policy, and drift.
+//! Tests of the responses of a fleet's admin servers: members, quotas, policy, and drift.
 
 use crate::admin::{complete_response, request};
 use crate::{compare, escaped, origin, without_number};
@@ -7,7 +7,7 @@
 use pinetrail_test_harness::{call_admin, StubServer};
 use serde_json::{json, Value};
 
-/// Numbers that differ from run to run, by their keys.
+/// Keys of the numbers that differ from run to run.
 const VARYING: [&str; 6] = ["since_ms", "heard_ms", "start", "incarnation", "lease_ms", "view"];
 
 fn nodes() -> Vec<StubServer> {
@@ -18,10 +18,11 @@
     fleet.process(member).admin_address
 }
 
-/// A response without its varying parts: the numbers of [`VARYING`] and addresses. The head must
-/// have the length of the body, which is not recorded where the body varies.
+/// Formats a response as one line of a recording, with marks for its varying parts: the numbers of
+/// [`VARYING`] and the addresses. Checks that the head has the length of the body, because this
+/// length is not recorded where the body varies.
 fn without_varying_parts(fleet: &Fleet, response: &str) -> String {
-    let (head, text) = response.split_once("\r\n\r\n").expect("a head and a text");
+    let (head, text) = response.split_once("\r\n\r\n").expect("a head and a body");
     let length = format!("\r\nContent-Length: {}\r\n", text.len());
     assert!(head.contains(&length), "{response}");
     let mut normalized = text.to_owned();
@@ -42,7 +43,7 @@
     format!("> {line}\n< {}\n", without_varying_parts(fleet, &response))
 }
 
-/// A member's response to this body of a proposal.
+/// Sends the body of a proposal to a member; returns the response under a title.
 fn propose(fleet: &Fleet, member: usize, title: &str, body: &str) -> String {
     let request = format!(
         "POST /control/policy HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n{body}",
@@ -62,7 +63,7 @@
     fleet.start(0);
     let mut actual = exchange(&fleet, 0, "GET /control/fleet");
     fleet.start(1);
-    fleet.wait_until("they meet", |fleet| fleet.all_agree(&[0, 1]));
+    fleet.wait_until("the members see each other", |fleet| fleet.all_agree(&[0, 1]));
     actual += &exchange(&fleet, 0, "GET /control/fleet");
     actual += &exchange(&fleet, 1, "GET /control/fleet");
     actual += &exchange(&fleet, 0, "GET /control/policy");
@@ -70,7 +71,7 @@
     leaving.signal("TERM");
     assert!(leaving.wait_for_exit().success());
     let has_left = |fleet: &Fleet| fleet.report(0).unwrap().names_in_state("left") == ["n1"];
-    fleet.wait_until("it has left", has_left);
+    fleet.wait_until("member 1 is listed as left", has_left);
     actual += &exchange(&fleet, 0, "GET /control/fleet");
     compare("fleet", include_str!("recorded/fleet.txt"), &actual);
 }
@@ -81,17 +82,18 @@
     let mut fleet = Fleet::new(options, nodes(), origin());
     let report_json = |fleet: &Fleet, member: usize| fleet.report(member).unwrap().json;
     fleet.start(0);
-    fleet.wait_until("the first is the leader", |fleet| report_json(fleet, 0)["steward"] == true);
+    fleet.wait_until("member 0 is the leader", |fleet| report_json(fleet, 0)["steward"] == true);
     fleet.start(1);
-    // The guaranteed minimum is one of 32 parts, and the lease half of the 16 leased parts.
+    // Each member has a guaranteed minimum of one of 32 parts and a lease of half of the 16 leased
+    // parts.
     let has_part = |fleet: &Fleet, member: usize| report_json(fleet, member)["share"] == json!(9.0 / 32.0);
     let all = |fleet: &Fleet| fleet.all_agree(&[0, 1]) && (0..2).all(|member| has_part(fleet, member));
-    fleet.wait_until("each has its part", all);
+    fleet.wait_until("each member has its quota", all);
     let actual = [0, 1].map(|member| exchange(&fleet, member, "GET /control/fleet")).concat();
     compare("founders", include_str!("recorded/founders.txt"), &actual);
 }
 
-/// Three members with one policy, all of them founders.
+/// Starts three members with one policy, all of them founders.
 fn fleet_with_policy() -> Fleet {
     let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
     let fleet = Fleet::start_all(options, nodes(), origin());
@@ -99,14 +101,14 @@
     fleet
 }
 
-/// Waits until all have a version, and report that the others have it.
+/// Waits until all members have a policy version and report that the others have the same.
 fn wait_for_version(fleet: &Fleet, version: u64) {
     let same = |drift: &Value| {
         let nodes = drift["nodes"].as_array().map_or(&[][..], |nodes| nodes);
         nodes.len() == 3 && nodes.iter().all(|node| node["state"] == "same")
     };
     let drift_at = |member| call_admin(admin_address_of(fleet, member), "GET", "/control/drift").1;
-    fleet.wait_until("all have the version", |fleet| {
+    fleet.wait_until("all members have the policy version", |fleet| {
         let steady = (version, "steady".to_owned());
         (0..3).all(|member| policy_status(fleet, member) == steady)
             && (0..3).all(|member| same(&serde_json::from_str(&drift_at(member)).unwrap()))
@@ -119,7 +121,7 @@
     let get = |line: &str| exchange(&fleet, 1, line);
     let mut actual = get("GET /control/policy") + &get("GET /control/policy/changes/x");
     actual += &propose(&fleet, 1, "a change", &proposal("x", 1, &settings(&fleet, 2)));
-    fleet.wait_until("the change ends", |fleet| !change_outcome(fleet, 1, "x").is_empty());
+    fleet.wait_until("the policy change ends", |fleet| !change_outcome(fleet, 1, "x").is_empty());
     wait_for_version(&fleet, 2);
     actual += &(get("GET /control/policy") + &get("GET /control/policy/changes/x"));
     actual += &propose(&fleet, 1, "the same", &proposal("x", 1, &settings(&fleet, 2)));
@@ -154,7 +156,7 @@
 fn a_partitioned_member_reports_that_it_is_fenced_as_recorded() {
     let fleet = fleet_with_policy();
     fleet.partition(&[&[2], &[0, 1]]);
-    fleet.wait_until("it is fenced", |fleet| policy_status(fleet, 2) == (1, "fenced".to_owned()));
+    fleet.wait_until("member 2 is fenced", |fleet| policy_status(fleet, 2) == (1, "fenced".to_owned()));
     let mut actual = exchange(&fleet, 2, "GET /control/policy");
     actual += &exchange(&fleet, 2, "GET /control/ready");
     actual += &propose(&fleet, 2, "a change", &proposal("x", 1, &settings(&fleet, 2)));
@@ -169,7 +171,7 @@
 fn drift_and_its_end_are_reported_as_recorded() {
     let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
     let mut fleet = Fleet::new(options, nodes(), origin());
-    // Member 2 applies the settings of its own file, for emergencies.
+    // Member 2 applies the settings of its own file, a mode for emergencies.
     let mut local = fleet.config(2, &[0, 1]);
     local["fleet"]["policy"]["local"] = json!(true);
     fleet.set_config(2, &local);
@@ -181,7 +183,7 @@
     local["settings"] = settings(&fleet, 2);
     fleet.set_config(2, &local);
     fleet.process(2).signal("HUP");
-    fleet.wait_until("the other sees it", |fleet| {
+    fleet.wait_until("member 0 reports the drift", |fleet| {
         call_admin(admin_address_of(fleet, 0), "GET", "/control/drift").1.contains(r#""state":"differs""#)
     });
     actual += &exchange(&fleet, 0, "GET /control/drift");
--- a/tests/golden/main.rs
+++ b/tests/golden/main.rs
@@ -1,5 +1,5 @@
-//! The output of the running program, compared byte for byte with recordings of it. Renaming or
-//! moving code must not change any of it. A difference is shown line by line.
+//! Compares the output of the running program with recordings, byte for byte. Renaming or moving
+//! code must not change the output. Differences are shown line by line.
 
 mod admin;
 mod backends;
@@ -10,7 +10,7 @@
 
 use pinetrail_test_harness::{http_200, StubAction, StubServer};
 
-/// Compares the actual output with the recorded one.
+/// Panics with the differing lines if the actual output is not the recorded one.
 fn compare(name: &str, recorded: &str, actual: &str) {
     if recorded == actual {
         return;
@@ -27,7 +27,7 @@
     panic!("{name} differs from the recording:\n{differences}\nthe complete output:\n{actual}");
 }
 
-/// Bytes as one line of a recording, in which quotes are not escaped.
+/// Formats text as one line of a recording, in which quotes are not escaped.
 fn escaped(bytes: &str) -> String {
     bytes.escape_debug().to_string().replace("\\\"", "\"").replace("\\'", "'")
 }
--- a/tests/golden/starts.rs
+++ b/tests/golden/starts.rs
@@ -1,4 +1,4 @@
-//! Failed starts: one line with the reason, and exit code 2.
+//! Tests of failed starts: the program logs one line with the reason and exits with code 2.
 
 use crate::compare;
 use pinetrail_test_harness::{config, endpoint_list_json, start_proxy, StubServer, WAIT_TIMEOUT};
@@ -6,17 +6,18 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The output of a program that ends by itself.
+/// Waits until the program has exited with code 2 and a log of one line; returns the line under a
+/// title.
 fn failed_output(title: &str, mut child: Child) -> String {
     let until = Instant::now() + WAIT_TIMEOUT;
-    while child.try_wait().expect("it is a child").is_none() {
+    while child.try_wait().expect("the child can be polled").is_none() {
         if Instant::now() >= until {
-            child.kill().and_then(|()| child.wait()).expect("it is a child");
-            panic!("{title}: the program does not end");
+            child.kill().and_then(|()| child.wait()).expect("the child can be killed");
+            panic!("{title}: the program did not exit in time");
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    let output = child.wait_with_output().expect("it has ended");
+    let output = child.wait_with_output().expect("the output of the child can be read");
     let log = String::from_utf8_lossy(&output.stderr);
     assert_eq!((output.status.code(), log.lines().count()), (Some(2), 1), "{title}: {log}");
     assert!(output.stdout.is_empty() && log.ends_with('\n'), "{title}: {log}");
@@ -31,12 +32,12 @@
     config("127.0.0.1:0", "127.0.0.1:1", 256, "{}")
 }
 
-/// The output for valid configurations in which some text is replaced.
+/// Returns the output of starts with a valid configuration in which one text is replaced.
 fn failed_starts_with(changes: &[(&str, &str)]) -> String {
     let valid = valid_config();
     let output_with = |(from, to): &(&str, &str)| {
         let bad = valid.replacen(from, to, 1);
-        assert_ne!(bad, valid, "{from}");
+        assert_ne!(bad, valid, "{from} is not in the configuration");
         failed_start(&format!("{from} -> {to}"), &bad)
     };
     changes.iter().map(output_with).collect()
