--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -1,4 +1,5 @@
-//! Hundreds of proxies that do not communicate, each with little traffic: what they do together.
+//! Tests of the joint behaviour of hundreds of proxies that do not communicate and have little
+//! traffic each.
 
 mod common;
 
@@ -7,7 +8,7 @@
 
 #[test]
 fn a_cold_backend_gets_half_of_its_collapse_load_from_all_proxies_together() {
-    // One first request of each proxy would be hundreds of requests at the backend.
+    // If each proxy sent one request at first, the backend would get hundreds.
     let (mut cold, mut warm) = (0, 0);
     for number in 0..300 {
         let mut harness = BalancerHarness::numbered(number, 8);
@@ -24,9 +25,10 @@
             }
         }
     }
-    // Start capacity 0.2, multiple 3: 0.3 of a warm backend's share at first.
+    // With start capacity 0.2 and an overload multiple of 3, half of the collapse load is 0.3 of a
+    // warm backend's share at first.
     let share = f64::from(cold) / (f64::from(warm) / 7.0);
-    assert!((0.15..0.4).contains(&share), "{cold} {warm}");
+    assert!((0.15..0.4).contains(&share), "{cold} reads at the cold backend, {warm} at the others");
 }
 
 #[test]
@@ -44,7 +46,7 @@
             }
         }
     }
-    assert!((600..1200).contains(&sent_now), "{sent_now} of 3000, 900 expected");
+    assert!((600..1200).contains(&sent_now), "{sent_now} of 3000 reads sent, 900 expected");
 }
 
 #[test]
@@ -65,7 +67,7 @@
     }
     assert!(
         first_attempts > 1000 && retries <= 300 + 3000 / 5,
-        "{first_attempts} first tries, {retries} retries"
+        "{first_attempts} first attempts, {retries} retries"
     );
 }
 
@@ -76,12 +78,12 @@
     before.serve_many_keys();
     after.serve_many_keys();
     let same = (1..300).filter(|id| before.serve_read(*id, *id) == after.serve_read(*id, *id)).count();
-    assert!(same > 290, "{same} of 299");
+    assert!(same > 290, "{same} of 299 keys went to the same backend");
 }
 
 #[test]
 fn a_response_overdue_by_half_the_objective_lowers_admission_at_once() {
-    // A slow attempt ends seconds later, in the middle of a burst: too late to react to it.
+    // In a burst, slow attempts end seconds later: admission cannot wait for their ends.
     let mut harness = BalancerHarness::numbered(1, 10);
     let mut overdue = vec![];
     for id in 1..=15 {
@@ -102,7 +104,7 @@
     }
     let admitted =
         (100..300).filter(|id| final_responses(&harness.request(read(*id, *id))).is_empty()).count();
-    assert!(admitted < 40, "{admitted} of 200");
+    assert!(admitted < 40, "{admitted} of 200 admitted");
 }
 
 #[test]
@@ -116,14 +118,14 @@
             harness.end_after(id, 0, server, Outcome::Ok, [10.0, 390.0, 390.0][id as usize % 3]);
         }
     }
-    // The backends answer no more: what is admitted now follows from the admission probability
+    // The backends respond no more: from here on, admission follows from the admission probability
     // alone.
     let (mut high, mut low) = (0, 0);
     for id in (1000..1600).step_by(2) {
         high += usize::from(final_responses(&harness.request(read(id, id))).is_empty());
         low += usize::from(final_responses(&harness.request(low_weight_read(id + 1))).is_empty());
     }
-    assert!(high > low + 30, "{high} at worth 5, {low} at worth 1");
+    assert!(high > low + 30, "admitted: {high} of priority weight 5, {low} of priority weight 1");
 }
 
 #[test]
@@ -137,14 +139,15 @@
             let mut harness = BalancerHarness::numbered_with(0, servers, with_ids);
             let arrivals: Vec<_> = (1..20).map(|id| harness.request(read(id, id))).collect();
             let sent_now = arrivals.iter().filter(|actions| sent(actions).is_some()).count();
-            assert_eq!(sent_now > 0, servers > 0, "{size} {number} {servers}");
+            assert_eq!(sent_now > 0, servers > 0, "group size {size}, number {number}, {servers} backends");
         }
     }
 }
 
 #[test]
 fn admission_bounds_the_fetches_of_all_proxies_at_a_slow_origin() {
-    // One fetch at a time of each proxy would be hundreds at the origin, beyond any limit.
+    // One fetch at a time of each proxy would be hundreds at the origin, more than any limit
+    // allows.
     let mut fetched = [0; 2];
     for (slow, latency) in [(0, 10.0), (1, 399.0)] {
         for number in 0..100 {
@@ -161,5 +164,8 @@
             }
         }
     }
-    assert!(fetched[0] == 3000 && fetched[1] < 1500, "{fetched:?} timely, slow");
+    assert!(
+        fetched[0] == 3000 && fetched[1] < 1500,
+        "fetches from a fast and from a slow origin: {fetched:?}"
+    );
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,5 +1,5 @@
-//! What CI makes of a test run with and without a list of known failures: `.ci/known-red` on the
-//! logs of such runs.
+//! Tests of `.ci/known-red`, the script that decides from the log of a test run and a list of known
+//! failures whether CI passes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -8,7 +8,7 @@
     "running 2 tests\ntest one ... ok\ntest deep::two ... ok\n\ntest result: ok. 2 passed; 0 failed\n";
 const RED: &str = "running 2 tests\ntest one ... ok\ntest deep::two ... FAILED\n\nfailures:\n\nfailures:\n    deep::two\n\n\
     test result: FAILED. 1 passed; 1 failed\nerror: test failed, to rerun pass `-p x --test y`\n";
-/// The output of a test stands between its name and its verdict.
+/// A log in which the output of a test stands between its name and its result.
 const NOISY: &str =
     "running 1 test\ntest deep::two ... said this\nFAILED\n\nfailures:\n\nfailures:\n    deep::two\n\n\
     test result: FAILED. 0 passed; 1 failed\nerror: test failed, to rerun pass `-p x --test y`\n";
@@ -21,7 +21,7 @@
     test result: FAILED. 0 passed; 5 failed\nerror: test failed, to rerun pass `-p x --test y`\n";
 const LISTED: &str = "deep::two | cargo test --test y, seed 7 | a node's close crosses the write | 37\n";
 
-/// A run, a list, and whether CI accepts them together.
+/// A test run, a list of known failures, and whether CI passes with them.
 struct Case {
     name: &'static str,
     list: Option<String>,
@@ -38,7 +38,7 @@
     Case { passes: false, ..accepted(name, list, log, exit_code) }
 }
 
-/// One entry for each of these tests.
+/// Returns a list with one entry for each of these tests.
 fn entries(tests: &[&str]) -> String {
     tests.iter().map(|test| format!("{test} | cargo test {test}, seed 1 | it stops | 37\n")).collect()
 }
@@ -61,7 +61,8 @@
     output
 }
 
-/// Runs the script on each case; it must print every entry of a list that it accepts, and no other.
+/// Runs the script on each case. The script must print every entry of a list that it accepts, and
+/// no other entry.
 fn check(cases: &[Case]) {
     for case in cases {
         let output = run_script(case);
@@ -73,7 +74,7 @@
         let printed: Vec<&str> = stdout.lines().filter(|line| line.contains(" | ")).collect();
         let expected: Vec<&str> =
             list.lines().filter(|line| case.passes && !line.trim().is_empty()).collect();
-        assert_eq!(printed, expected, "{name}: the entries that were printed");
+        assert_eq!(printed, expected, "{name}: printed entries");
     }
 }
 
@@ -95,7 +96,7 @@
         rejected("one red and both listed", Some(&(entries(&["one"]) + LISTED)), RED, "101"),
         rejected("listed and green", Some(LISTED), GREEN, "0"),
         rejected("listed and not there", Some(&entries(&["gone"])), GREEN, "0"),
-        rejected("it did not build", None, "error: could not compile\n", "101"),
+        rejected("build failed", None, "error: could not compile\n", "101"),
         rejected("listed, and another program crashed", Some(LISTED), &crashed_too, "101"),
     ]);
 }
@@ -109,7 +110,7 @@
         accepted("at times, green", Some(at_times), &green, "0"),
         rejected("at times, another red", Some(&at_times.replace("deep::two", "one")), RED, "101"),
         rejected("at times, not there", Some(&at_times.replace("deep::two", "gone")), &green, "0"),
-        rejected("at times, nothing seen", Some(&at_times.replace("it stops", "")), &green, "0"),
+        rejected("at times, no observation", Some(&at_times.replace("it stops", "")), &green, "0"),
         rejected(
             "the mark in another field",
             Some(&entries(&["deep::two"]).replace("37", "at times: 37")),
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,5 @@
-//! The ordinary path of HyLARD, and the exceptions to it. The paper's M is a load gap of 4.
+//! Tests of the choice of a node by HyLARD, and of the exceptions to it. The paper's M is a load
+//! gap of 4.
 
 mod common;
 
@@ -21,15 +22,15 @@
     for id in 1..=5 {
         hosts.push(sent(&harness.request(read(id, 5))).unwrap().1);
     }
-    assert_eq!(hosts[..4], [hosts[0]; 4], "three in flight are no gap of four");
-    assert_ne!(hosts[4], hosts[0], "four in flight are");
-    // Home has four in flight, the second member one: less than M
-    // apart, so home again, then the second.
+    assert_eq!(hosts[..4], [hosts[0]; 4], "three requests in flight are no gap of four");
+    assert_ne!(hosts[4], hosts[0], "four requests in flight are a gap of four");
+    // The home has four requests in flight and the second member one, which is less than M apart:
+    // the next request goes to the home, and the one after it to the second member.
     assert_eq!(sent(&harness.request(read(6, 5))).unwrap().1, hosts[0]);
     assert_eq!(sent(&harness.request(read(7, 5))).unwrap().1, hosts[4], "the set's least loaded member");
 }
 
-/// Lets a key's set grow to two members; the home and the second.
+/// Grows the set of a key to two members; returns the home and the second member.
 fn grow_set(harness: &mut BalancerHarness, key: KeyNumber) -> (BackendNumber, BackendNumber) {
     let hosts: Vec<BackendNumber> =
         (1..=5).map(|n| sent(&harness.request(read(key * 10 + n, key))).unwrap().1).collect();
@@ -40,8 +41,9 @@
     (hosts[0], hosts[4])
 }
 
-/// Whether the second member of a key's set is still known: then one request in flight there keeps
-/// the fifth of five at home, since the set's least loaded member is no gap of M above the fleet's.
+/// Returns whether the set of a key still has its second member. If so, one request in flight at
+/// the second member keeps the fifth of five requests at the home, because the load of the least
+/// loaded member is less than M above the lowest load in the fleet.
 fn is_second_in_set(
     harness: &mut BalancerHarness,
     key: KeyNumber,
@@ -116,7 +118,7 @@
     let (mut one, mut other) = (BalancerHarness::without_origin(8), BalancerHarness::without_origin(8));
     other.request(read(9999, 4242));
     let same = (1..200).filter(|key| one.serve_read(*key, *key) == other.serve_read(*key, *key)).count();
-    assert!(same > 190, "{same}");
+    assert!(same > 190, "{same} of 199 keys have the same home");
 }
 
 #[test]
@@ -127,7 +129,7 @@
         endpoints: vec![EndpointInfo { weight: 3.0, ..endpoint(1) }],
     });
     let at_first = (1..600).filter(|key| harness.serve_read(*key, *key) == 1).count();
-    assert!((240..360).contains(&at_first), "{at_first} of 600, half expected");
+    assert!((240..360).contains(&at_first), "{at_first} of 600 keys at the larger backend, half expected");
 }
 
 /// Guards against a limit that is decreased for each long fetch and stays far below what the origin
@@ -159,7 +161,10 @@
         in_flight
     };
     let (rarely_slow, often_slow) = (concurrent_fetches(10), concurrent_fetches(2));
-    assert!(rarely_slow > 2 * often_slow && often_slow >= 1, "{rarely_slow} and {often_slow} at once");
+    assert!(
+        rarely_slow > 2 * often_slow && often_slow >= 1,
+        "{rarely_slow} fetches at once if few are slow, {often_slow} if many are"
+    );
 }
 
 #[test]
@@ -211,7 +216,7 @@
             harness.end(id, 1, server, Outcome::Ok);
         }
     }
-    assert!((4..=12).contains(&taken), "{taken} of 1000 in a second");
+    assert!((4..=12).contains(&taken), "{taken} of 1000 requests in a second went to the failing backend");
 }
 
 #[test]
@@ -247,7 +252,7 @@
     }
     assert!(
         first_attempts > 100 && retries <= 10 + 500 / 5,
-        "{first_attempts} first tries, {retries} retries"
+        "{first_attempts} first attempts, {retries} retries"
     );
 }
 
@@ -326,11 +331,14 @@
         let last = hosts[39];
         assert!(hosts[20..].iter().filter(|host| **host == last).count() >= 18, "{hosts:?}");
         *by_server.entry(last).or_insert(0) += 1;
-        // A key seen once among many is agreed upon.
+        // All proxies agree on the home of a key that is read once among many others.
         harness.serve_many_keys();
         cold_homes.insert(harness.serve_read(9_000, 9_999_999));
     }
-    assert!(by_server.len() >= 7, "half of all requests are due five servers of ten: {by_server:?}");
+    assert!(
+        by_server.len() >= 7,
+        "half of all requests are the fair load of five backends of ten: {by_server:?}"
+    );
     assert!(by_server.values().all(|n| *n <= 50), "{by_server:?}");
     assert_eq!(cold_homes.len(), 1, "{cold_homes:?}");
 }
@@ -357,7 +365,7 @@
 
 #[test]
 fn when_backends_are_slow_for_a_proxy_s_only_request_it_admits_fewer_and_recovers() {
-    // Each of hundreds of proxies has one request in flight, so that no limit can decrease further.
+    // Each of hundreds of proxies has one request in flight: its limits cannot decrease further.
     let mut harness = BalancerHarness::numbered(0, 4);
     let count_sent = |harness: &mut BalancerHarness, from: RequestNumber, latency: Milliseconds| {
         let mut sent_now = 0;
@@ -371,13 +379,13 @@
     };
     assert_eq!(count_sent(&mut harness, 1, 10.0), 300);
     let slow = count_sent(&mut harness, 1_000, 390.0);
-    assert!((5..60).contains(&slow), "{slow} of 300");
+    assert!((5..60).contains(&slow), "{slow} of 300 requests sent");
     count_sent(&mut harness, 2_000, 10.0);
     assert!(count_sent(&mut harness, 3_000, 10.0) > 290);
 }
 
-/// Guards against a limit decreased for what this proxy did not cause: a node that stands still
-/// rejects all requests that waited there, however few they are.
+/// Guards against a limit that is decreased for an overload that this proxy did not cause: a node
+/// that stalls rejects all requests that waited at it, however few they are.
 #[test]
 fn a_node_that_rejects_one_of_few_requests_keeps_its_keys() {
     let mut harness = BalancerHarness::without_origin(6);
@@ -390,7 +398,7 @@
         assert_ne!(retry, home);
         harness.end(id, 1, retry, Outcome::Ok);
     }
-    // Two at a time still go there; a limit decreased ten times would allow one.
+    // Two requests at a time still go to the node; after ten decreases the limit would allow one.
     let hosts = [30, 31].map(|id| sent(&harness.request(read(id, 5))).unwrap().1);
     assert_eq!(hosts, [home; 2]);
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -1,4 +1,4 @@
-//! This proxy's quota: what it divides, and that its expiry is checked at every use.
+//! Tests of a proxy's quota: which limits it divides, and that its expiry is checked at every use.
 
 mod common;
 
@@ -18,7 +18,7 @@
     })
 }
 
-/// How many of 40 reads of one key are sent at once; all of them are ended again.
+/// Sends 40 reads of one key and ends all of them; returns how many were sent at once.
 fn sent_at_once(harness: &mut BalancerHarness, from: RequestNumber) -> usize {
     let attempts: Vec<(RequestNumber, BackendNumber)> =
         (from..from + 40).filter_map(|id| sent(&harness.request(read(id, 7)))).collect();
@@ -43,7 +43,7 @@
     assert_eq!(sent_at_once(&mut harness, 200), 12);
 }
 
-/// Guards against a process that was stopped and gets no event when its lease expires.
+/// Guards against a process that was suspended and gets no event when its lease expires.
 #[test]
 fn an_expired_lease_admits_no_attempt_though_no_event_said_so() {
     let mut harness = BalancerHarness::without_origin(1);
@@ -51,7 +51,7 @@
     harness.event(event);
     harness.now += 3_000.0;
     assert_eq!(sent_at_once(&mut harness, 100), 2, "a twelfth of 24");
-    // Granted again it is as it was.
+    // A new lease restores the former limit.
     let event = quota(&harness, 1.0 / 2.0, 3_000.0);
     harness.event(event);
     assert_eq!(sent_at_once(&mut harness, 200), 12);
@@ -66,12 +66,12 @@
         let write = Request { class: KEYED_ALL, is_write: true, ..read(*id, *id) };
         sent(&harness.request(write)).is_some()
     });
-    // The concurrency limit begins at 8 for all together, and at two at least: below a quarter of
-    // 12.
+    // The concurrency limit starts at 8 for all proxies together, but at no less than two for each
+    // proxy: below a quarter of 12.
     assert_eq!(writes.count(), 2);
 }
 
-/// Actions as text, in the form in which the checksums below were recorded.
+/// Formats actions as text. The recorded checksums below depend on this format.
 fn format_actions(actions: &[Action]) -> String {
     let format_action = |action: &Action| match action {
         Action::StartAttempt { request, backend, timeout, send_within } => {
@@ -91,7 +91,7 @@
     format!("[{}]", actions.iter().map(format_action).collect::<Vec<_>>().join(", "))
 }
 
-/// All that is decided in a long run of events from a seed, as a checksum.
+/// Returns a checksum of all decisions in a long run of events that are generated from a seed.
 fn decisions_checksum(with_origin: bool, seed: u64) -> u32 {
     let mut harness =
         if with_origin { BalancerHarness::with_origin(6) } else { BalancerHarness::without_origin(6) };
@@ -151,8 +151,9 @@
     checksum
 }
 
-/// Without a quota every decision is as before there were quotas: the checksums are those of the
-/// module before them. A change that is meant to change decisions records the new checksums here.
+/// Guards against quotas that change the decisions of a proxy without one: the checksums are those
+/// of the module before it had quotas. A change that is meant to change decisions records the new
+/// checksums here.
 #[test]
 fn without_a_quota_every_decision_is_as_recorded() {
     let checksums = [(false, 1), (false, 2), (true, 1), (true, 2)]
--- a/tests/timers.rs
+++ b/tests/timers.rs
@@ -1,21 +1,21 @@
-//! Timers of the coroutine library on a worker that is busy. In a program of its own, since the
-//! number of workers is fixed when the first coroutine starts.
+//! Tests the timers of the coroutine library on a busy worker. The test is a program of its own
+//! because the number of workers is fixed when the first coroutine starts.
 
 use pinetrail::net::timer::{self, TimerSet};
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// For how long the only worker is busy once timers have been started.
+/// Time for which the only worker stays busy after the timers are started.
 const BUSY_TIME: Duration = Duration::from_millis(150);
-/// When the timers are due.
+/// Delay of the timers.
 const TIMER_DELAY: Duration = Duration::from_millis(200);
-/// How late a timer may be on a loaded machine.
+/// Maximum lateness of a timer on a loaded machine.
 const MAX_LATE: Duration = Duration::from_millis(100);
-/// How long a test waits for a timer.
+/// Longest time that the test waits for a timer.
 const WAIT: Duration = Duration::from_secs(5);
 
-/// Guards against a timer that counts its delay from when the worker gets to it: requests of a
-/// burst were answered late by as long as the burst kept the worker busy.
+/// Guards against a timer whose delay starts only when the worker gets to it: requests of a burst
+/// were answered late by as long as the burst kept the worker busy.
 #[test]
 fn timers_that_start_behind_other_work_are_not_late() {
     may::config().set_workers(1);
