--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// A name is empty, too long, or has characters that would make log lines ambiguous.
-    #[error("{field} {value:?} does not have 1 to {MAX_NAME_BYTES} letters, digits, '.', '_' and '-'")]
+    #[error("{field} {value:?} is not made of 1 to {MAX_NAME_BYTES} letters, digits, '.', '_' and '-'")]
     InvalidName {
         /// The key of the name in the configuration.
         field: &'static str,
