--- a/tests/sockets/races/cancelled_requests.rs
+++ b/tests/sockets/races/cancelled_requests.rs
@@ -8,7 +8,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// A node that does not respond until it is released.
+/// Starts a node that does not respond until the returned flag is set.
 fn holding_node() -> (StubServer, Arc<AtomicBool>) {
     let release = Arc::new(AtomicBool::new(false));
     let is_released = Arc::clone(&release);
@@ -25,11 +25,11 @@
     (from..to).map(|n| format!("mg k{n} v O{n} Pc=read,t=acme,d=20000\r\n")).collect()
 }
 
-/// Within this time a forwarded request arrives.
+/// Time within which a forwarded request arrives at its backend.
 const FORWARDING_TIME: Duration = Duration::from_millis(400);
 
-/// No attempt is made for a client that has disconnected, though its connection is full: its end is
-/// not read, or is behind commands that are not executed yet.
+/// Guards against attempts for a client that has disconnected: since its connection is full, its
+/// end is not read, or is behind commands that are not executed yet.
 #[test]
 fn no_queued_request_is_sent_for_a_disconnected_client_whose_connection_is_full() {
     for ending in ["close", "close over unread answers", "half close", "reset", "quit"] {
@@ -44,17 +44,17 @@
         if ending == "close over unread answers" {
             client.send("mn\r\nversion\r\n");
         }
-        // 64 commands may wait, so that some of these stay unread.
+        // At most 64 commands may wait, so some of these stay unread.
         client.send(&read_commands(0, 400));
         if ending == "quit" {
             client.send("quit\r\n");
         }
         fixture.wait_until("its commands are accepted", || fixture.counter("taken_reads") == 64);
-        fixture.wait_until("the node has all attempts that it may have", || {
+        fixture.wait_until("the node has all attempts that are allowed", || {
             node.received().len() as u64 == fixture.counter("calls_ordered")
         });
         let before = node.received().len();
-        assert!((1..64).contains(&before), "some of them wait: {before} sent");
+        assert!((1..64).contains(&before), "some requests are sent and some wait: {before} sent");
         let stream: TcpStream = client.reader().get_ref().try_clone().unwrap();
         match ending {
             "half close" => stream.shutdown(Shutdown::Write).unwrap(),
@@ -64,7 +64,7 @@
         if ending != "half close" {
             drop((client, stream));
         }
-        fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 64);
+        fixture.wait_until("the disconnect is noticed", || fixture.counter("consumers_gone") == 64);
         release.store(true, Ordering::SeqCst);
         sleep(FORWARDING_TIME);
         assert_eq!(node.received().len(), before, "{ending}");
@@ -72,7 +72,8 @@
     }
 }
 
-/// The same while clients are disconnected: a connection with an open command is then read no more.
+/// The same while the proxy disconnects its clients: a connection with an open command is then no
+/// longer read.
 #[test]
 fn a_client_that_disconnects_late_in_a_drain_is_noticed() {
     let (node, release) = holding_node();
@@ -82,40 +83,41 @@
     let mut client = fixture.client();
     client.send(&read_commands(0, 40));
     fixture.wait_until("its commands are accepted", || fixture.counter("taken_reads") == 40);
-    fixture.wait_until("the node has all attempts that it may have", || {
+    fixture.wait_until("the node has all attempts that are allowed", || {
         node.received().len() as u64 == fixture.counter("calls_ordered")
     });
     let before = node.received().len();
-    assert!((1..40).contains(&before), "some of them wait: {before} sent");
+    assert!((1..40).contains(&before), "some requests are sent and some wait: {before} sent");
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200);
-    // From then on a connection with open commands is read no more.
+    // After this time a connection with open commands is no longer read.
     sleep(ms(2000));
     drop(client);
-    fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 40);
+    fixture.wait_until("the disconnect is noticed", || fixture.counter("consumers_gone") == 40);
     release.store(true, Ordering::SeqCst);
     sleep(FORWARDING_TIME);
     assert_eq!(node.received().len(), before);
 }
 
-/// A request is not executed long after its client ended its side, behind malformed input that is
-/// read with pauses. (The first response to that shows a client that has closed the connection.)
+/// Guards against a request that is executed long after its client has closed its sending side: it
+/// is behind malformed input, which is read with pauses. (If the client had closed the connection
+/// completely, the first response to that input would show it.)
 #[test]
 fn a_request_behind_malformed_input_is_not_sent_for_a_disconnected_client() {
     let (node, _) = holding_node();
     let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
-    // 64 of these cost a pause of 20 ms: 900 ms in all.
+    // The proxy pauses for 20 ms after each 64 of these: 900 ms in all.
     let malformed = "no such command\r\n".repeat(45 * 64);
     let mut client = fixture.client();
     client.send(&format!("{malformed}mg k v O1 Pc=read,t=acme,d=20000\r\n"));
     client.reader().get_ref().shutdown(Shutdown::Write).unwrap();
-    fixture.wait_until("some of it is read", || fixture.counter("taken_malformed") > 0);
+    fixture.wait_until("some of the input is read", || fixture.counter("taken_malformed") > 0);
     while !client.read_line().is_empty() {}
-    // It is not executed, neither before the connection ended nor after.
+    // The request is executed neither before the connection ends nor after.
     assert_eq!((node.received(), fixture.counter("taken_reads")), (Vec::new(), 0));
 }
 
-/// No request is executed for clients that disconnected while the process was stopped: neither on
-/// an open connection nor on one that it has yet to accept.
+/// No request is executed for clients that disconnected while the process was stopped, neither on
+/// an open connection nor on one that is not accepted yet.
 #[test]
 fn a_process_that_was_stopped_makes_no_attempt_for_clients_that_have_disconnected() {
     let node = StubServer::hit_node("v");
@@ -129,9 +131,9 @@
     drop((held, new));
     fixture.signal("CONT");
     let accepted = fixture.counter("consumers_accepted");
-    fixture.wait_until("both are read", || fixture.counter("consumers_accepted") > accepted);
+    fixture.wait_until("both connections are read", || fixture.counter("consumers_accepted") > accepted);
     sleep(FORWARDING_TIME);
-    assert_eq!(node.received().len(), 1, "only the earlier one");
+    assert_eq!(node.received().len(), 1, "only the earlier request was sent");
 }
 
 /// No fetch is made for clients that disconnected while they waited for capacity at the origin, or
@@ -156,10 +158,10 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&format!("mg k{} v O{n} Pc=read,t=acme,d=20000\r\n", n.min(10)));
     }
-    fixture.wait_until("the origin has all attempts that it may have", || origin.received().len() == 8);
+    fixture.wait_until("the origin has all attempts that are allowed", || origin.received().len() == 8);
     fixture.wait_until("all are accepted", || fixture.counter("taken_reads") == 12);
     drop(clients);
-    fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 12);
+    fixture.wait_until("the disconnect is noticed", || fixture.counter("consumers_gone") == 12);
     release.store(true, Ordering::SeqCst);
     sleep(FORWARDING_TIME);
     assert_eq!(origin.received().len(), 8, "no fetch was made for the others");
--- a/tests/sockets/races/closes.rs
+++ b/tests/sockets/races/closes.rs
@@ -3,8 +3,8 @@
 use super::*;
 use std::time::Instant;
 
-/// Sends something again and again on a connection that the proxy has ended, for a time; whether
-/// the connection was reset.
+/// Sends a command repeatedly for `time_ms` on a connection that the proxy has ended, and returns
+/// whether the connection was reset.
 fn is_reset_within(client: &mut Client, command: &str, time_ms: u64) -> bool {
     let until = Instant::now() + ms(time_ms);
     while Instant::now() < until {
@@ -16,9 +16,9 @@
     false
 }
 
-/// A reset could destroy the response before it, so input that crosses the end of a connection is
-/// discarded without a reset, and not executed. A client that never ends its side holds its
-/// descriptor only briefly.
+/// Guards against a reset that destroys the response before it: input that crosses the end of a
+/// connection is discarded without a reset, and not executed. A client that never closes its side
+/// holds its descriptor only briefly.
 #[test]
 fn a_command_that_crosses_the_end_of_its_connection_causes_no_reset_and_is_not_executed() {
     for scenario in ["sigterm", "sigterm over half a command", "out of service"] {
@@ -35,11 +35,11 @@
             }
             _ => fixture.signal("TERM"),
         }
-        fixture.wait_until("the proxy ends it", || client.is_closed());
+        fixture.wait_until("the proxy ends the connection", || client.is_closed());
         assert!(!is_reset_within(&mut client, "mg k v O3 Pc=read,t=acme,d=900\r\n", 150), "{scenario}");
         assert_eq!(client.read_line(), "", "{scenario}: nothing is answered after the end");
-        assert_eq!(node.received().len(), 1, "{scenario}: nothing that came after the end is taken");
-        // Its descriptor is released all the same.
+        assert_eq!(node.received().len(), 1, "{scenario}: no command behind the end is executed");
+        // The proxy releases the descriptor nevertheless.
         assert!(is_reset_within(&mut client, "\r\n", 2000), "{scenario}");
         if scenario != "out of service" {
             let output = fixture.wait_for_exit();
@@ -56,7 +56,7 @@
         ProxyFixture::new(&[node.entry("s-0", "c6", "ready", 0), origin.entry("o", "origin", "ready")]);
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=900\r\n");
-    let mut attempt = node.accept().expect("it is sent");
+    let mut attempt = node.accept().expect("the attempt is sent");
     let command = attempt.read_request(false).expect("a complete request");
     let started_at = Instant::now();
     for name in ["TERM", "HUP", "TERM", "USR1"] {
@@ -67,7 +67,7 @@
     drop((client, attempt));
     let output = fixture.wait_for_exit();
     assert!(output.status.success(), "{:?}", output.status);
-    // The longest wait is 1 s, and the kill comes 0.7 s after that.
+    // Clients wait for at most 1 s, and the earliest kill is 0.7 s after that.
     assert!(started_at.elapsed() < ms(1700), "{:?}", started_at.elapsed());
 }
 
@@ -76,15 +76,15 @@
 struct DrainObservations {
     sent: usize,
     answered: usize,
-    /// Requests on a connection with earlier responses that ended without one for them; they can be
-    /// sent again elsewhere.
+    /// Requests without a response on a connection that had responses before. The client can send
+    /// them again elsewhere.
     crossed: usize,
-    /// The same on a new connection.
+    /// Requests without a response on a new connection.
     unanswered: usize,
 }
 
-/// Sends requests until `until`, on one connection for as long as it is open, and opens new ones
-/// until `connects`.
+/// Sends requests until `send_until`, on one connection for as long as it is open, and opens new
+/// connections until `connect_until`.
 fn send_through_a_drain(
     address: std::net::SocketAddr,
     client_number: usize,
@@ -120,9 +120,9 @@
     observations
 }
 
-/// A drain loses no request while half of the nodes hang: clients send on every open connection up
-/// to the exit, and new ones connect for 0.3 s. All requests have a response, but for those that
-/// cross the end of their connection.
+/// A drain loses no request while half of the nodes do not respond: clients send on every open
+/// connection up to the exit, and new ones connect for 0.3 s. All requests get a response except
+/// those that cross the end of their connection.
 #[test]
 fn a_draining_proxy_under_load_with_half_of_the_nodes_hanging_answers_all_requests() {
     let (node, hanging_node) = (StubServer::hit_node("v"), StubServer::node(|_| StubAction::Ignore));
@@ -141,9 +141,9 @@
         clients.into_iter().map(|client| client.join().unwrap()).collect();
     let sum = |count: fn(&DrainObservations) -> usize| observations.iter().map(count).sum::<usize>();
     let (sent, answered) = (sum(|s| s.sent), sum(|s| s.answered));
-    assert!(sent > 400, "there is load: {sent}");
-    assert_eq!(sum(|s| s.unanswered), 0, "of {sent}");
-    // Each connection ends once.
+    assert!(sent > 400, "too little load: {sent} requests");
+    assert_eq!(sum(|s| s.unanswered), 0, "requests without a response on a new connection, of {sent}");
+    // Each connection ends once, with at most one request that crosses the end.
     assert!(sum(|s| s.crossed) <= 40 && answered + sum(|s| s.crossed) == sent, "{observations:?}");
     assert!(fixture.wait_for_exit().status.success());
 }
--- a/tests/sockets/races/kept.rs
+++ b/tests/sockets/races/kept.rs
@@ -1,4 +1,4 @@
-//! A backend connection is reused, while a late response to the last attempt is still to arrive.
+//! Reuse of a backend connection on which a late response to the previous attempt may still arrive.
 
 use super::*;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -29,22 +29,22 @@
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O2\r\n".into(), "b\r\n".into()));
 }
 
-/// A second rejection, which never has an id, must not count for the next request: its effect could
-/// happen twice.
+/// A second rejection, which never has an id, must not be taken as the response to the next
+/// request, whose effect could then happen twice.
 #[test]
 fn a_second_rejection_does_not_answer_the_next_request() {
     let node = AcceptBarrier::new();
     let fixture = ProxyFixture::new(&[node.entry("s-0", "c6", "ready", 0)]);
     let mut client = fixture.client();
     client.send("mg a v O1 Pc=confirm,t=acme,d=5000\r\n");
-    let mut first = node.accept().expect("it is sent");
+    let mut first = node.accept().expect("the attempt is sent");
     assert!(first.read_request(false).is_some());
     assert!(first.send("SERVER_ERROR busy\r\n"));
     // After the rejection the retry may use any connection.
     let mut second = node.accept_within(ms(1000));
     first.send("SERVER_ERROR busy\r\n");
     let connection = second.as_mut().unwrap_or(&mut first);
-    let command = connection.read_request(false).expect("it is tried again");
+    let command = connection.read_request(false).expect("the attempt is retried");
     connection.send(&hit_response(&command, "v"));
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
 }
@@ -60,7 +60,7 @@
             ProxyFixture::new(&[node.entry("s-0", "c6", "ready"), origin.entry("o", "origin", "ready", 0)]);
         let mut client = fixture.client();
         client.send("mg a v O1 Pc=read,t=acme,d=900\r\n");
-        // For each attempt.
+        // One connection for each attempt.
         for _ in 0..3 {
             let Some(mut connection) = origin.accept_within(ms(500)) else { break };
             connection.read_request(true).expect("a complete request");
--- a/tests/sockets/races/late.rs
+++ b/tests/sockets/races/late.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 const SLOW_CONNECT: (&str, &str) = (r#""ConnectTimeout":250.0"#, r#""ConnectTimeout":5000.0"#);
-/// A delayed connection is established this long after the barrier opens: the system retries every
-/// second.
+/// Time within which a delayed connection is established after the barrier opens: the kernel
+/// retries every second.
 const CONNECT_AFTER_OPEN: Duration = Duration::from_millis(2500);
 
-/// A retry after the deduplication window could apply its effect twice: it is decided within the
-/// window, and its connection is established after it.
+/// Guards against a retry that is sent after the deduplication window and could apply its effect
+/// twice: it is decided within the window, but its connection is established only after it.
 #[test]
 fn a_retry_whose_connection_is_established_after_its_window_is_not_sent() {
     let mut origin = AcceptBarrier::new();
@@ -23,20 +23,24 @@
     let started_at = Instant::now();
     origin.close();
     drop(first);
-    fixture.wait_until("it is tried again", || fixture.counter("calls_ordered") == 2);
-    assert!(client.read_line().starts_with("SERVER_ERROR "), "it cannot be served any more");
-    assert!(started_at.elapsed() < ms(2000), "rejected when its window is over: {:?}", started_at.elapsed());
+    fixture.wait_until("the retry is decided", || fixture.counter("calls_ordered") == 2);
+    assert!(client.read_line().starts_with("SERVER_ERROR "), "the write cannot be served any more");
+    assert!(
+        started_at.elapsed() < ms(2000),
+        "not rejected at the end of its window: {:?}",
+        started_at.elapsed()
+    );
     origin.open();
     if let Some(mut late) = origin.accept_within(CONNECT_AFTER_OPEN) {
         assert_eq!(late.read_all_within(ms(500)).0, b"", "nothing is sent on it");
     }
 }
 
-/// No attempt is sent to a node that drains or has restarted, or for a client that has
-/// disconnected, while its connection was established.
+/// No attempt is sent if its node began to drain or restarted, or its client disconnected, while
+/// its connection was being established.
 #[test]
 fn a_connection_that_is_established_too_late_gets_no_attempt() {
-    for change_during_connect in ["drains", "starts anew", "the client leaves"] {
+    for change_during_connect in ["drains", "restarts", "the client disconnects"] {
         let mut node = AcceptBarrier::new();
         node.close();
         let origin = StubServer::origin(|_| StubAction::Ignore);
@@ -50,7 +54,7 @@
             |lifecycle, started| endpoint_list_json(2, false, &[node.entry("s-0", "c6", lifecycle, started)]);
         let list = match change_during_connect {
             "drains" => Some(change("draining", 0)),
-            "starts anew" => Some(change("ready", 1_000_000)),
+            "restarts" => Some(change("ready", 1_000_000)),
             _ => None,
         };
         match list {
@@ -60,11 +64,11 @@
             }
             None => {
                 drop(client);
-                fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 1);
+                fixture.wait_until("the disconnect is noticed", || fixture.counter("consumers_gone") == 1);
             }
         }
         node.open();
-        let mut late = node.accept_within(CONNECT_AFTER_OPEN).expect("the connection comes up");
+        let mut late = node.accept_within(CONNECT_AFTER_OPEN).expect("the connection is established");
         assert_eq!(late.read_all_within(ms(300)).0, b"", "{change_during_connect}");
         fixture.wait_until("the attempt has ended", || fixture.counter("calls_moot") >= 1);
     }
--- a/tests/sockets/races/lists.rs
+++ b/tests/sockets/races/lists.rs
@@ -1,9 +1,9 @@
-//! Failures of discovery, and changes in the meantime.
+//! Failures of discovery, and changes of the endpoint list during them.
 
 use super::*;
 use std::time::{Duration, Instant};
 
-/// A proxy must know a change this long after discovery had it and was reachable.
+/// Time within which a proxy must know a change after discovery has it and is reachable.
 const CHANGE_KNOWN_WITHIN: Duration = Duration::from_millis(6000);
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -11,7 +11,8 @@
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// A proxy whose discovery is controlled by the test, and its first watch there.
+/// Starts a proxy and moves its watch to a discovery that the test controls. Returns the proxy,
+/// this discovery, its first watch, and the cache node.
 fn fixture_with_controlled_discovery() -> (ProxyFixture, AcceptBarrier, AcceptedConnection, StubServer) {
     let node = StubServer::hit_node("v");
     let fixture = ProxyFixture::with_backends(&[&node], &StubServer::origin(|_| StubAction::Ignore));
@@ -22,21 +23,21 @@
     (fixture, discovery, poll, node)
 }
 
-/// A change is known in time: the watch falls silent just before it, and the next watch hangs, is
-/// rejected, or breaks; only the one after that delivers it.
+/// A change is known in time although the watch falls silent just before it and the next watch
+/// hangs, is rejected, or breaks. Only the one after that delivers the change.
 #[test]
 fn a_change_during_a_silent_watch_is_known_in_time_however_the_next_watch_fails() {
     for failure in ["hangs", "is refused", "ends", "trickles"] {
         let (fixture, discovery, mut watch, node) = fixture_with_controlled_discovery();
         assert!(watch.send(HEAD) && watch.send(&chunk("")));
         let silent_since = Instant::now();
-        let mut poll = discovery.accept().expect("a silent watch is dead");
+        let mut poll = discovery.accept().expect("a silent watch is replaced");
         assert!(poll.read_request(true).is_some());
         match failure {
             "is refused" => {
                 let _ = poll.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             }
-            // A head that never ends.
+            // A response head that never ends.
             "trickles" => {
                 let _ = poll.send("HTTP/1.1 200 OK\r\nTransfer-");
             }
@@ -73,13 +74,13 @@
     let gaps: Vec<Duration> = failed_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
     // Changes at a new address must be known 4 s after SIGHUP.
     assert!(gaps[0] < ms(1500), "{gaps:?}");
-    // A poll that hangs until its timeout after such a wait is still followed by another in time.
+    // After such a gap a poll may hang until its timeout, and the next one still comes in time.
     assert!(gaps.iter().all(|gap| *gap < ms(3400)), "{gaps:?}");
     assert!(gaps[1..].iter().all(|gap| *gap > ms(1900)), "{gaps:?}");
 }
 
-/// Where lists are pushed changes must be known at once: the agent is polled again soon, however
-/// often that has failed.
+/// With pushed lists changes must be known at once, so the discovery agent is polled again soon,
+/// however often polls have failed.
 #[test]
 fn a_discovery_that_is_back_is_polled_at_once() {
     let node = StubServer::hit_node("v");
@@ -89,14 +90,14 @@
     fixture.reload(&fixture.discovery.address.to_string(), &agent.address.to_string());
     let mut last_poll = Instant::now();
     for number in 0..8 {
-        let mut poll = agent.accept().expect("it is polled again");
-        assert!(number == 0 || last_poll.elapsed() < ms(900), "call {number}: {:?}", last_poll.elapsed());
+        let mut poll = agent.accept().expect("the agent is polled again");
+        assert!(number == 0 || last_poll.elapsed() < ms(900), "poll {number}: {:?}", last_poll.elapsed());
         assert!(poll.read_request(true).is_some());
         last_poll = Instant::now();
     }
 }
 
-/// A watch moves on although the connection to the old address is never established.
+/// A watch moves to the new address although the connection to the old one is never established.
 #[test]
 fn a_move_does_not_wait_for_a_connection_to_the_old_address() {
     let node = StubServer::hit_node("v");
@@ -105,10 +106,10 @@
     old.close();
     let addresses = [fixture.discovery.address, old.address, new.address].map(|address| address.to_string());
     fixture.reload(&addresses[0], &addresses[1]);
-    fixture.wait_until("it has moved", || fixture.counter("watches") == 2);
+    fixture.wait_until("the watch has moved", || fixture.counter("watches") == 2);
     let started_at = Instant::now();
     fixture.reload(&addresses[1], &addresses[2]);
-    let mut poll = new.accept().expect("it moves on");
+    let mut poll = new.accept().expect("the watch moves again");
     assert!(poll.read_request(true).is_some());
     // Changes at the new address must be known 4 s after SIGHUP; a poll may take 1.4 s of that.
     assert!(started_at.elapsed() < ms(2000), "{:?}", started_at.elapsed());
--- a/tests/sockets/races/mod.rs
+++ b/tests/sockets/races/mod.rs
@@ -1,5 +1,5 @@
-//! Races: two events in the harmful order, every time. The stubs hold one event back until the test
-//! releases it.
+//! Race conditions: two events happen in the harmful order at every run, since the stubs hold one
+//! event back until the test releases it.
 
 mod cancelled_requests;
 mod closes;
@@ -10,7 +10,7 @@
 use crate::ms;
 use pinetrail_test_harness::*;
 
-/// The response of a cache node that holds the key.
+/// Returns the response of a cache node that has the key.
 fn hit_response(command: &str, value: &str) -> String {
     format!("VA {} {}\r\n{value}\r\n", value.len(), opaque(command))
 }
