--- a/tests/sockets/backend_responses.rs
+++ b/tests/sockets/backend_responses.rs
@@ -1,5 +1,5 @@
-//! Responses of cache nodes and the origin: long, unusual, malformed, and with more bytes behind
-//! them.
+//! Responses of cache nodes and the origin: long, unusual, malformed, and followed by surplus
+//! bytes.
 
 use crate::{idle_origin, ms};
 use pinetrail_test_harness::*;
@@ -19,10 +19,11 @@
     let mut client = fixture.client();
     assert_eq!(client.get("a", "1", 900).1, "hello\r\n");
     assert_eq!(client.get("b", "2", 900).1, "hello\r\n");
-    assert_eq!(origin.connected(), 2, "a connection that is to close is not used again");
+    assert_eq!(origin.connected(), 2, "a connection with `Connection: close` is not reused");
 }
 
-/// A value cannot grow without bound in the proxy's memory.
+/// Guards against a value that grows without bound in the proxy's memory: its announced length is
+/// over the limit.
 #[test]
 fn a_value_beyond_the_limit_is_not_forwarded() {
     for length in ["4194305", "3000000000"] {
@@ -67,10 +68,11 @@
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let (line, _) = fixture.client().get("k", "1", 300);
     assert!(line.starts_with("SERVER_ERROR "), "{line}");
-    assert_eq!(node.connected(), node.received().len(), "none of those connections is used again");
+    assert_eq!(node.connected(), node.received().len(), "no connection with a foreign response is reused");
 }
 
-/// A malformed response is not forwarded, not waited for, and no proof that nothing ran.
+/// A malformed response is neither forwarded nor waited for, and does not prove that the request
+/// was not executed.
 #[test]
 fn malformed_responses_of_a_node_fail_at_once() {
     for malformed in [
@@ -95,11 +97,11 @@
             (calls, calls),
             "{malformed:?}"
         );
-        assert_eq!(node.connected() as u64, calls, "the connection is of no further use");
+        assert_eq!(node.connected() as u64, calls, "a connection with a malformed response is not reused");
     }
 }
 
-/// The bytes behind a valid response neither invalidate it nor count as the next response.
+/// Surplus bytes behind a valid response neither invalidate it nor count as the next response.
 #[test]
 fn a_valid_response_with_more_behind_it_is_used_and_its_connection_closed() {
     let node = StubServer::node(|line| {
@@ -149,8 +151,8 @@
     }
 }
 
-/// A value without a length is served, but not one that was cut short: an orderly end of the
-/// connection completes it, a reset does not.
+/// A value without a length is complete when its connection ends in an orderly way. After a reset
+/// it may be truncated, so it is not served.
 #[test]
 fn a_response_without_a_length_is_complete_at_the_end_of_its_connection_but_not_at_a_reset() {
     for (is_reset, expected) in [(false, "VA 5 O1\r\n"), (true, "SERVER_ERROR ")] {
--- a/tests/sockets/client_connections.rs
+++ b/tests/sockets/client_connections.rs
@@ -18,7 +18,7 @@
     flood.set_write_timeout(Some(ms(100))).unwrap();
     let (until, pipeline) = (Instant::now() + ms(2000), "mn\r\n".repeat(4000));
     while Instant::now() < until {
-        // The proxy may be slower than this.
+        // The write times out while the proxy does not read.
         let _ = std::io::Write::write(&mut &flood, pipeline.as_bytes());
     }
     let growth_mb = fixture.memory_mb() - before;
@@ -27,8 +27,8 @@
     let _ = reader.join();
 }
 
-/// Commands beyond those that may wait are buffered in the proxy already, so the poller reports
-/// them no more. They must not stall.
+/// Guards against stalled commands: those beyond the number that may wait are already in the
+/// proxy's buffer, so the poller does not report them again.
 #[test]
 fn many_commands_on_one_connection_are_answered_in_order() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -38,7 +38,7 @@
         (0..300).map(|n| format!("mg k{n} v O{n} Pc=read,t=acme,d=900\r\nmn\r\n")).collect();
     client.send(&pipeline);
     for n in 0..300 {
-        // 300 at once are more than are admitted: a rejection is a response as well.
+        // Not all of 300 concurrent requests are admitted: a rejection is a response as well.
         let line = client.read_line();
         if line.starts_with("VA ") {
             assert_eq!((line, client.read_line()), (format!("VA 1 O{n}\r\n"), "v\r\n".into()))
@@ -108,7 +108,8 @@
     assert_eq!((fixture.counter("consumers_late"), node.received().len()), (3, 0));
 }
 
-/// The error is not lost, though a connection that closes with unread input is reset.
+/// Guards against a lost error response: a connection that closes with unread input is reset, and
+/// the reset may discard the response.
 #[test]
 fn an_error_arrives_though_more_is_being_sent() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -122,11 +123,11 @@
     );
     let started_at = Instant::now();
     while client.try_send(&"x".repeat(100_000)) {
-        assert!(started_at.elapsed() < ms(3000), "it is read for ever");
+        assert!(started_at.elapsed() < ms(3000), "the proxy reads the input without end");
     }
 }
 
-/// With two responses under one id a client could use the wrong one.
+/// Guards against two responses under one id, of which a client could use the wrong one.
 #[test]
 fn an_opaque_id_that_is_in_use_elsewhere_is_an_error() {
     let node = StubServer::node(|line| {
@@ -137,11 +138,11 @@
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let (mut first, mut other) = (fixture.client(), fixture.client());
     first.send("mg k v O1 Pc=read,t=acme,d=900\r\n");
-    fixture.wait_until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node has the request", || node.received().len() == 1);
     assert_eq!(other.request("mg j v O1 Pc=read,t=acme,d=900\r\n"), "CLIENT_ERROR the id is in use\r\n");
     assert_eq!((first.read_line().as_str(), first.read_line().as_str()), ("VA 1 O1\r\n", "v\r\n"));
     assert_eq!(node.received().len(), 1);
-    assert_eq!(other.get("j", "1", 900).1, "v\r\n", "it may be used again");
+    assert_eq!(other.get("j", "1", 900).1, "v\r\n", "the id may be used again");
 }
 
 /// Other clients are served while some send malformed input at full speed.
@@ -167,8 +168,8 @@
     });
 }
 
-/// Clients that send malformed input again and again are never idle, but do not keep connections
-/// either.
+/// Clients that send malformed input again and again are never idle, but must not occupy
+/// connections either.
 #[test]
 fn clients_that_send_malformed_input_do_not_occupy_all_connections() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -230,9 +231,9 @@
     assert!(closed >= 60 - 30, "{closed}");
 }
 
-/// Connections that will not be used again are closed, so that clients find new ones. These clients
-/// may hold a third of the descriptors, send one request on each and keep it; beside them a crowd
-/// sends nothing.
+/// Guards against connections that are held by clients that will not use them again, while others
+/// cannot connect. The active clients hold up to a third of the descriptors, send one request on
+/// each connection and keep it open; the idle ones send nothing.
 #[test]
 fn clients_that_send_one_request_and_stay_are_disconnected_in_time() {
     const SOCKETS: usize = 96;
@@ -247,7 +248,8 @@
         idle.push(fixture.client());
         idle.retain(|client| !client.is_closed());
         active.retain(|client| !client.is_closed());
-        // The first second and a half, in which the proxy learns, does not count.
+        // The first 1.5 s, in which the proxy learns whether connections are used again, do not
+        // count.
         let counts = usize::from(round >= 75);
         attempted += counts;
         if active.len() < SOCKETS / 3 {
@@ -257,7 +259,7 @@
             active.push(client);
         }
     }
-    // Each kept for 2.2 s, 32 connections would carry 15 requests a second of the 50.
+    // If each were kept for 2.2 s, 32 connections would carry only 15 of the 50 requests a second.
     assert!(served * 10 >= attempted * 9, "{served} of {attempted}");
     assert!(fixture.counter("consumers_hopeless") > 0);
     // During a planned restart idle connections are evicted for as long as clients may connect.
@@ -275,6 +277,6 @@
         }
         sleep(ms(6));
     }
-    // If they were kept through the drain, all 32 would be idle after a fifth of a second.
+    // If connections were kept through the drain, all 32 would be idle after 0.2 s.
     assert!(served * 10 >= attempted * 8, "{served} of {attempted} after SIGTERM");
 }
--- a/tests/sockets/discovery.rs
+++ b/tests/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: watches, their failures, and where SIGHUP moves them.
+//! Watches of the endpoint list: updates, failures, and the move to another address at SIGHUP.
 
 use crate::{idle_origin, ms};
 use pinetrail_test_harness::*;
@@ -24,14 +24,15 @@
     drop(updates);
     let (line, updates) = fixture.discovery.next_watch();
     assert_eq!(line, "GET /catalog/members?watch=1&after=2 HTTP/1.1");
-    // An older generation undoes no change: the proxy requests the complete list instead.
+    // An older generation reverts no change: the proxy requests the complete list instead.
     updates.send(endpoint_list_json(1, false, &[old.entry("s-0", "c6", "ready")])).unwrap();
     let (line, updates) = fixture.discovery.next_watch();
     assert_eq!(line, "GET /catalog/members?watch=1&after=0 HTTP/1.1");
     for n in 20..30 {
         assert_eq!(client.get(&format!("k{n}"), &n.to_string(), 900).1, "new\r\n");
     }
-    // A complete list replaces newer changes, so that drains are noticed after discovery restarted.
+    // A complete list replaces changes of a higher generation, so that drains are noticed after
+    // discovery has restarted with lower generations.
     let complete_list = [old.entry("s-0", "c6", "ready"), new.entry("s-1", "c6", "draining")];
     updates.send(endpoint_list_json(1, true, &complete_list)).unwrap();
     fixture.wait_until("the list has arrived", || fixture.counter("lists") == 2);
@@ -40,8 +41,8 @@
     }
 }
 
-/// A list that is indented, or cut anywhere, is not malformed; but half of one does not keep a
-/// watch alive.
+/// A list that is indented, or arrives in parts, is not malformed, but an incomplete list does not
+/// keep a watch alive.
 #[test]
 fn an_indented_endpoint_list_is_accepted() {
     let node = StubServer::hit_node("s");
@@ -55,7 +56,7 @@
     let (first, rest) = next_list.split_at(next_list.find(',').unwrap());
     updates.send(first.to_owned()).unwrap();
     updates.send(rest.to_owned()).unwrap();
-    fixture.wait_until("so is one in two parts", || fixture.counter("lists") == 2);
+    fixture.wait_until("the list in two parts has arrived", || fixture.counter("lists") == 2);
     assert_eq!(fixture.counter("watches_failed"), 0);
     // Empty lines arrive, but the rest of this list never does.
     updates.send("{\n".to_owned()).unwrap();
@@ -63,12 +64,12 @@
         std::thread::sleep(ms(100));
         updates.send(String::new()).unwrap_or(());
     }
-    assert!(fixture.counter("watches_failed") > 0, "half a list does not keep a watch alive");
+    assert!(fixture.counter("watches_failed") > 0, "an incomplete list does not keep a watch alive");
     let (line, _) = fixture.discovery.next_watch();
     assert_eq!(line, "GET /catalog/members?watch=1&after=3 HTTP/1.1");
 }
 
-/// Where lists are pushed no poll starts a watch, so the proxy must open it by itself.
+/// With pushed lists no poll starts a watch, so the proxy must open it by itself.
 #[test]
 fn a_pushed_list_is_watched_from_the_start_and_again_after_an_outage() {
     let node = StubServer::hit_node("s");
@@ -83,7 +84,7 @@
     assert_eq!(line, "GET /catalog/members?watch=1&after=2 HTTP/1.1");
 }
 
-/// The watch of an unreachable discovery stays open and silent.
+/// Guards against a watch that stays open and silent because discovery has become unreachable.
 #[test]
 fn a_silent_watch_is_replaced() {
     let fixture = ProxyFixture::new(&[]);
@@ -93,12 +94,13 @@
         sleep(ms(900));
         updates.send(String::new()).unwrap();
     }
-    assert_eq!(fixture.counter("watches_failed"), 0, "an empty line keeps it alive");
+    assert_eq!(fixture.counter("watches_failed"), 0, "an empty line keeps the watch alive");
     fixture.discovery.next_watch();
     assert!(started_at.elapsed() > ms(2700 + 2000), "not before a heartbeat was missed");
 }
 
-/// SIGHUP does not end the process, moves the watch, and rejects an invalid file.
+/// At SIGHUP the watch moves to the configured address, and an invalid file is rejected. Neither
+/// ends the process.
 #[test]
 fn sighup_moves_the_watch_and_an_invalid_file_changes_nothing() {
     let (old, new) = (StubServer::hit_node("old"), StubServer::hit_node("new"));
@@ -121,7 +123,7 @@
     assert_eq!(fixture.client().get("k", "1", 900).1, "new\r\n");
     drop(old_updates);
     fixture.reload("{", "");
-    fixture.wait_until("the bad file is noticed", || fixture.counter("reloads_failed") == 1);
+    fixture.wait_until("the invalid file is rejected", || fixture.counter("reloads_failed") == 1);
     updates
         .send(endpoint_list_json(
             3,
@@ -129,7 +131,7 @@
             &[old.entry("s-2", "c6", "ready"), new.entry("s-1", "c6", "gone")],
         ))
         .unwrap();
-    fixture.wait_until("the watch goes on", || fixture.counter("lists") == 2);
+    fixture.wait_until("the watch continues", || fixture.counter("lists") == 2);
     assert_eq!(fixture.client().get("k", "2", 900).1, "old\r\n");
     assert_eq!((fixture.counter("reloads"), fixture.counter("watches")), (1, 2));
 }
--- a/tests/sockets/faults.rs
+++ b/tests/sockets/faults.rs
@@ -1,4 +1,5 @@
-//! Error paths, each checked on what the harness observed of the real process from outside.
+//! Error paths of the real process, checked against the history that the harness recorded from
+//! outside.
 
 use crate::ms;
 use pinetrail_history_checker::{check, History, HistoryEvent, NodeState, Reason, Time};
@@ -9,10 +10,11 @@
 use std::thread::{self, sleep};
 use std::time::Instant;
 
-/// The recording continues for this long after the last response.
+/// Time for which the recording continues after the last response, in ms.
 const RECORDING_AFTER_MS: Time = 5000.0;
 
-/// A backend that fails in the way that the key names; it serves other keys.
+/// Returns the behavior of a backend that fails in the way that the key names, and serves other
+/// keys.
 fn fails_by_key(http: bool) -> impl Fn(&str) -> StubAction + Send + Sync + 'static {
     move |request| {
         let id = opaque(request).to_owned();
@@ -41,8 +43,9 @@
     }
 }
 
-/// Attempts that fail half way, on a new and on a reused connection, for each kind of effect: no
-/// effect happens twice, no request has a second or a late response, and the proxy serves on.
+/// Attempts fail half way, on a new and on a reused connection, for each kind of effect. No effect
+/// may happen twice, no request may get a second or a late response, and the proxy must continue to
+/// serve.
 #[test]
 fn attempts_that_fail_half_way_keep_the_rules_for_every_effect() {
     let (one, other) = (StubServer::node(fails_by_key(false)), StubServer::node(fails_by_key(false)));
@@ -70,7 +73,7 @@
             }
         }
     }
-    assert!(fixture.client().get("good.z", "z", 900).0.starts_with("VA "), "it serves on");
+    assert!(fixture.client().get("good.z", "z", 900).0.starts_with("VA "), "the proxy still serves");
     Recorder::current().check();
     assert_eq!((fixture.counter("overdue"), fixture.counter("panics")), (0, 0));
 }
@@ -81,7 +84,7 @@
     let node = StubServer::miss_node();
     let fetches = AtomicUsize::new(0);
     let origin = StubServer::origin(move |_| match fetches.fetch_add(1, Ordering::SeqCst) {
-        // The leader's: it has disconnected before this response.
+        // The fetch of the leader, which has disconnected before this response.
         0 => StubAction::ReplyWith(Box::new(|stream| {
             sleep(ms(300));
             let _ = stream.write_all(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
@@ -125,7 +128,7 @@
             _ => client.set(class, "k", &id, 2000),
         };
         assert!(line.starts_with("SERVER_ERROR busy "), "{class}: {line}");
-        assert!(started_at.elapsed() < ms(1500), "not kept until its deadline");
+        assert!(started_at.elapsed() < ms(1500), "the client does not wait until its deadline");
     }
     assert_eq!((node.received().len(), origin.received().len()), (0, 0));
     Recorder::current().check();
@@ -157,7 +160,7 @@
     Recorder::current().check();
 }
 
-/// A cache node that fails occasionally, in every way.
+/// Starts a cache node that occasionally fails, in each of several ways.
 fn unreliable_node() -> StubServer {
     let requests = AtomicUsize::new(0);
     let respond = fails_by_key(false);
@@ -170,7 +173,7 @@
     })
 }
 
-/// An origin that fails occasionally.
+/// Starts an origin that occasionally fails.
 fn unreliable_origin() -> StubServer {
     let requests = AtomicUsize::new(0);
     StubServer::origin(move |_| match requests.fetch_add(1, Ordering::SeqCst) % 19 {
@@ -180,7 +183,7 @@
     })
 }
 
-/// Sends 60 requests of all classes, one after the other. The recorder sees the responses.
+/// Sends 60 requests of all classes, one after the other. The harness records the responses.
 fn send_requests_of_all_classes(client: &mut Client, client_number: usize) {
     for n in 0..60 {
         let id = format!("{client_number}x{n}");
@@ -244,9 +247,9 @@
     );
 }
 
-/// A recorded day of the real process: faults of every kind, a node that drains, one that is
-/// removed and returns, reloads. The rules hold; the recording without one response, or with an
-/// attempt that is too late, is rejected.
+/// Records the real process under faults of every kind, with a node that drains, one that is
+/// removed and returns, and reloads. The checker accepts the recording, and rejects it without one
+/// response or with an attempt at a draining node.
 #[test]
 fn requests_under_faults_of_every_kind_keep_the_rules() {
     let nodes = [unreliable_node(), unreliable_node(), unreliable_node()];
--- a/tests/sockets/hold_ups.rs
+++ b/tests/sockets/hold_ups.rs
@@ -1,24 +1,24 @@
 //! Hold-ups: the process does not run for a while, as on a machine that is short of processors.
-//! Found on 2026-12-02 (`docs/incidents`).
+//! These tests follow from the incident of 2026-12-02 (`docs/incidents`).
 
 use crate::idle_origin;
 use pinetrail_test_harness::*;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long a hold-up may last.
+/// Duration of a hold-up that the proxy must tolerate.
 const HOLD_UP_DURATION: Duration = Duration::from_millis(150);
-/// How long before the deadline a hold-up begins here.
+/// Time before the deadline at which a hold-up begins.
 const HOLD_UP_BEFORE_DEADLINE: Duration = Duration::from_millis(50);
-/// How long after the deadline a client still takes a final response: 50 ms on sockets, and the
-/// shortest `AnswerSlack`.
+/// Time after the deadline within which a client still accepts a final response: 50 ms on sockets,
+/// plus the shortest `AnswerSlack`.
 const ANSWER_SLACK: Duration = Duration::from_millis(60);
-/// By then a process that was sent SIGSTOP has stopped.
+/// Time after SIGSTOP by which a process has stopped.
 const STOP_DELAY: Duration = Duration::from_millis(20);
-/// How long the clients of these tests wait.
+/// Time for which the clients of these tests wait for a response.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A node that does not respond for a key with `hang` in its name, and lacks all others.
+/// Starts a node that does not respond for keys that contain `hang`, and misses all others.
 fn hanging_node() -> StubServer {
     StubServer::node(|line| {
         if line.contains("hang") {
@@ -29,7 +29,7 @@
     })
 }
 
-/// Whether the client's socket holds a complete line.
+/// Returns whether the client's socket holds a complete line.
 fn has_complete_line(client: &mut Client) -> bool {
     let stream = client.reader().get_ref();
     let mut bytes = [0; 256];
@@ -43,9 +43,9 @@
     sleep(moment.saturating_duration_since(Instant::now()));
 }
 
-/// A final response is not planned for the deadline itself, since a process that is held up around
-/// it would write the response too late. Requests at a backend that hangs are answered in time, at
-/// a node and at the origin.
+/// Guards against final responses that are scheduled for the deadline itself: a process that is
+/// held up around it would write them too late. The requests wait for a node and for an origin that
+/// do not respond.
 #[test]
 fn final_responses_are_written_before_a_hold_up_at_the_deadline() {
     let node = hanging_node();
@@ -77,10 +77,10 @@
     }
     fixture.wait_until("the process runs again", || fixture.client().request("mn\r\n") == "MN\r\n");
     assert_eq!(fixture.counter("answered_late"), 0);
-    assert_eq!(fixture.counter("overdue"), 0, "no guard was needed");
+    assert_eq!(fixture.counter("overdue"), 0, "no request was ended by its guard");
 }
 
-/// Operators can see a hold-up in the log and in the counters.
+/// Operators can see a hold-up in the counters.
 #[test]
 fn a_hold_up_is_counted() {
     let origin = idle_origin();
@@ -89,11 +89,11 @@
     fixture.signal("STOP");
     sleep(HOLD_UP_DURATION);
     fixture.signal("CONT");
-    fixture.wait_until("it is counted", || fixture.counter("held_up") > 0);
+    fixture.wait_until("the hold-up is counted", || fixture.counter("held_up") > 0);
 }
 
-/// A deadline does not count from when a request is read: one that arrives during a hold-up has
-/// lost that time already.
+/// Guards against a deadline that counts from when the request is read: a request that arrives
+/// during a hold-up has already lost that time.
 #[test]
 fn the_deadline_of_a_request_that_arrives_in_a_hold_up_counts_from_its_arrival() {
     let node = hanging_node();
--- a/tests/sockets/large.rs
+++ b/tests/sockets/large.rs
@@ -9,7 +9,7 @@
 
 const LONG_VALUE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Memory does not grow with announced lengths: together these values are far beyond the limit, and
+/// Memory must not grow with announced lengths: together these values far exceed the limit, and
 /// their clients read slowly.
 #[test]
 fn values_larger_than_the_memory_reach_slow_readers_complete() {
@@ -28,7 +28,8 @@
     let lines: Vec<String> = clients.iter_mut().map(Client::read_line).collect();
     assert!(lines.iter().all(|line| line.starts_with("VA 4194304 O")), "{lines:?}");
     for _ in 0..8 {
-        // In all this takes longer than any deadline: a body stream needs only progress.
+        // In total this takes longer than any deadline: a body stream may go on while it makes
+        // progress.
         sleep(ms(150));
         for client in &mut clients {
             client.reader().read_exact(&mut part).unwrap();
@@ -42,8 +43,8 @@
     assert_eq!((fixture.counter("values_flowed"), node.received().len()), (12, 12), "none is fetched twice");
 }
 
-/// Bytes are not held back, and no deadline cuts off a body that still arrives: this node sends the
-/// second half only once the client has the first.
+/// The proxy forwards bytes as they arrive, and no deadline cuts off a body that still arrives:
+/// this node sends the second half only after the client has read the first.
 #[test]
 fn the_client_gets_the_first_bytes_before_the_node_has_sent_the_last() {
     let (release, released) = channel::<()>();
@@ -98,8 +99,8 @@
     assert_eq!((fixture.counter("answers_spoilt"), node.received().len()), (0, 1));
 }
 
-/// Half a value is not served as a complete one, and no second attempt is made once a body stream
-/// has begun.
+/// A truncated value is not served as a complete one, and no second attempt is made once a body
+/// stream has begun.
 #[test]
 fn a_value_that_breaks_off_ends_the_connection_and_is_not_retried() {
     for ending in [&b""[..], b"no end"] {
@@ -121,7 +122,7 @@
         // The connection may end by a reset as well.
         let _ = client.reader().read_to_end(&mut rest);
         assert!(rest.len() <= 100_000, "{}", rest.len());
-        fixture.wait_until("it is counted", || fixture.counter("values_broken") == 1);
+        fixture.wait_until("the truncation is counted", || fixture.counter("values_broken") == 1);
         assert_eq!(node.received().len(), 1);
         assert_eq!(fixture.client().request("mn\r\n"), "MN\r\n");
     }
@@ -139,7 +140,7 @@
             stream.write_all(head.as_bytes()).unwrap();
             let result =
                 stream.write_all(&vec![b'x'; LONG_VALUE_BYTES]).and_then(|()| stream.write_all(b"\r\n"));
-            // The kernel may have taken all of it before the connection ended.
+            // The kernel may have buffered all of it before the connection ended.
             let closed = result.is_err() || matches!(stream.read(&mut [0]), Ok(0) | Err(_));
             closed_sender.lock().unwrap().send(closed).unwrap();
         }))
@@ -150,5 +151,5 @@
     assert_eq!(client.request("mg k v O1 Pc=read,t=acme,d=900\r\n"), format!("VA {LONG_VALUE_BYTES} O1\r\n"));
     drop(client);
     assert!(closed_receiver.recv_timeout(WAIT_TIMEOUT).unwrap(), "the node's connection is closed");
-    fixture.wait_until("the call ends", || fixture.counter("calls_cancelled") == 1);
+    fixture.wait_until("the attempt is cancelled", || fixture.counter("calls_cancelled") == 1);
 }
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,5 +1,4 @@
-//! The real program as a process, with stubs in place of its clients, cache nodes, origin and
-//! discovery.
+//! Runs the proxy as a real process against stub clients, cache nodes, an origin and discovery.
 
 mod backend_responses;
 mod client_connections;
@@ -22,11 +21,12 @@
     Duration::from_millis(n)
 }
 
+/// Starts an origin that never responds.
 fn idle_origin() -> StubServer {
     StubServer::origin(|_| StubAction::Ignore)
 }
 
-/// An origin that serves reads and writes alike, with this body.
+/// Starts an origin that responds to reads and writes alike with this body.
 fn origin_with_body(body: &'static str) -> StubServer {
     StubServer::origin(move |_| http_200(body))
 }
--- a/tests/sockets/operations.rs
+++ b/tests/sockets/operations.rs
@@ -7,7 +7,7 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-/// The admin server does what it is asked, or says why not.
+/// The admin server executes each request or responds with the reason of its failure.
 #[test]
 fn the_admin_server_reports_success_or_the_reason_of_a_failure() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -70,7 +70,7 @@
         );
     }
     assert_eq!(fixture.client().request("mn\r\n"), "MN\r\n");
-    // The responses to the flood are not read: it ends when those connections are closed.
+    // The flood reads no response, so it ends when the proxy closes its connections.
     for flood in flood {
         assert!(flood.join().unwrap() > 0);
     }
@@ -87,9 +87,9 @@
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=2000\r\n");
-    fixture.wait_until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node has the request", || node.received().len() == 1);
     fixture.signal("TERM");
-    fixture.wait_until("it is not ready", || {
+    fixture.wait_until("the proxy is not ready", || {
         call_admin(fixture.admin_address, "GET", "/control/ready").0 == 503
     });
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 409);
@@ -104,7 +104,7 @@
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     for id in 1..3 {
-        // The first command of a connection, and one behind it.
+        // The first command of a connection, and a later one.
         let command = format!("mg k v O{id} Pc=read,t=acme,d=900\r\n");
         let (begin, rest) = command.split_at(9);
         client.send(begin);
@@ -134,7 +134,7 @@
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-0/offline").0, 200);
     let before = offline_node.received().len();
     send_reads(20);
-    // Lists of discovery in between change nothing.
+    // Endpoint lists from discovery do not end the maintenance.
     let lists = [
         endpoint_list_json(2, true, &entries("ready")),
         endpoint_list_json(3, false, &entries("gone")),
@@ -146,10 +146,10 @@
         fixture.wait_until("the list has arrived", || fixture.counter("lists") > received);
         send_reads(10 + n);
     }
-    assert_eq!(offline_node.received().len(), before, "no new request went there");
+    assert_eq!(offline_node.received().len(), before, "no request reached the node in maintenance");
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-0/online").0, 200);
     send_reads(60);
-    assert!(offline_node.received().len() > before, "it serves again");
+    assert!(offline_node.received().len() > before, "the node serves again");
 }
 
 /// An attempt that ends does not return its connection to the pool of a node in maintenance.
@@ -163,17 +163,17 @@
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     // No connection is closed for its age within this test.
     fixture.reload(r#""ConnIdle":1500.0"#, r#""ConnIdle":90000.0"#);
-    fixture.wait_until("it is read", || fixture.counter("reloads") == 1);
+    fixture.wait_until("the file is read", || fixture.counter("reloads") == 1);
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=2000\r\n");
-    fixture.wait_until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node has the request", || node.received().len() == 1);
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-0/offline").0, 200);
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
     fixture.wait_until("its connection is closed", || node.disconnected() == 1);
 }
 
-/// A proxy out of service loses no request: accepted ones are answered, connections close between
-/// commands, and the proxy runs on.
+/// A proxy out of service loses no request: accepted requests get a response, connections close
+/// between commands, and the process keeps running.
 #[test]
 fn a_proxy_out_of_service_disconnects_its_clients_and_serves_them_again_later() {
     let node = StubServer::node(|line| {
@@ -191,17 +191,21 @@
     }
     assert_eq!(used.get("k", "1", 900).1, "v\r\n");
     busy.send("mg slow v O2 Pc=read,t=acme,d=2000\r\n");
-    fixture.wait_until("the node is asked", || node.received().len() == 2);
+    fixture.wait_until("the node has the request", || node.received().len() == 2);
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200);
     let started_at = Instant::now();
-    assert_eq!(call_admin(fixture.admin_address, "POST", "/control/out-of-service").0, 200, "twice is once");
+    assert_eq!(
+        call_admin(fixture.admin_address, "POST", "/control/out-of-service").0,
+        200,
+        "a repetition has no effect"
+    );
     assert_eq!(
         call_admin(fixture.admin_address, "GET", "/control/ready").0,
         200,
-        "it still accepts connections"
+        "the proxy still accepts connections"
     );
     assert!(fixture.client().request("mn\r\n").starts_with("SERVER_ERROR "));
-    // A connection is served once more, and closes after the response; so does a new one.
+    // An open connection is served once more and closes after the response. So does a new one.
     for mut client in [used, fixture.client()] {
         assert_eq!(client.get("k", "3", 900).1, "v\r\n");
         assert_eq!(client.read_line(), "");
@@ -245,7 +249,7 @@
     let reload = |from: &str, to: &str| {
         let reloads_before = fixture.counter("reloads") + fixture.counter("reloads_failed");
         fixture.reload(from, to);
-        fixture.wait_until("it is read", || {
+        fixture.wait_until("the file is read", || {
             fixture.counter("reloads") + fixture.counter("reloads_failed") > reloads_before
         });
     };
@@ -255,7 +259,7 @@
     reload(r#"{"Name":"read""#, class);
     assert!(read_in_class(&mut client, "peek", "2").starts_with("VA 1 O2"));
     client.read_line();
-    // Each is rejected completely, though it also names a new class.
+    // Each of these is rejected as a whole, also where it names a new class.
     for (from, to) in [
         (r#""Name":"peek","Aim":300.0"#, r#""Name":"new","Aim":0"#),
         (r#""Name":"peek","Aim":300.0,"GiveUp":900.0"#, r#""Name":"new","Aim":300.0"#),
@@ -285,7 +289,7 @@
     // An open request keeps its class and its deadline, though the class is removed.
     let mut slow = fixture.client();
     slow.send("mg slow v Oslow Pc=peek,t=acme,d=700\r\n");
-    fixture.wait_until("the node is asked", || node.received().iter().any(|line| line.contains("slow")));
+    fixture.wait_until("the node has it", || node.received().iter().any(|line| line.contains("slow")));
     reload(class, r#"{"Name":"read""#);
     assert_eq!(read_in_class(&mut client, "peek", "z"), "CLIENT_ERROR unknown class\r\n");
     assert!(slow.read_line().starts_with("SERVER_ERROR "));
@@ -300,7 +304,7 @@
         example.replace("127.0.0.1:11211", "127.0.0.1:0").replace("127.0.0.1:9901", "127.0.0.1:0");
     let mut child = start_proxy(&own_config);
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-    assert!(lines.any(|line| line.contains("n0 listens on 127.0.0.1:")), "it starts");
+    assert!(lines.any(|line| line.contains("n0 listens on 127.0.0.1:")), "the proxy starts");
     signal(&child, "TERM");
     assert!(wait_for_exit(child).status.success());
 }
--- a/tests/sockets/requests.rs
+++ b/tests/sockets/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from a client to a cache node or the origin, and how each response comes about.
+//! Requests from clients to cache nodes or the origin, and the responses to them.
 
 use crate::{idle_origin, ms, origin_with_body};
 use pinetrail_test_harness::*;
@@ -48,7 +48,7 @@
     assert_eq!((fixture.counter("calls_full"), fixture.counter("calls_ok")), (1, 1));
 }
 
-/// An attempt that never connected never ran, so that even a retry is safe.
+/// An attempt that never connected was not executed, so a retry is safe for every effect.
 #[test]
 fn a_read_goes_to_another_node_if_one_refuses_connections() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -70,7 +70,7 @@
     let (line, _) = fixture.client().get("k", "1", 300);
     assert!(
         started_at.elapsed() < ms(600),
-        "at its own deadline, not its class's: {:?}",
+        "the request did not end at its own deadline but at its class's: {:?}",
         started_at.elapsed()
     );
     assert_eq!(line, "SERVER_ERROR busy 500\r\n", "with a Retry-After");
@@ -91,10 +91,10 @@
     let fixture = ProxyFixture::with_backends(&[&node], &origin);
     let mut client = fixture.client();
     client.send("mg k v O1 Pc=read,t=acme,d=400\r\n");
-    fixture.wait_until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node has the request", || node.received().len() == 1);
     drop(client);
-    fixture.wait_until("it is noticed", || fixture.counter("consumers_gone") == 1);
-    fixture.wait_until("the attempt ends all the same", || fixture.counter("calls_timeout") == 1);
+    fixture.wait_until("the disconnect is noticed", || fixture.counter("consumers_gone") == 1);
+    fixture.wait_until("the attempt ends nevertheless", || fixture.counter("calls_timeout") == 1);
     assert_eq!(fixture.counter("answered_failed") + fixture.counter("answered_rejected"), 0);
 }
 
@@ -116,11 +116,14 @@
         assert_eq!(client.get("k", &n.to_string(), 900).1, "v\r\n");
     }
     assert_eq!((node.connected(), fixture.counter("provider_connections")), (1, 1));
-    assert!(client.get("bye", "20", 300).0.starts_with("SERVER_ERROR "), "reset, as often as it was tried");
-    fixture.wait_until("the rest are broken", || node.disconnected() == node.connected());
+    assert!(
+        client.get("bye", "20", 300).0.starts_with("SERVER_ERROR "),
+        "the connection of each attempt ends"
+    );
+    fixture.wait_until("all connections are closed", || node.disconnected() == node.connected());
     let resets = fixture.counter("calls_reset");
-    // The node is an outlier for about a second.
-    fixture.wait_until("it is tried again", || fixture.client().get("k", "21", 900).1 == "v\r\n");
+    // The node is ejected as an outlier for about a second.
+    fixture.wait_until("the node is tried again", || fixture.client().get("k", "21", 900).1 == "v\r\n");
     assert_eq!(fixture.counter("calls_reset"), resets, "no attempt used a broken connection");
     // The settings allow connections to be idle for 1.5 s.
     let until = Instant::now() + ms(1400 + 1000);
@@ -149,7 +152,7 @@
     assert!(["0\r\n", "1\r\n", "2\r\n"].iter().all(|name| one.iter().any(|choice| choice == name)));
 }
 
-/// A timer that outlived its request would hold a stack until the deadline.
+/// Guards against a leak: a timer that outlives its request holds a stack until the deadline.
 #[test]
 fn an_answered_request_leaves_no_timer_behind() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -185,8 +188,8 @@
     assert_eq!(node.connected(), 2);
 }
 
-/// No timer is lost, though the library's timer lists, one for each duration, are unsafe to use
-/// with more than 1024 durations.
+/// Guards against lost timers: the library has one timer list for each duration, and is unsafe to
+/// use with more than 1024 durations.
 #[test]
 fn requests_with_many_deadlines_are_all_answered() {
     let (node, origin) = (StubServer::node(|_| StubAction::Ignore), idle_origin());
--- a/tests/sockets/settings.rs
+++ b/tests/sockets/settings.rs
@@ -4,7 +4,8 @@
 use pinetrail_test_harness::*;
 use std::time::Instant;
 
-/// Serves a read and a write by settings with these texts replaced.
+/// Checks that a proxy serves a read and a write after these texts of its configuration are
+/// replaced.
 fn assert_serves(changes: &[(&str, &str)], read: &str, write: &str, tenant: &str) {
     let node = StubServer::hit_node("v");
     let origin = StubServer::origin(|_| http_200("r1"));
@@ -16,7 +17,10 @@
     let line = client.request(&format!("ms k 2 O2 Pc={write}{tenant},d=900,k=5\r\nhi\r\n"));
     assert_eq!(line, "HD O2 cr1\r\n", "{changes:?}");
     let forwarded = origin.received().concat();
-    assert!(forwarded.contains(&format!("X-Labels: c={write}{tenant},d=")), "unchanged: {forwarded}");
+    assert!(
+        forwarded.contains(&format!("X-Labels: c={write}{tenant},d=")),
+        "the labels are forwarded unchanged: {forwarded}"
+    );
 }
 
 /// The program does not depend on the names and limits of one deployment.
@@ -33,7 +37,8 @@
         "書く",
         ",t=ł#/%",
     );
-    // No tenants, zones or machine types but the origin's; a zone and types that no setting names.
+    // No tenants, no zones and no machine type but the origin's: the endpoint list has a zone and a
+    // machine type that the settings do not name.
     assert_serves(
         &[
             (r#""Orgs":[{"Name":"acme"}],"#, ""),
--- a/tests/sockets/shutdown.rs
+++ b/tests/sockets/shutdown.rs
@@ -16,7 +16,7 @@
     let (mut before, mut idle) = (fixture.client(), fixture.client());
     assert_eq!(idle.request("mn\r\n"), "MN\r\n");
     before.send("mg k v O1 Pc=read,t=acme,d=2000\r\n");
-    fixture.wait_until("the node is asked", || node.received().len() == 1);
+    fixture.wait_until("the node has the request", || node.received().len() == 1);
     fixture.signal("TERM");
     sleep(ms(100));
     let mut after = fixture.client();
@@ -50,7 +50,7 @@
     fixture.signal("TERM");
     let started_at = Instant::now();
     sleep(ms(800));
-    assert!(std::net::TcpStream::connect(fixture.client_address).is_err(), "it still listens");
+    assert!(std::net::TcpStream::connect(fixture.client_address).is_err(), "the proxy still listens");
     assert_eq!(kept.get("k", "1", 900).1, "v\r\n");
     // Clients wait for at most 1 s, so the earliest kill is 1.7 s after SIGTERM. This request gets
     // its response before that.
--- a/tests/sockets/starts.rs
+++ b/tests/sockets/starts.rs
@@ -1,11 +1,11 @@
-//! Starts and crowds while discovery is down.
+//! Starts, and many client connections, while discovery is down.
 
 use crate::ms;
 use pinetrail_test_harness::*;
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// A restarted process is ready within this time.
+/// Time within which a started process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A start does not wait for discovery, which refuses connections, does not accept them, or hangs.
@@ -41,13 +41,13 @@
     }
 }
 
-/// A port that is free at the moment.
+/// Returns a port that is free at the moment.
 fn free_port() -> u16 {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port()
 }
 
-/// Idle clients leave descriptors for discovery, nodes and the admin server, though they connect
-/// while discovery is down, with more connections than there are descriptors.
+/// Guards against idle clients that occupy the descriptors of discovery, nodes and the admin
+/// server: they connect while discovery is down, with more connections than there are descriptors.
 #[test]
 fn idle_clients_do_not_keep_the_watch_from_coming_back() {
     let node = StubServer::hit_node("v");
@@ -58,7 +58,7 @@
     fixture.wait_until("the watch is lost", || fixture.counter("watches_failed") > 0);
     let mut first = fixture.client();
     assert_eq!(first.get("k", "1", 900).1, "v\r\n");
-    // The connections beyond the descriptors wait to be accepted.
+    // Connections beyond the descriptors wait to be accepted.
     let mut idle: Vec<Client> = (0..100).map(|_| fixture.client()).collect();
     for client in &mut idle {
         client.send("mn\r\n");
@@ -67,7 +67,10 @@
     let started_at = Instant::now();
     restored.set_nonblocking(true).unwrap();
     while restored.accept().is_err() {
-        assert!(started_at.elapsed() < Duration::from_secs(6), "discovery is back, and is not polled");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(6),
+            "discovery is reachable again, but not polled"
+        );
         std::thread::sleep(ms(5));
     }
     assert_eq!(call_admin(fixture.admin_address, "GET", "/control/ready").0, 200);
@@ -107,7 +110,7 @@
             good.replace(r#""MaxAttempts":3"#, r#""MaxAttempts":256"#),
             r#"settings.Permissions.MaxAttempts "256""#,
         ),
-        // Too large for a `Duration`: it would panic at a start, and at a reload.
+        // Too large for a `Duration`: the conversion would panic at a start and at a reload.
         (good.replace(r#""ConnectTimeout":250.0"#, r#""ConnectTimeout":1e300"#), "ConnectTimeout"),
         (
             config_with_entries(&[
--- a/tests/sockets/upgrades.rs
+++ b/tests/sockets/upgrades.rs
@@ -12,8 +12,8 @@
     child.wait().unwrap();
 }
 
-/// Clients that send requests all the time, on a new connection whenever theirs is closed between
-/// commands.
+/// Clients that send requests continuously, and connect again whenever their connection is closed
+/// between commands.
 struct Load {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicUsize>,
@@ -33,7 +33,7 @@
                         return;
                     }
                     let id = format!("{number}.{n}");
-                    // A command that crosses the close of its connection is not read, and is sent
+                    // A command that crosses the close of its connection is not read, so it is sent
                     // once more.
                     let mut response = client.try_get(&id);
                     if response.is_none() {
@@ -75,7 +75,7 @@
         assert_eq!(
             call_admin(fixture.admin_address, "GET", "/control/ready").0,
             200,
-            "the old one serves on"
+            "the first process still serves"
         );
         sleep(ms(100));
         let first = fixture.replace_process(second);
@@ -86,15 +86,18 @@
     let answered = load.stop();
     let ids: std::collections::BTreeSet<String> =
         node.received().iter().map(|line| opaque(line).to_owned()).collect();
-    assert_eq!(node.received().len(), ids.len(), "nothing runs twice");
+    assert_eq!(node.received().len(), ids.len(), "no request is executed twice");
     assert!(ids.len() >= answered && answered > 100, "{answered} of {}", ids.len());
-    assert!(offline_node.received().is_empty(), "in maintenance before, during and after");
+    assert!(
+        offline_node.received().is_empty(),
+        "the node is in maintenance before, during and after each hot restart"
+    );
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/cache-nodes/s-1/online").0, 200);
     let mut client = fixture.client();
     for n in 0..40 {
         assert!(client.get(&format!("j{n}"), &format!("j{n}"), 900).0.starts_with("VA "));
     }
-    assert!(!offline_node.received().is_empty(), "it serves again");
+    assert!(!offline_node.received().is_empty(), "the node serves again");
 }
 
 /// No client waits for a second process that dies, and the next hot restart succeeds.
@@ -121,14 +124,18 @@
     }
     let (second, _) = fixture.start_second_process();
     let third = wait_for_exit(fixture.start_second_process_with("n0", "n0"));
-    assert_eq!(third.status.code(), Some(2), "one upgrade at a time");
+    assert_eq!(third.status.code(), Some(2), "only one hot restart at a time");
     assert!(String::from_utf8_lossy(&third.stderr).contains("refuses"));
     kill(second);
-    fixture.wait_until("the old one accepts again", || fixture.client().get("k", "a", 900).1 == "v\r\n");
+    fixture.wait_until("the first process accepts", || fixture.client().get("k", "a", 900).1 == "v\r\n");
     let second = fixture.start_second_process();
     let first = fixture.replace_process(second);
     kill(first);
-    assert_eq!(fixture.client().get("k", "b", 900).1, "v\r\n", "also if the old one is killed");
+    assert_eq!(
+        fixture.client().get("k", "b", 900).1,
+        "v\r\n",
+        "the second process serves after the first is killed"
+    );
     let second = fixture.start_second_process();
     let first = fixture.replace_process(second);
     signal(&first, "TERM");
@@ -171,8 +178,8 @@
     assert_eq!(fixture.client().get("k", "1", 900).1, "v\r\n");
 }
 
-/// Guards against a crash while draining: a process that had closed the listening socket which
-/// another one still holds got events of it, with a pointer to freed memory.
+/// Guards against a crash while draining: a process that had closed a listening socket still got
+/// events of it, with a pointer to freed memory, because another process held the socket open.
 #[test]
 fn a_newer_process_that_is_stopped_first_ends_in_order_while_clients_connect() {
     let node = StubServer::node(|line| {
@@ -185,7 +192,7 @@
     let fixture = ProxyFixture::with_backends(&[&node], &idle_origin());
     for round in 0..4 {
         let (newer, _) = fixture.start_second_process();
-        // Some of these are the newer process's, which lives until they have their responses.
+        // Some of these belong to the newer process, which runs until they have their responses.
         let mut waiting: Vec<Client> = (0..16).map(|_| fixture.client()).collect();
         for (number, client) in waiting.iter_mut().enumerate() {
             client.send(&format!("mg slow{number} v O{round}w{number} Pc=read,t=acme,d=900\r\n"));
