--- a/tests/fleet/faults.rs
+++ b/tests/fleet/faults.rs
@@ -1,5 +1,5 @@
-//! The hard cases of a membership, with real processes. `crates/membership/tests/hard_cases` has
-//! the same in simulated time, over many seeds.
+//! Hard cases of the membership protocol with real processes. `crates/membership/tests/hard_cases`
+//! has the same cases in simulated time, over many seeds.
 
 use crate::{failure_report_count, joined_fleet, ms, nodes, origin, ALL};
 use pinetrail_test_harness::fleet::{Fleet, Options};
@@ -15,11 +15,11 @@
     fleet.kill(3);
     let reported =
         |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names_in_state("failed") == ["n3"];
-    fleet.wait_until("all know", |fleet| [0, 1, 2, 4].iter().all(|member| reported(fleet, *member)));
+    fleet.wait_until("n3 has failed", |fleet| [0, 1, 2, 4].iter().all(|member| reported(fleet, *member)));
     assert_eq!(fleet.report(0).unwrap().side, "majority");
     fleet.start(3);
-    fleet.wait_until("it is back", |fleet| fleet.all_agree(&ALL));
-    fleet.wait_until("all of them", |fleet| fleet.report(0).unwrap().side == "whole");
+    fleet.wait_until("all are alive", |fleet| fleet.all_agree(&ALL));
+    fleet.wait_until("the membership is whole", |fleet| fleet.report(0).unwrap().side == "whole");
 }
 
 /// Datagrams on a partitioned path must not arrive by another path.
@@ -32,13 +32,13 @@
     let delivered_counts = || paths.map(|(from, to)| fleet.datagram_faults.counts(from, to).delivered);
     let before = delivered_counts();
     let is_alone = |fleet: &Fleet| fleet.report(0).unwrap().side == "alone";
-    fleet.wait_until("it is alone", is_alone);
+    fleet.wait_until("n0 is alone", is_alone);
     assert_eq!(delivered_counts(), before);
     assert!(
         paths.iter().all(|(from, to)| fleet.datagram_faults.counts(*from, *to).lost > 0),
         "the probes continued"
     );
-    // Every address that a member has of another is that of a fault proxy.
+    // Members know each other only by the addresses of the fault proxies.
     let advertised: BTreeSet<String> =
         (0..3).map(|member| fleet.advertised_address(member).to_string()).collect();
     for member in 0..3 {
@@ -60,34 +60,34 @@
         fleet.process(1).signal("CONT");
         sleep(ms(150));
     }
-    fleet.wait_until("no member suspects it", |fleet| fleet.all_agree(&ALL));
+    fleet.wait_until("no member suspects n1", |fleet| fleet.all_agree(&ALL));
     assert_eq!(failure_report_count(&fleet), 0, "{}", fleet.timeline);
 }
 
 /// A process that resumes must not interpret its own pause as the failure of others: it is stopped
-/// while it suspects one, and that one's refutation is unread when it resumes.
+/// while it suspects a member, whose refutation is still unread when it resumes.
 #[test]
 fn a_member_stopped_for_10_s_rejoins_and_declares_no_other_failed() {
     let fleet = joined_fleet(Options::with_members(5));
     let started_ms = fleet.timeline.elapsed_ms();
     fleet.process(0).signal("STOP");
-    fleet.wait_until("it suspects one", |fleet| {
+    fleet.wait_until("n2 suspects another member", |fleet| {
         fleet.timeline.first_match("n2", "alive -> suspect", started_ms).is_some()
     });
     fleet.process(2).signal("STOP");
     fleet.process(0).signal("CONT");
     let reported =
         |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names_in_state("failed") == ["n2"];
-    fleet.wait_until("the others know", |fleet| [0, 1, 3, 4].iter().all(|member| reported(fleet, *member)));
+    fleet.wait_until("n2 has failed", |fleet| [0, 1, 3, 4].iter().all(|member| reported(fleet, *member)));
     sleep(ms(7_500));
     let resumed_ms = fleet.timeline.elapsed_ms();
     fleet.process(2).signal("CONT");
-    fleet.wait_until("it is back", |fleet| fleet.all_agree(&ALL));
+    fleet.wait_until("all are alive", |fleet| fleet.all_agree(&ALL));
     assert!(fleet.timeline.first_match("n2", "did not run for", resumed_ms).is_some());
     assert!(fleet.timeline.first_match("n2", "-> failed", resumed_ms).is_none(), "{}", fleet.timeline);
 }
 
-/// Indirect probes by other members keep a path that is cut in one direction from causing
+/// Indirect probes by other members keep a path that is partitioned in one direction from causing
 /// suspicions at nearly every probe.
 #[test]
 fn a_path_partitioned_in_one_direction_fails_no_member() {
@@ -101,7 +101,8 @@
     assert!(suspected <= 2, "{}", fleet.timeline);
 }
 
-/// The sides merge again, and a restart during the partition does not make a side look complete.
+/// The sides merge after the partition, and a restart during it does not make a side report itself
+/// as whole.
 #[test]
 fn both_sides_of_a_partition_report_it_and_heal_without_a_restart() {
     let mut fleet = joined_fleet(Options::with_members(5));
@@ -111,8 +112,9 @@
     let failed = |fleet: &Fleet, member: usize, names: &[&str]| {
         fleet.report(member).is_some_and(|report| report.names_in_state("failed") == names)
     };
-    // With one of two failed it is a majority already.
-    fleet.wait_until("both sides know", |fleet| {
+    // A side reports a majority as soon as one of the two others has failed, so the failed members
+    // are compared as well.
+    fleet.wait_until("both sides report the partition", |fleet| {
         sides(fleet) == split && failed(fleet, 0, &["n3", "n4"]) && failed(fleet, 4, &["n0", "n1", "n2"])
     });
     for member in [0, 4] {
@@ -122,10 +124,10 @@
     fleet.wait_until("both sides are as before", |fleet| sides(fleet) == split);
     let healed_ms = fleet.timeline.elapsed_ms();
     fleet.datagram_faults.change_all_paths(|path| path.partitioned = false);
-    fleet.wait_until("they are one again", |fleet| fleet.all_agree(&ALL) && sides(fleet) == ["whole"; 5]);
+    fleet.wait_until("the fleet is whole", |fleet| fleet.all_agree(&ALL) && sides(fleet) == ["whole"; 5]);
     assert!(
         fleet.timeline.first_match("harness", "start", healed_ms).is_none(),
-        "no member was started for that"
+        "the sides merged without a restart"
     );
 }
 
@@ -148,9 +150,9 @@
     fleet.wait_until("the others stay together", |fleet| fleet.all_agree(&[1, 2, 3]));
     fleet.kill(3);
     fleet.start(3);
-    fleet.wait_until("the others contact one that restarts", |fleet| fleet.all_agree(&[1, 2, 3]));
+    fleet.wait_until("the others contact the restarted member", |fleet| fleet.all_agree(&[1, 2, 3]));
     fleet.start(0);
-    fleet.wait_until("and that peer", |fleet| fleet.all_agree(&[0, 1, 2, 3]));
+    fleet.wait_until("n0 has joined", |fleet| fleet.all_agree(&[0, 1, 2, 3]));
 }
 
 #[test]
@@ -168,7 +170,7 @@
 
 #[test]
 fn a_member_may_return_at_another_address() {
-    // The last address is reserved for it.
+    // The last address is reserved for the move.
     let mut fleet =
         Fleet::new(Options { peers: vec![0, 1, 2], ..Options::with_members(4) }, nodes(), origin());
     for member in 0..3 {
@@ -203,7 +205,7 @@
             let mut bytes = [0x70, 0x74, 1, (n % 7) as u8, 1, 2, 3, 4, 6].to_vec();
             bytes.extend_from_slice(b"gdynia");
             bytes.extend((0..n % 900).map(|at| (at * n) as u8));
-            // Its buffer may be full.
+            // The socket's buffer may be full.
             let _ = socket.send_to(&bytes, to);
         }
     });
@@ -248,7 +250,7 @@
         reloaded["fleet"]["peers"] = peers;
         fleet.set_config(3, &reloaded);
         fleet.process(3).signal("HUP");
-        fleet.wait_until("the reload shows", |fleet| {
+        fleet.wait_until("the reload is handled", |fleet| {
             let log = fleet.timeline.to_string();
             log.contains("reload: the old configuration stays") && fleet.report(3).unwrap().side == side
         });
@@ -266,11 +268,11 @@
     }
     fleet.wait_until("all have joined", |fleet| fleet.all_agree(&[0, 1, 2]));
     fleet.kill(1);
-    fleet.wait_until("the others know", |fleet| fleet.all_agree(&[0, 2]));
-    assert_eq!(fleet.client(0).get("k", "1", 900).1, "v\r\n", "by the list that it had");
+    fleet.wait_until("n1 has failed", |fleet| fleet.all_agree(&[0, 2]));
+    assert_eq!(fleet.client(0).get("k", "1", 900).1, "v\r\n", "served by the last known list");
 }
 
-/// After faults of every kind from a seed all members agree again.
+/// All members agree again after a seeded sequence of faults of every kind.
 #[test]
 fn all_members_agree_after_seeded_faults() {
     for seed in [1, 2] {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -19,15 +19,17 @@
     Duration::from_millis(n)
 }
 
+/// Starts two cache nodes that have every key.
 fn nodes() -> Vec<StubServer> {
     vec![StubServer::hit_node("v"), StubServer::hit_node("v")]
 }
 
+/// Starts an origin that serves every request.
 fn origin() -> StubServer {
     StubServer::origin(|_| http_200("v"))
 }
 
-/// A fleet whose members all run and agree on the membership.
+/// Starts a fleet and waits until all members agree on the membership.
 fn joined_fleet(options: Options) -> Fleet {
     let all: Vec<usize> = (0..options.members).collect();
     let fleet = Fleet::start_all(options, nodes(), origin());
@@ -35,7 +37,7 @@
     fleet
 }
 
-/// How often members reported others as failed.
+/// Returns how often members reported others as failed.
 fn failure_report_count(fleet: &Fleet) -> usize {
     fleet.timeline.to_string().lines().filter(|line| line.contains("-> failed")).count()
 }
--- a/tests/fleet/off.rs
+++ b/tests/fleet/off.rs
@@ -6,13 +6,13 @@
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-/// The open descriptors of a process, by what they are.
+/// Returns what the open descriptors of a process refer to.
 fn descriptors(id: u32) -> Vec<String> {
     let links = std::fs::read_dir(format!("/proc/{id}/fd")).unwrap();
     links.filter_map(|link| Some(std::fs::read_link(link.ok()?.path()).ok()?.display().to_string())).collect()
 }
 
-/// How many of them are UDP sockets.
+/// Returns how many descriptors of a process are UDP sockets.
 fn datagram_socket_count(id: u32) -> usize {
     let table = std::fs::read_to_string("/proc/net/udp").unwrap();
     let inodes: BTreeSet<String> = table
@@ -27,7 +27,7 @@
     std::fs::read_dir(format!("/proc/{id}/task")).unwrap().count()
 }
 
-/// A proxy without a fleet has none of its resources.
+/// A proxy without a fleet has no socket, thread or counter for one.
 #[test]
 fn a_proxy_without_a_fleet_has_no_socket_thread_or_counter_for_it() {
     let mut fleet = Fleet::new(Options::with_members(2), nodes(), origin());
@@ -58,7 +58,7 @@
     assert!(stats(0).iter().all(|line| !line.contains("fleet")));
 }
 
-/// An invalid fleet is an error at the start, not only when the fleet is needed.
+/// An invalid `fleet` section is an error at the start, not only when the section is needed.
 #[test]
 fn a_start_with_an_invalid_fleet_ends_with_one_line() {
     let fleet = Fleet::new(Options::with_members(2), nodes(), origin());
@@ -127,9 +127,9 @@
     ];
     let mut fleet = Fleet::new(Options::with_members(3), nodes(), origin());
     for (member, text) in examples.into_iter().enumerate() {
-        let example: Value = serde_json::from_str(text).expect("it is JSON");
+        let example: Value = serde_json::from_str(text).expect("the example is JSON");
         assert_eq!(example["fleet"]["peers"].as_array().unwrap().len(), 2);
-        // Only its addresses differ here.
+        // Only the addresses differ from the example here.
         let mut config = fleet.config(member, &[0, 1, 2]);
         for key in ["name", "settings", "limits", "seed"] {
             config[key] = example[key].clone();
--- a/tests/fleet/operators.rs
+++ b/tests/fleet/operators.rs
@@ -1,4 +1,4 @@
-//! Reports to operators, and their commands.
+//! The membership as operators see it: reports, departures, conflicts of names, and the size limit.
 
 use crate::{joined_fleet, nodes, origin};
 use pinetrail_test_harness::fleet::{Fleet, Options};
@@ -10,7 +10,7 @@
     assert_eq!((report.json["self"].as_str(), &*report.side), (Some("n1"), "whole"));
     let members = report.json["members"].as_array().unwrap();
     let names: Vec<&str> = members.iter().map(|member| member["name"].as_str().unwrap()).collect();
-    assert_eq!(names, ["n0", "n1", "n2"], "itself among them");
+    assert_eq!(names, ["n0", "n1", "n2"], "the reporting member is listed too");
     for (number, member) in members.iter().enumerate() {
         assert_eq!(member["address"].as_str(), Some(&*fleet.advertised_address(number).to_string()));
         assert_eq!((member["state"].as_str(), member["incarnation"].as_u64()), (Some("alive"), Some(0)));
@@ -26,17 +26,17 @@
     let process = fleet.take_process(2);
     process.signal("TERM");
     assert!(process.wait_for_exit().success());
-    fleet.wait_until("it has left", |fleet| {
+    fleet.wait_until("n2 has left", |fleet| {
         [0, 1].iter().all(|member| {
             let report = fleet.report(*member).unwrap();
             report.names_in_state("left") == ["n2"] && report.side == "whole"
         })
     });
     fleet.start(2);
-    fleet.wait_until("it may join again", |fleet| fleet.all_agree(&[0, 1, 2]));
+    fleet.wait_until("n2 has joined again", |fleet| fleet.all_agree(&[0, 1, 2]));
 }
 
-/// Of two processes under one name the later one counts, and both log it.
+/// Of two processes under one name the later one is the member, and both report the conflict.
 #[test]
 fn two_processes_under_one_name_both_log_the_conflict() {
     let mut fleet = Fleet::new(Options { peers: vec![0, 1], ..Options::with_members(4) }, nodes(), origin());
@@ -55,7 +55,7 @@
             && rival(3)["address"] == fleet.advertised_address(2).to_string()
             && rival(3)["counts"] == false
     };
-    fleet.wait_until("both log it", both_report_it);
+    fleet.wait_until("both report the conflict", both_report_it);
     assert!(fleet.timeline.first_match("n2", "ERROR: another process", 0).is_some());
     assert!(fleet.timeline.first_match("n3", "ERROR: another process", 0).is_some());
     assert_eq!(fleet.report(2).unwrap().side, "alone");
--- a/tests/fleet/policy/configuration.rs
+++ b/tests/fleet/policy/configuration.rs
@@ -1,4 +1,4 @@
-//! The keys of `fleet.policy`, the effect of SIGHUP, and proxies without it.
+//! The keys of `fleet.policy`, the effect of SIGHUP with a policy, and proxies without a policy.
 
 use super::*;
 
@@ -10,11 +10,11 @@
     other["listen"] = json!(fleet.process(2).client_address.to_string());
     fleet.set_config(2, &other);
     fleet.process(2).signal("HUP");
-    fleet.wait_until("it logs where to propose the change", |fleet| {
+    fleet.wait_until("n2 logs where to propose the change", |fleet| {
         fleet.timeline.first_match("n2", "propose them by POST /control/policy", 0).is_some()
     });
     std::thread::sleep(ms(100));
-    assert_eq!(clients.check()[1].1, 0, "all by the first version");
+    assert_eq!(clients.check()[1].1, 0, "no request is decided by the second version");
     assert_eq!(get_json(fleet.process(2).admin_address, "/control/policy")["version"], 1);
 }
 
@@ -24,12 +24,12 @@
     let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
     let mut fleet = Fleet::new(options, nodes(), origin());
     let starting_process = fleet.start_process(0);
-    fleet.wait_until("it has started", |fleet| fleet.timeline.first_match("n0", " call ", 0).is_some());
+    fleet.wait_until("n0 has started", |fleet| fleet.timeline.first_match("n0", " call ", 0).is_some());
     std::thread::sleep(ms(300));
     starting_process.signal("HUP");
     std::thread::sleep(ms(300));
     let is_reloaded = |fleet: &Fleet| fleet.timeline.first_match("n0", "reload: ", 0).is_some();
-    assert!(!is_reloaded(&fleet), "it waits for a majority");
+    assert!(!is_reloaded(&fleet), "the reload waits for a majority");
 
     fleet.start_together(&[1, 2]);
     let _ready = fleet.wait_until_ready(0, starting_process);
@@ -37,7 +37,7 @@
     fleet.wait_until("the reload is handled", is_reloaded);
 }
 
-/// An invalid policy section is an error at the start, not only when the policy is needed.
+/// An invalid `fleet.policy` section is an error at the start, not only when the policy is needed.
 #[test]
 fn a_start_with_an_invalid_policy_ends_with_one_line() {
     let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
@@ -110,7 +110,7 @@
     let mut fleet = Fleet::new(options, nodes(), origin());
     for (member, text) in examples.into_iter().enumerate() {
         let example: serde_json::Value = serde_json::from_str(text).unwrap();
-        // Only its addresses and its folder differ here.
+        // Only the addresses and the state directory differ from the example here.
         let mut config = fleet.config(member, &[0, 1, 2]);
         for key in ["name", "settings", "limits", "seed"] {
             config[key] = example[key].clone();
@@ -127,5 +127,5 @@
         fleet.set_config(member, &config);
     }
     fleet.start_together(&[0, 1, 2]);
-    fleet.wait_until("they agree", |fleet| all_have_version(fleet, &[0, 1, 2], 1));
+    fleet.wait_until("all agree", |fleet| all_have_version(fleet, &[0, 1, 2], 1));
 }
--- a/tests/fleet/policy/mod.rs
+++ b/tests/fleet/policy/mod.rs
@@ -14,24 +14,25 @@
 use serde_json::json;
 use std::time::Instant;
 
-/// Members with one policy, the first of which are founders.
+/// Starts members with one policy, the first `founders` of which are founders.
 pub(crate) fn fleet_with_policy(members: usize, founders: usize) -> Fleet {
     let options =
         Options { founders: (0..founders).collect(), policy: true, ..Options::with_members(members) };
     Fleet::start_all(options, nodes(), origin())
 }
 
+/// Returns whether these members apply this version, and no change is in progress.
 pub(crate) fn all_have_version(fleet: &Fleet, members: &[usize], version: u64) -> bool {
     members.iter().all(|member| policy_status(fleet, *member) == (version, "steady".to_owned()))
 }
 
-/// Proposes the other policy at a member's admin server.
+/// Proposes the second version of the policy at a member's admin server, as change `x`.
 fn propose_second(fleet: &Fleet, member: usize) {
     let (status, response) = propose(fleet.process(member).admin_address, "x", 1, &settings(fleet, 2));
     assert_eq!((status, response["version"].as_u64()), (202, Some(2)), "{response}");
 }
 
-/// A fleet in which all have the first version, and clients of it.
+/// Starts a fleet, waits until all members have the first version, and starts clients of it.
 fn fleet_under_load(members: usize, founders: usize) -> (Fleet, PolicyClients) {
     let fleet = fleet_with_policy(members, founders);
     let all: Vec<usize> = (0..members).collect();
@@ -41,6 +42,7 @@
     (fleet, clients)
 }
 
+/// Waits until change `x` ends at this member, and checks its outcome.
 fn wait_for_outcome(fleet: &Fleet, member: usize, expected: &str) {
     fleet.wait_until("the change ends", |fleet| !change_outcome(fleet, member, "x").is_empty());
     assert_eq!(change_outcome(fleet, member, "x"), expected, "{}", fleet.timeline);
@@ -54,10 +56,10 @@
     std::thread::sleep(ms(200));
     let started_at = Instant::now();
     propose_second(&fleet, 3);
-    fleet.wait_until("all have the second", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
+    fleet.wait_until("all have the second version", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
     assert!(started_at.elapsed() < ms(5000));
     assert_eq!(change_outcome(&fleet, 3, "x"), "taken");
-    // The same change again has no effect; one that does not follow is rejected.
+    // The same change again has no effect; a conflicting one is rejected.
     propose_second(&fleet, 0);
     assert_eq!(propose(fleet.process(1).admin_address, "y", 1, &settings(&fleet, 1)).0, 409);
     assert_eq!(propose(fleet.process(1).admin_address, "x", 2, &settings(&fleet, 1)).0, 409);
@@ -79,7 +81,7 @@
         std::thread::sleep(ms(20));
     }
     wait_for_outcome(&fleet, 3, "taken");
-    fleet.wait_until("all have the second", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
+    fleet.wait_until("all have the second version", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
     clients.check();
 }
 
@@ -90,10 +92,10 @@
     propose_second(&fleet, 0);
     wait_for_outcome(&fleet, 0, "taken");
     fleet.start(3);
-    assert_eq!(policy_status(&fleet, 3).0, 2, "it was not ready before it had it");
+    assert_eq!(policy_status(&fleet, 3).0, 2, "n3 is ready only with the committed version");
     let new_clients = PolicyClients::start_at(&[(Fleet::name(3), fleet.process(3).client_address)]);
-    fleet.wait_until("it serves by it", |_| new_clients.decided_since("n3", 2, 0.0));
-    assert_eq!(new_clients.check()[0].1, 0, "none by the old one");
+    fleet.wait_until("n3 serves by version 2", |_| new_clients.decided_since("n3", 2, 0.0));
+    assert_eq!(new_clients.check()[0].1, 0, "no request is decided by the old version");
     clients.check();
 }
 
@@ -114,8 +116,8 @@
         assert_eq!(propose(fleet.process(member).admin_address, "z", 1, &settings(&fleet, 2)).0, 503);
     }
     fleet.datagram_faults.change_all_paths(|path| path.partitioned = false);
-    fleet.wait_until("they catch up", |fleet| all_have_version(fleet, &[0, 1, 2, 3, 4], 2));
-    fleet.wait_until("they serve by it", |_| {
+    fleet.wait_until("n3 and n4 catch up", |fleet| all_have_version(fleet, &[0, 1, 2, 3, 4], 2));
+    fleet.wait_until("n3 and n4 serve by version 2", |_| {
         ["n3", "n4"].iter().all(|name| clients.decided_since(name, 2, committed_ms))
     });
     clients.check();
@@ -127,11 +129,11 @@
     fleet.process(3).signal("STOP");
     propose_second(&fleet, 0);
     wait_for_outcome(&fleet, 0, "taken");
-    // Its clients go on sending; their requests stay unread.
+    // Its clients continue to send; their requests stay unread.
     std::thread::sleep(ms(600));
     let resumed_ms = now_ms();
     fleet.process(3).signal("CONT");
-    fleet.wait_until("it serves by the second", |_| clients.decided_since("n3", 2, resumed_ms));
+    fleet.wait_until("n3 serves by version 2", |_| clients.decided_since("n3", 2, resumed_ms));
     clients.check();
 }
 
@@ -150,21 +152,21 @@
     let change = get_json(fleet.process(0).admin_address, "/control/policy/changes/x");
     assert!(change["why"].as_str().unwrap().contains("n3"), "{change}");
     assert!(fleet.client(3).get("k", "s1", 1000).0.starts_with("VA "), "by the first version");
-    assert_eq!(policy_status(&fleet, 3), (1, "fenced".to_owned()), "and it says so");
+    assert_eq!(policy_status(&fleet, 3), (1, "fenced".to_owned()), "n3 reports that it is fenced");
     assert_eq!(
         call_admin(fleet.process(3).admin_address, "GET", "/control/ready").0,
         200,
-        "it takes clients"
+        "n3 accepts clients"
     );
     fleet.datagram_faults.change_all_paths(|path| path.partitioned = false);
-    fleet.wait_until("it catches up", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
+    fleet.wait_until("n3 catches up", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
 }
 
 #[test]
 fn one_rejection_rejects_a_change_everywhere_and_names_the_key() {
     let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(4) };
     let mut fleet = Fleet::new(options, nodes(), origin());
-    // Member 3 could not allow longer attempts than at present.
+    // Member 3 keeps the lower `call_ms`, so it cannot allow longer attempts.
     for member in 0..3 {
         let mut config = fleet.config(member, &[0, 1, 2, 3]);
         config["fleet"]["call_ms"] = json!(3000);
@@ -175,7 +177,7 @@
     let clients = PolicyClients::start(&fleet);
     let mut longer = settings(&fleet, 2);
     longer["Grades"][0]["GiveUp"] = json!(2000.0);
-    assert_eq!(propose(fleet.process(0).admin_address, "x", 1, &longer).0, 202, "it suits this one");
+    assert_eq!(propose(fleet.process(0).admin_address, "x", 1, &longer).0, 202, "n0 could apply it");
     wait_for_outcome(&fleet, 1, "refused");
     let change = get_json(fleet.process(1).admin_address, "/control/policy/changes/x");
     let reason = change["why"].as_str().unwrap();
@@ -189,7 +191,7 @@
     let (status, response) = propose(fleet.process(1).admin_address, "bad", 1, &bad);
     assert!(status == 400 && response["error"].as_str().unwrap().contains("\"Grades\""), "{response}");
     assert_eq!(call_admin(fleet.process(1).admin_address, "GET", "/control/policy/changes/bad").0, 404);
-    fleet.wait_until("all stay", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 1));
+    fleet.wait_until("all keep the first version", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 1));
     assert_eq!(clients.check()[1].1, 0);
 }
 
@@ -227,20 +229,20 @@
         ["n0", "n1", "n2"].iter().all(|name| clients.decided_since(name, 2, committed_ms))
     });
     fleet.datagram_faults.change_all_paths(|path| path.max_bytes_per_s = None);
-    fleet.wait_until("so does the slow one", |_| clients.decided_since("n3", 2, committed_ms));
+    fleet.wait_until("n3 serves by version 2", |_| clients.decided_since("n3", 2, committed_ms));
     clients.check();
 }
 
 #[test]
 fn a_change_ends_though_its_proposer_or_leader_is_killed_at_any_step() {
-    // The leader is the live voter with the lowest number: n0. Each case kills at another step of
-    // the change, which is selected by a time in ms.
+    // The leader is the live voter with the lowest number: n0. Each case kills a process at another
+    // step of the change, which is selected by a delay in ms.
     for (killed, proposer, delay_ms) in
         [(3, 3, 0), (3, 3, 15), (0, 3, 0), (0, 3, 10), (0, 0, 25), (0, 3, 40), (0, 0, 70)]
     {
         let (mut fleet, clients) = fleet_under_load(4, 3);
         let (admin, second) = (fleet.process(proposer).admin_address, settings(&fleet, 2));
-        // Its process may have been killed before it answers.
+        // The proposer may be killed before it responds.
         let proposal = std::thread::spawn(move || {
             let _ = std::panic::catch_unwind(|| propose(admin, "x", 1, &second));
         });
@@ -248,8 +250,8 @@
         fleet.kill(killed);
         proposal.join().unwrap();
         let others: Vec<usize> = (0..4).filter(|member| *member != killed).collect();
-        // The change was never known, or it is committed: no member rejects it, and none is away
-        // for long enough to abandon it.
+        // The change was either never recorded or is committed: no member rejects it, and
+        // none is down for long enough for it to be abandoned.
         fleet.wait_until("the others are steady", |fleet| {
             [1, 2].iter().any(|version| all_have_version(fleet, &others, *version))
         });
@@ -264,7 +266,7 @@
 
 #[test]
 fn a_change_during_a_hot_restart_becomes_active_at_one_moment() {
-    // A member that is no founder, and one whose vote and disk the second process takes over.
+    // A member that is no founder, and a founder whose vote and disk the second process takes over.
     for member in [3, 0] {
         let (mut fleet, clients) = fleet_under_load(4, 3);
         let second = fleet.start_second_process(member);
@@ -273,7 +275,7 @@
         first.signal("TERM");
         first.wait_for_exit();
         fleet.wait_until("all have the second version", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
-        fleet.wait_until("the second process serves by it", |_| {
+        fleet.wait_until("the second process serves by version 2", |_| {
             clients.decided_since(&Fleet::name(member), 2, 0.0)
         });
         clients.check();
@@ -290,8 +292,8 @@
     }
 }
 
-/// The checker detects what it is for: with a SIGHUP at each proxy in turn, two policies decide
-/// requests at the same time.
+/// Shows that the checker detects a violation: with a SIGHUP at each proxy in turn, two policies
+/// decide requests at the same time.
 #[test]
 fn reloads_in_turn_show_two_versions_at_once() {
     let run = run_with_reloads(Fleet::start_all(Options::with_members(3), nodes(), origin()), ms(150));
--- a/tests/fleet/policy/storage.rs
+++ b/tests/fleet/policy/storage.rs
@@ -1,4 +1,4 @@
-//! Voters that lose their process or disk: committed versions stay committed.
+//! Voters that lose their process or disk. Committed versions must stay committed.
 
 use super::*;
 
@@ -30,16 +30,16 @@
             std::fs::write(&file, &std::fs::read(&file).unwrap()[..40]).unwrap()
         }
         fleet.start(1);
-        fleet.wait_until("it votes", |fleet| {
+        fleet.wait_until("n1 votes", |fleet| {
             fleet.timeline.first_match("n1", "this founder votes", killed_at).is_some()
         });
-        fleet.wait_until("it has the version", |fleet| all_have_version(fleet, &[1], 2));
+        fleet.wait_until("n1 has the version", |fleet| all_have_version(fleet, &[1], 2));
     }
     let files = std::fs::read_dir(fleet.state_dir(1)).unwrap();
     assert!(files.flatten().any(|file| file.file_name().to_string_lossy().starts_with("rulebook.torn-")));
-    // The third version, which follows, looks like the first to these clients.
+    // The clients are checked now, since they could not tell the third version from the first.
     clients.check();
-    // Without the other voter its vote is needed.
+    // Without n0 the vote of n1 is needed.
     fleet.kill(0);
     let (status, response) = propose(fleet.process(3).admin_address, "y", 2, &settings(&fleet, 1));
     assert_eq!(status, 202, "{response}");
@@ -49,11 +49,11 @@
 #[test]
 fn a_voter_with_a_full_disk_does_not_vote_and_two_others_do() {
     let (fleet, clients) = fleet_under_load(4, 3);
-    // The temporary file cannot be written, since a folder has its name.
+    // The temporary file cannot be written, since a directory has its name.
     std::fs::create_dir(fleet.state_dir(2).join("rulebook.new")).unwrap();
     propose_second(&fleet, 3);
     wait_for_outcome(&fleet, 3, "taken");
     assert!(fleet.timeline.first_match("n2", "this founder cannot vote", 0).is_some());
-    fleet.wait_until("it has the version all the same", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
+    fleet.wait_until("all have the version", |fleet| all_have_version(fleet, &[0, 1, 2, 3], 2));
     clients.check();
 }
--- a/tests/fleet/quota.rs
+++ b/tests/fleet/quota.rs
@@ -9,14 +9,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{self, sleep};
 
-/// Limit of attempts in flight of all members at one node.
+/// Limit of attempts in flight at one node, for all members together.
 const NODE_ATTEMPT_LIMIT: usize = 24;
-/// The longest duration of an attempt, as the harness configures it.
+/// Longest duration of an attempt, in ms, as the harness configures it.
 const MAX_ATTEMPT_MS: f64 = 1000.0;
 /// Tolerance for the rounding of reported quotas.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Members with a quota, all of them founders.
+/// Returns the options of a fleet with a quota in which all members are founders.
 fn all_founders(members: usize) -> Options {
     Options { founders: (0..members).collect(), size: members + 1, ..Options::with_members(members) }
 }
@@ -29,7 +29,8 @@
     members.iter().map(|member| reported_number(fleet, *member, "share")).collect()
 }
 
-/// Whether each of these has its guaranteed minimum and an equal part of the leased quota.
+/// Returns whether each of these members has its guaranteed minimum and an equal part of the leased
+/// quota, which `holders` members share.
 fn have_equal_quotas(fleet: &Fleet, members: &[usize], holders: usize) -> bool {
     let minimum = 0.5 / fleet.options.size as f64;
     quotas(fleet, members)
@@ -38,7 +39,7 @@
 }
 
 /// Waits until a condition holds, and records the quotas of these members for the history checker
-/// all the while.
+/// in the meantime.
 fn record_until(fleet: &Fleet, members: &[usize], what: &str, holds: impl Fn(&Fleet) -> bool) {
     let recorder = Recorder::current();
     fleet.wait_until(what, |fleet| {
@@ -94,7 +95,7 @@
     let others = [0, 1, 2, 3];
     record_until(&fleet, &others, "the others have its lease", |fleet| have_equal_quotas(fleet, &others, 4));
     fleet.process(4).signal("CONT");
-    // Its first report is after the end of its lease.
+    // The member's first report is after the end of its lease.
     let quota = reported_number(&fleet, 4, "share");
     assert!((quota - reported_number(&fleet, 4, "base")).abs() < 0.5 / 5.0 / 2.0, "{quota}");
     record_until(&fleet, &ALL, "all have equal quotas again", |fleet| have_equal_quotas(fleet, &ALL, 5));
@@ -116,7 +117,7 @@
     );
     record_until(&fleet, &alive, "all have equal quotas", |fleet| have_equal_quotas(fleet, &alive, 4));
     fleet.start(3);
-    record_until(&fleet, &ALL, "and the last", |fleet| have_equal_quotas(fleet, &ALL, 5));
+    record_until(&fleet, &ALL, "all five have equal quotas", |fleet| have_equal_quotas(fleet, &ALL, 5));
 }
 
 #[test]
@@ -126,13 +127,13 @@
     let first = fleet.replace_process(1, second);
     fleet.wait_until("the second process is the member", |fleet| fleet.report(1).is_some());
     let minimum = 0.5 / fleet.options.size as f64;
-    record_until(&fleet, &[0, 1, 2], "it has its lease and half of the guaranteed minimum", |fleet| {
+    record_until(&fleet, &[0, 1, 2], "n1 has its lease and half of the guaranteed minimum", |fleet| {
         (reported_number(fleet, 1, "share") - minimum / 2.0 - 0.5 / 3.0).abs() < ROUNDING_TOLERANCE
             && have_equal_quotas(fleet, &[0, 2], 3)
     });
     first.signal("TERM");
     assert!(first.wait_for_exit().success());
-    record_until(&fleet, &[0, 1, 2], "it has the other half too", |fleet| {
+    record_until(&fleet, &[0, 1, 2], "n1 has the other half too", |fleet| {
         have_equal_quotas(fleet, &[0, 1, 2], 3)
     });
 }
@@ -149,12 +150,13 @@
     record_until(&fleet, &[0, 1, 2], "the others have equal quotas", |fleet| {
         have_equal_quotas(fleet, &[0, 1, 2], 3)
     });
-    fleet.wait_until("it is logged", |fleet| {
+    fleet.wait_until("the conflict is logged", |fleet| {
         fleet.timeline.first_match("n3", "ERROR: a member has other founders", 0).is_some()
     });
 }
 
-/// The nodes' own count, independent of the admin servers: through a partition, a stop and a crash.
+/// Checks the limit on the nodes' own count, independent of the admin servers, through a partition,
+/// a stop and a crash.
 #[test]
 fn attempts_in_flight_at_a_node_never_exceed_the_limit_of_the_fleet() {
     let node = || {
@@ -210,7 +212,7 @@
     assert!(max_in_flight <= NODE_ATTEMPT_LIMIT, "{max_in_flight} attempts in flight\n{}", fleet.timeline);
     assert!(
         max_in_flight > NODE_ATTEMPT_LIMIT / 2,
-        "{max_in_flight}: the limit was reached at least by half"
+        "only {max_in_flight} attempts in flight: less than half of the limit"
     );
 }
 
@@ -234,7 +236,7 @@
     longer["fleet"]["call_ms"] = serde_json::json!(5000);
     fleet.set_config(1, &longer);
     fleet.process(1).signal("HUP");
-    fleet.wait_until("it is rejected", |fleet| {
+    fleet.wait_until("the reload is rejected", |fleet| {
         fleet.timeline.first_match("n1", "call_ms 1000 is below the longest GiveUp, 5000", 0).is_some()
     });
     assert!(have_equal_quotas(&fleet, &[0, 1, 2], 3));
--- a/tests/fleet/upgrades.rs
+++ b/tests/fleet/upgrades.rs
@@ -18,11 +18,11 @@
             503,
             "only the second process reports"
         );
-        fleet.wait_until("they agree", |fleet| fleet.all_agree(&[0, 1, 2]));
+        fleet.wait_until("all agree", |fleet| fleet.all_agree(&[0, 1, 2]));
         first.signal("TERM");
         assert!(first.wait_for_exit().success());
         // The end of the first process is not announced as a departure.
-        fleet.wait_until("they still agree", |fleet| fleet.all_agree(&[0, 1, 2]));
+        fleet.wait_until("all still agree", |fleet| fleet.all_agree(&[0, 1, 2]));
         assert!(fleet.report(1).unwrap().json.get("rival").is_none());
     }
     for member in ["n0", "n2"] {
@@ -50,7 +50,7 @@
     fleet.partition(&[&[1], &[0, 2]]);
     let failed =
         |fleet: &Fleet, member: usize| fleet.report(member).unwrap().names_in_state("failed") == ["n1"];
-    fleet.wait_until("the others know", |fleet| failed(fleet, 0) && failed(fleet, 2));
+    fleet.wait_until("the others report n1 as failed", |fleet| failed(fleet, 0) && failed(fleet, 2));
     let second = fleet.start_second_process(1);
     let first = fleet.replace_process(1, second);
     first.signal("TERM");
@@ -59,5 +59,5 @@
         fleet.report(1).is_some_and(|report| report.side == "alone")
     });
     fleet.datagram_faults.change_all_paths(|path| path.partitioned = false);
-    fleet.wait_until("they agree", |fleet| fleet.all_agree(&[0, 1, 2]));
+    fleet.wait_until("all agree", |fleet| fleet.all_agree(&[0, 1, 2]));
 }
