--- a/tests/sockets/starts.rs
+++ b/tests/sockets/starts.rs
@@ -88,7 +88,7 @@
         )
     };
     let origin = || node("o", "ready", "1.0", "0").replace("c6", "origin");
-    let config_with_entries =
+    let with_known =
         |entries: &[String]| config("127.0.0.1:0", "127.0.0.1:1", 256, &endpoint_list_json(1, true, entries));
     let bad = [
         ("{".to_owned(), "EOF"),
@@ -113,29 +113,19 @@
         // Too large for a `Duration`: the conversion would panic at a start and at a reload.
         (good.replace(r#""ConnectTimeout":250.0"#, r#""ConnectTimeout":1e300"#), "ConnectTimeout"),
         (
-            config_with_entries(&[
-                node("s-0", "ready", "1.0", "0"),
-                node("s-0", "ready", "1.0", "0"),
-                origin(),
-            ]),
+            with_known(&[node("s-0", "ready", "1.0", "0"), node("s-0", "ready", "1.0", "0"), origin()]),
             "given once",
         ),
-        (config_with_entries(&[node("s-0", "ready", "1.0", "0")]), "with the origin"),
-        (config_with_entries(&[node("s-0", "asleep", "1.0", "0"), origin()]), "known.instances[0].lifecycle"),
-        (config_with_entries(&[origin(), node("s-0", "ready", "-1.0", "0")]), "known.instances[1].weight"),
-        (config_with_entries(&[origin(), node("s-0", "ready", "1e300", "0")]), "known.instances[1].weight"),
+        (with_known(&[node("s-0", "ready", "1.0", "0")]), "with the origin"),
+        (with_known(&[node("s-0", "asleep", "1.0", "0"), origin()]), "known.instances[0].lifecycle"),
+        (with_known(&[origin(), node("s-0", "ready", "-1.0", "0")]), "known.instances[1].weight"),
+        (with_known(&[origin(), node("s-0", "ready", "1e300", "0")]), "known.instances[1].weight"),
+        (with_known(&[origin(), node("s-0", "ready", "1.0", "-5")]), "known.instances[1].startedAtMs"),
         (
-            config_with_entries(&[origin(), node("s-0", "ready", "1.0", "-5")]),
-            "known.instances[1].startedAtMs",
-        ),
-        (
-            config_with_entries(&[
-                origin(),
-                node("s-0", "ready", "1.0", "0").replace("127.0.0.1:1", "there"),
-            ]),
+            with_known(&[origin(), node("s-0", "ready", "1.0", "0").replace("127.0.0.1:1", "there")]),
             "hostPort",
         ),
-        (config_with_entries(&[r#"{"instanceId":"s-0","lifecycle":"ready"}"#.to_owned()]), "hostPort"),
+        (with_known(&[r#"{"instanceId":"s-0","lifecycle":"ready"}"#.to_owned()]), "hostPort"),
     ];
     for (text, expected_text) in bad {
         let output = wait_for_exit(start_proxy(&text));
