--- a/crates/experiments/src/chart.rs
+++ b/crates/experiments/src/chart.rs
@@ -8,7 +8,7 @@
 /// Why a plot cannot be drawn.
 #[derive(Debug, Error)]
 pub(crate) enum ChartError {
-    /// The folder cannot be made.
+    /// The folder cannot be created.
     #[error("{0}")]
     Folder(#[from] io::Error),
     /// The plot cannot be drawn or written.
@@ -16,10 +16,10 @@
     Drawing(#[from] DrawingAreaErrorKind<io::Error>),
 }
 
-/// A line of points, by name.
+/// The name of a line in the legend, and its points.
 pub(crate) type Line = (&'static str, Vec<(f64, f64)>);
 
-/// Draws up to three lines.
+/// Draws up to three lines into an SVG file, with `x` as the label of the horizontal axis.
 pub(crate) fn draw_lines(path: &Path, title: &str, x: &str, lines: &[Line]) -> Result<(), ChartError> {
     const COLOURS: [RGBColor; 3] = [BLUE, GREEN, RED];
     let points = || lines.iter().flat_map(|(_, points)| points);
--- a/crates/experiments/src/cost/core.rs
+++ b/crates/experiments/src/cost/core.rs
@@ -1,19 +1,19 @@
-//! The cost of the membership core, in simulated time: one process runs a complete fleet and times
-//! each call. Read [`print_core_cost`].
+//! The cost of the membership core in simulated time: one process runs a complete fleet and times
+//! each call. [`print_core_cost`] measures and prints it.
 
 use pinetrail_membership::{Membership, Output, Timestamp};
 use pinetrail_simulation::fleet::{member_settings, Fleet, Member};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long the fleet is measured, in simulated time.
+/// The simulated time for which calls are measured.
 const MEASURED_SECONDS: u64 = 60;
-/// How long the fleet has to join before that.
+/// The simulated time that members have to join before the measurement.
 const JOIN_TIME_MS: u64 = 60_000;
-/// The time between the starts of two members.
+/// The simulated time between the starts of two members.
 const START_INTERVAL_MS: u64 = 10;
 
-/// A member that is timed.
+/// A member that measures the processor time of its calls.
 struct TimedMember {
     membership: Membership,
     time_in_datagrams: Duration,
@@ -42,8 +42,8 @@
     }
 }
 
-/// Prints the cost of the core in a fleet of this size: processor time for a datagram and for a
-/// timeout, memory for a member.
+/// Prints the cost of the core in a fleet of this size: the time for a datagram and for a timeout,
+/// the share of a core for a member, and the memory for each member that another one knows.
 pub(super) fn print_core_cost(members: u16) {
     let members = usize::from(members);
     let bytes_before = resident_bytes();
@@ -52,7 +52,7 @@
         fleet.start(host, |start, seed, now| {
             let membership =
                 Membership::new(member_settings(host, members.max(4), &[0, 1, 2]), start, seed, now);
-            let membership = membership.expect("settings are valid");
+            let membership = membership.expect("the settings of the simulation are valid");
             TimedMember {
                 membership,
                 time_in_datagrams: Duration::ZERO,
@@ -85,7 +85,7 @@
     let after = sum(&fleet);
     let (datagrams, timeouts) = ((after.0 - before.0).max(1) as f64, (after.1 - before.1).max(1) as f64);
     let (datagram_time, timeout_time) = (after.2 - before.2, after.3 - before.3);
-    println!("the core, {members} members in simulated time, quiet:");
+    println!("the membership core, {members} members in simulated time, no faults:");
     println!(
         "  {:.1} us a datagram, {:.1} us a timeout",
         datagram_time / datagrams * 1e6,
@@ -101,7 +101,7 @@
     );
 }
 
-/// The memory of this process, in bytes.
+/// Returns the resident memory of this process in bytes, or 0 if it cannot be read.
 fn resident_bytes() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/experiments/src/cost/mod.rs
+++ b/crates/experiments/src/cost/mod.rs
@@ -1,5 +1,6 @@
-//! `pinetrail-experiments cost`: the cost of a fleet for real processes and their clients. Rounds
-//! with a fleet and without it alternate.
+//! The subcommand `cost`: the cost of a fleet for real processes and their clients, in alternating
+//! rounds with and without a fleet. [`measure`] runs one round; `core` measures the membership core
+//! in simulated time.
 
 mod core;
 
@@ -13,32 +14,32 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// What to compare.
+/// The options of `cost`.
 #[derive(Args)]
 pub(crate) struct Options {
-    /// Proxies.
+    /// The number of proxies.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u16).range(2..=16))]
     members: u16,
-    /// Rounds with and without a fleet.
+    /// The number of rounds with a fleet, and as many without.
     #[arg(long, default_value_t = 3)]
     rounds: usize,
-    /// Seconds without load, and with load, in each round.
+    /// The seconds without load in each round, and as many with load.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(2..=60))]
     seconds: u64,
-    /// Members of the fleet in simulated time.
+    /// The number of members of the fleet in simulated time.
     #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u16).range(2..=1024))]
     model: u16,
-    /// Requests a second while there is load.
+    /// The number of requests a second under load.
     #[arg(long, default_value_t = 400)]
     rate: u64,
 }
 
-/// How long proxies settle before a measurement.
+/// The time between the start of the proxies and the first measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// Ticks of processor time in a second (`USER_HZ`).
+/// The ticks of processor time in a second (`USER_HZ`).
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Whether the proxies of a round are a fleet.
+/// Whether the proxies of a round form a fleet.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum FleetKind {
     WithFleet,
@@ -46,7 +47,7 @@
 }
 
 impl FleetKind {
-    /// Its name in the table.
+    /// Returns the label of a round in the table.
     fn label(self) -> &'static str {
         match self {
             FleetKind::WithFleet => "with fleet",
@@ -55,7 +56,7 @@
     }
 }
 
-/// When members knew of a death, in ms after it.
+/// The times from a crash until the first and until the last of the other members detected it.
 struct DetectionTimes {
     first_ms: u128,
     last_ms: u128,
@@ -63,18 +64,19 @@
 
 /// The figures of one round.
 struct Round {
-    /// The processor time of each proxy without load, in percent of a core.
+    /// The mean processor time of a proxy without load, in percent of a core.
     idle_percent: f64,
-    /// The processor time for each request, in microseconds.
+    /// The mean processor time of all proxies for a request, in microseconds.
     us_per_request: f64,
-    /// Latencies, in ms.
+    /// The median latency of requests.
     p50_ms: f64,
+    /// The 99th percentile of the latencies of requests.
     p99_ms: f64,
-    /// None without a fleet.
+    /// The times until the members detected a crash; none without a fleet.
     detection: Option<DetectionTimes>,
 }
 
-/// Measures and prints.
+/// Measures the core in simulated time and all rounds, and prints their figures.
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
     let program_path = std::env::current_exe().map_err(ExperimentError::CurrentExe)?;
     set_program(program_path, &["proxy"]);
@@ -95,17 +97,17 @@
     rows.sort_by(|a, b| a[0].cmp(&b[0]));
     core::print_core_cost(options.model);
     println!(
-        "{} proxies, {} requests a second; each line a round, with and without in turn",
+        "{} proxies, {} requests a second; each line is a round; rounds with and without a fleet alternated",
         options.members, options.rate
     );
     table::print(
-        &["", "idle, % of a core", "CPU us/request", "p50 ms", "p99 ms", "death known ms (first, last)"],
+        &["", "idle, % of a core", "CPU us/request", "p50 ms", "p99 ms", "crash detected ms (first, last)"],
         &rows,
     );
     Ok(true)
 }
 
-/// Measures one round.
+/// Runs one round: without load, under load, and with a crash if the proxies form a fleet.
 fn measure(options: &Options, fleet_kind: FleetKind, seed: u64) -> Result<Round, ExperimentError> {
     let members = usize::from(options.members);
     let mut fleet = start(members, fleet_kind, seed)?;
@@ -135,7 +137,7 @@
     })
 }
 
-/// Starts the proxies of a round, and waits until all have joined if they are a fleet.
+/// Starts the proxies of a round, and waits until all have joined if they form a fleet.
 fn start(members: usize, fleet_kind: FleetKind, seed: u64) -> Result<Fleet, ExperimentError> {
     let node = || StubServer::node(|line| StubAction::Reply(format!("VA 1 {}\r\nv\r\n", opaque(line))));
     let fleet_options = FleetOptions { seed, ..FleetOptions::with_members(members) };
@@ -156,7 +158,8 @@
     Ok(fleet)
 }
 
-/// Kills the last member; returns when the first and the last of the others knew of it.
+/// Kills the last member; returns how long the first and the last of the others took to detect the
+/// crash.
 fn measure_detection(fleet: &mut Fleet, members: usize) -> DetectionTimes {
     let killed_at = fleet.timeline.elapsed_ms();
     let dead = members - 1;
@@ -165,7 +168,9 @@
     let knows = |fleet: &Fleet, member: usize| {
         fleet.timeline.first_match_of_both(&Fleet::name(member), &text, "-> failed", killed_at)
     };
-    fleet.wait_until("all know", |fleet| (0..dead).all(|member| knows(fleet, member).is_some()));
+    fleet.wait_until("all members have detected the crash", |fleet| {
+        (0..dead).all(|member| knows(fleet, member).is_some())
+    });
     let times: Vec<u128> =
         (0..dead).filter_map(|member| knows(fleet, member)).map(|at| at - killed_at).collect();
     DetectionTimes {
@@ -174,12 +179,12 @@
     }
 }
 
-/// Processor time in seconds.
+/// Converts processor time from ticks to seconds.
 fn seconds(ticks: u64) -> f64 {
     ticks as f64 / TICKS_PER_SECOND
 }
 
-/// The processor time of all proxies, in ticks.
+/// Returns the processor time of all running proxies in ticks, from `/proc/PID/stat`.
 fn cpu_ticks(fleet: &Fleet) -> u64 {
     let of = |member: usize| {
         let path = format!("/proc/{}/stat", fleet.process(member).id());
@@ -191,7 +196,8 @@
             .split_whitespace()
             .filter_map(|word| word.parse().ok())
             .collect();
-        // After the state, which is not a number, user and system time are the 11th and 12th field.
+        // Only numbers are kept, so the state after the name is skipped: user and system time are
+        // the 11th and 12th number after it.
         fields.get(10).copied().unwrap_or(0) + fields.get(11).copied().unwrap_or(0)
     };
     (0..fleet.options.members).filter(|member| fleet.is_running(*member)).map(of).sum()
--- a/crates/experiments/src/demo/figures.rs
+++ b/crates/experiments/src/demo/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of the demo: as JSON, and as tables on the terminal.
+//! The figures of the demo: as JSON ([`collect`]), and as tables on the terminal ([`show`]).
 
 use super::notices::Notice;
 use super::Options;
@@ -10,15 +10,15 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// All figures of a run.
+/// Checks the recorded history and returns all figures of a run as JSON.
 pub(super) fn collect(options: &Options, result: &LoadResult, notices: &[Notice]) -> Value {
     let broken: Vec<String> = match check(&Recorder::current().history()) {
         Ok(violations) => violations.iter().map(ToString::to_string).collect(),
-        Err(error) => vec![format!("not checked: {error:?}")],
+        Err(error) => vec![format!("the history cannot be checked: {error:?}")],
     };
-    let mut histogram = Histogram::<u64>::new(3).expect("three digits are possible");
+    let mut histogram = Histogram::<u64>::new(3).expect("three significant digits are valid");
     for us in &result.latencies_us {
-        histogram.record(*us).expect("it grows as needed");
+        histogram.record(*us).expect("the histogram resizes itself");
     }
     let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
     let known: Vec<Value> = notices.iter().map(notice_json).collect();
@@ -41,7 +41,7 @@
     json!({"member": member, "of": subject, "what": event, "after_ms": after_ms.map(|ms| ms as u64)})
 }
 
-/// Prints the figures.
+/// Prints the figures as tables.
 pub(super) fn show(figures: &Value, notices: &[Notice]) {
     let number = |name: &str| figures[name].to_string();
     let answers: BTreeMap<String, Value> = match &figures["answers"] {
@@ -50,7 +50,7 @@
     };
     let mut rows = vec![vec!["requests".to_owned(), number("requests")]];
     rows.extend(answers.iter().map(|(kind, count)| vec![format!("  {kind}"), count.to_string()]));
-    rows.push(vec!["retried after a proxy crashed".into(), number("asked_again")]);
+    rows.push(vec!["retries after a broken connection".into(), number("asked_again")]);
     rows.push(vec!["without a final response".into(), number("without_answer")]);
     rows.push(vec!["with two final responses".into(), number("answered_twice")]);
     for name in ["p50", "p99", "max"] {
--- a/crates/experiments/src/demo/mod.rs
+++ b/crates/experiments/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! `pinetrail-experiments demo`: a fleet of three real proxies, their backends, clients and faults.
+//! The subcommand `demo`: a fleet of three real proxies with their backends, clients and faults.
+//! [`run`] starts the fleet, plays the faults and prints the figures.
 
 mod figures;
 mod notices;
@@ -20,29 +21,29 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// What to show.
+/// The options of `demo`.
 #[derive(Args)]
 pub(crate) struct Options {
     /// How long clients send requests, in seconds.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(8..=600))]
     seconds: u64,
-    /// Random numbers begin with this.
+    /// The seed of the random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Requests a second.
+    /// The number of requests a second.
     #[arg(long, default_value_t = 150, value_parser = clap::value_parser!(u64).range(1..=2000))]
     rate: u64,
-    /// Where to write all figures as JSON.
+    /// The file to which all figures are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Prints all events, in the order of time.
+    /// Print all events in the order of time.
     #[arg(long)]
     timeline: bool,
 }
 
 const PROXIES: usize = 3;
 const NODES: usize = 3;
-/// How often the script is checked for a fault that is due.
+/// The interval at which the script is checked for a fault that is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs the demo; returns whether each request had exactly one final response and no rule was
@@ -63,7 +64,7 @@
     let fleet_options = FleetOptions { seed: options.seed, ..FleetOptions::with_members(PROXIES) };
     let mut fleet = Fleet::start_all(fleet_options, nodes, servers::origin());
     let all: Vec<usize> = (0..PROXIES).collect();
-    fleet.wait_until("the proxies meet", |fleet| fleet.all_agree(&all));
+    fleet.wait_until("the proxies have joined the fleet", |fleet| fleet.all_agree(&all));
     record_config(&fleet);
     let script = script(options.seconds);
     let start = fleet.timeline.elapsed_ms();
@@ -75,7 +76,7 @@
         return Err(ExperimentError::Interrupted);
     }
     let result = load.wait();
-    fleet.wait_until("the proxies agree again", |fleet| fleet.all_agree(&all));
+    fleet.wait_until("the proxies agree on the members after the faults", |fleet| fleet.all_agree(&all));
     let notices = notices::find(&fleet, &script, start);
     let figures = figures::collect(options, &result, &notices);
     figures::show(&figures, &notices);
@@ -88,8 +89,8 @@
     Ok(result.answered_exactly_once() && figures["rules_broken"].as_array().is_some_and(Vec::is_empty))
 }
 
-/// Records the settings for the history checker, with the nodes' own addresses in place of those of
-/// the fault proxies.
+/// Records the configuration for the history checker. The addresses of the fault proxies in it are
+/// replaced by those of the backends.
 fn record_config(fleet: &Fleet) {
     let mut config = fleet.config(0, &[]);
     if let Some(listed) = config["known"]["instances"].as_array_mut() {
@@ -100,7 +101,8 @@
     Recorder::current().record_active_config(&config.to_string());
 }
 
-/// One proxy crashes and restarts, one path is cut and heals, one cache node is down for a moment.
+/// Returns the faults of the demo: one proxy crashes and restarts, one network path is cut and heals,
+/// and one cache node is down for a tenth of the run.
 fn script(seconds: u64) -> Script {
     let step = |tenths: u64, fault| ScriptStep { at_ms: seconds * 100 * tenths, fault };
     let steps = vec![
@@ -114,7 +116,7 @@
     Script { steps }
 }
 
-/// Plays the script and waits for the end; false if it was interrupted before.
+/// Plays the script and waits for the end of the run. Returns false if a signal interrupted it.
 fn play(
     fleet: &mut Fleet,
     script: &Script,
--- a/crates/experiments/src/demo/notices.rs
+++ b/crates/experiments/src/demo/notices.rs
@@ -1,23 +1,24 @@
-//! When each proxy of the demo noticed that others crashed or restarted: [`Notice`].
+//! How long the proxies of the demo took to detect that another one crashed or restarted:
+//! [`Notice`].
 
 use super::PROXIES;
 use pinetrail_test_harness::fleet::Fleet;
 use pinetrail_test_harness::script::{Fault, Script, ScriptStep};
 
-/// When one member noticed that another crashed or restarted.
+/// The detection of one member's crash or restart by another member.
 pub(super) struct Notice {
-    /// The member that noticed it.
+    /// The name of the member that detected the crash or restart.
     pub(super) member: String,
-    /// The member that crashed or restarted.
+    /// The name of the member that crashed or restarted.
     pub(super) subject: String,
-    /// `dead` or `back`.
+    /// `dead` for a crash, or `back` for a restart.
     pub(super) event: &'static str,
-    /// The delay in ms; none if it was never noticed.
+    /// The time from the crash or restart until its detection in ms; none if it was never detected.
     pub(super) after_ms: Option<u128>,
 }
 
-/// All crashes and restarts of a script, as each other member noticed them. `start` is when the
-/// script began, in ms of the timeline.
+/// Finds in the log of each proxy when it detected the crashes and restarts of a script. `start` is
+/// the time in ms of the timeline at which the script began.
 pub(super) fn find(fleet: &Fleet, script: &Script, start: u128) -> Vec<Notice> {
     let mut notices = Vec::new();
     for ScriptStep { at_ms: at, fault } in &script.steps {
@@ -30,7 +31,7 @@
             }
             _ => continue,
         };
-        // The time at which the harness logged the fault.
+        // Faults are injected later than planned, so delays count from the harness's log line.
         let logged_at = fleet.timeline.first_match("harness", &fault.to_string(), start + u128::from(*at));
         let injected_at = logged_at.unwrap_or(start);
         for member in (0..PROXIES).filter(|member| *member != subject) {
--- a/crates/experiments/src/demo/servers.rs
+++ b/crates/experiments/src/demo/servers.rs
@@ -9,14 +9,14 @@
 const NODE_LATENCY: Duration = Duration::from_millis(2);
 const ORIGIN_LATENCY: Duration = Duration::from_millis(8);
 
-/// A cache node that lacks all keys at first and takes [`NODE_LATENCY`] for each call.
+/// Starts a cache node that lacks all keys at first and takes [`NODE_LATENCY`] for each call.
 pub(super) fn node() -> StubServer {
     let present = Mutex::new(BTreeSet::new());
     StubServer::node(move |line| {
         sleep(NODE_LATENCY);
         let key = line.split(' ').nth(1).unwrap_or_default().to_owned();
-        // It holds a key from the second request on, as if the origin's value had been stored after
-        // the miss.
+        // The node serves a key from the second request on, as if the origin's value had been stored
+        // after the miss.
         if present.lock().is_ok_and(|mut present| !present.insert(key.clone())) {
             StubAction::Reply(format!("VA {} {}\r\nc.{key}\r\n", key.len() + 2, opaque(line)))
         } else {
@@ -25,7 +25,8 @@
     })
 }
 
-/// An origin that takes [`ORIGIN_LATENCY`] for each call; its value names the request.
+/// Starts an origin that takes [`ORIGIN_LATENCY`] for each call. The value that it returns contains
+/// the requested path.
 pub(super) fn origin() -> StubServer {
     StubServer::origin(|head| {
         sleep(ORIGIN_LATENCY);
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -7,17 +7,17 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why an experiment cannot continue. A violation that it finds is no error.
+/// Why an experiment cannot continue. The violations that it finds are results, not errors.
 #[derive(Debug, Error)]
 pub(crate) enum ExperimentError {
     /// The path of this program, which is started for each proxy, cannot be determined.
     #[error("the path of this program cannot be determined: {0}")]
     CurrentExe(#[source] io::Error),
-    /// A backend of the soak cannot listen.
-    #[error("soak: {0}")]
+    /// A backend of the soak cannot listen, or the folder of its request logs cannot be created.
+    #[error("the soak cannot be set up: {0}")]
     SoakSetup(#[source] io::Error),
     /// The range of seeds is empty.
-    #[error("--first {first} --last {last}: no seed to play; the last seed must not be below the first")]
+    #[error("--first {first} --last {last}: no seed to play; --last must not be below --first")]
     EmptySeedRange {
         /// The first seed.
         first: u64,
@@ -25,71 +25,71 @@
         last: u64,
     },
     /// A signal handler cannot be registered.
-    #[error("{0}")]
+    #[error("the handler of SIGINT or SIGTERM cannot be registered: {0}")]
     SignalHandler(#[source] io::Error),
     /// A file cannot be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// A file is not a script of faults.
+    /// A file is not a valid script of faults.
     #[error("{}: {source}", path.display())]
     Script {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: ScriptError,
     },
-    /// A script cannot be played.
+    /// A script cannot be played in simulated time.
     #[error("{}: {source}", path.display())]
     Play {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: PlayError,
     },
     /// Plots cannot be drawn.
-    #[error("{}: {source}", folder.display())]
+    #[error("plots cannot be drawn in {}: {source}", folder.display())]
     Plots {
-        /// The folder.
+        /// The path of the folder.
         folder: PathBuf,
-        /// Why not.
+        /// The cause.
         source: ChartError,
     },
     /// Figures cannot be written as JSON.
-    #[error("{0}")]
+    #[error("figures cannot be written as JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The threads cannot be started.
-    #[error("{0}")]
+    /// The thread pool cannot be started.
+    #[error("the thread pool cannot be started: {0}")]
     ThreadPool(#[from] rayon::ThreadPoolBuildError),
-    /// The progress bar's template is wrong.
-    #[error("{0}")]
+    /// The template of a progress bar is invalid.
+    #[error("the template of the progress bar is invalid: {0}")]
     ProgressBar(#[from] TemplateError),
-    /// A histogram cannot be made.
-    #[error("{0}")]
+    /// A histogram of latencies cannot be created.
+    #[error("the histogram of latencies cannot be created: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// A figure does not fit into a histogram.
-    #[error("{0}")]
+    /// A latency is outside the range of its histogram.
+    #[error("a latency cannot be recorded in the histogram: {0}")]
     HistogramRange(#[from] hdrhistogram::RecordError),
-    /// A signal stopped it.
-    #[error("stopped; its processes have ended")]
+    /// SIGINT or SIGTERM interrupted the experiment.
+    #[error("interrupted by SIGINT or SIGTERM; the processes of the experiment have ended")]
     Interrupted,
-    /// A configuration is not a JSON object.
-    #[error("a configuration is an object")]
+    /// The configuration of a proxy is not a JSON object.
+    #[error("the configuration of a proxy is not a JSON object")]
     ConfigNotObject,
-    /// The number of rates differs from that of clocks.
-    #[error("three rates are needed")]
+    /// The number of clock rates differs from the number of clocks.
+    #[error("--rates: three rates are needed, one for each clock")]
     RateCount,
-    /// A rate is out of its range.
-    #[error("a rate is 100 to 10000 thousandths")]
+    /// A clock rate is out of range.
+    #[error("--rates: each rate must be 100 to 10000 thousandths")]
     RateRange,
 }
 
 impl ExperimentError {
-    /// A file cannot be read or written: for `map_err`.
+    /// Returns a function for `map_err` that adds the path of a file to an I/O error.
     pub(crate) fn file(path: &Path) -> impl FnOnce(io::Error) -> ExperimentError + '_ {
         |source| ExperimentError::File { path: path.to_owned(), source }
     }
@@ -98,15 +98,15 @@
 /// Why a script cannot be played in simulated time.
 #[derive(Debug, Error, PartialEq)]
 pub(crate) enum PlayError {
-    /// A fault is about a member that does not exist.
-    #[error("{fault}: there are {members} members only, from 0 on")]
+    /// A fault names a member that does not exist.
+    #[error("{fault}: no such member; there are {members} members only, numbered from 0")]
     NoSuchMember {
         /// The fault.
         fault: Fault,
-        /// How many members there are.
+        /// The number of members.
         members: usize,
     },
-    /// A fault is about a cache node.
-    #[error("{0}: there are no cache nodes here")]
+    /// A fault names a cache node.
+    #[error("{0}: a fleet in simulated time has no cache nodes")]
     NoCacheNodes(Fault),
 }
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -1,6 +1,6 @@
-//! Clients that send requests at a fixed rate, independent of the responses (an open loop):
-//! latencies count from the time at which a request was due. [`Load`] runs them; [`LoadResult`] is the
-//! result.
+//! An open-loop load generator: clients send requests at a fixed rate that does not depend on the
+//! responses, and latencies count from the time at which a request was due. [`Load`] runs the
+//! clients; [`LoadResult`] has their counts and latencies.
 
 use pinetrail_test_harness::recorder::Recorder;
 use std::collections::BTreeMap;
@@ -11,40 +11,42 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How many requests may be open at once; further ones are sent late.
+/// The most requests in flight at once, with a client thread for each. Further requests are sent
+/// late.
 const MAX_OPEN_REQUESTS: u64 = 48;
-/// How long a client waits.
+/// How long a client waits for a response, which each request carries as its label `d`.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(900);
 /// The most attempts of a request whose connections break without a response.
 const MAX_ATTEMPTS: usize = 20;
 const KEY_COUNT: u64 = 200;
 /// One request in this many is a write.
 const WRITES_ONE_IN: u64 = 20;
-/// How long a client waits before it retries.
+/// How long a client waits before a retry on a new connection.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Mixes the number of a request into pseudo-random bits (the golden ratio in 64 bits).
+/// The multiplier that mixes the number of a request into pseudo-random bits (the golden ratio in
+/// 64 bits).
 const MIX_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The result of a load.
+/// The counts and latencies of all requests of a load.
 #[derive(Debug, Default)]
 pub(crate) struct LoadResult {
-    /// Requests that were due.
+    /// The number of requests that were due.
     pub requests: u64,
-    /// Final responses by kind.
+    /// The number of final responses of each kind.
     pub responses: BTreeMap<&'static str, u64>,
-    /// Retries after a broken connection.
+    /// The number of retries after a broken connection.
     pub retries: u64,
-    /// Requests without a final response.
+    /// The number of requests without a final response.
     pub unanswered: u64,
-    /// Requests with more than one final response.
+    /// The number of requests with more than one final response.
     pub duplicate_responses: u64,
-    /// Time from when each was due until its response, in microseconds.
+    /// The time from when each request was due until its final response, in microseconds.
     pub latencies_us: Vec<u64>,
 }
 
 impl LoadResult {
-    /// Whether each request had exactly one final response.
+    /// Returns whether requests were sent and each had exactly one final response.
     pub(crate) fn answered_exactly_once(&self) -> bool {
         self.requests > 0
             && self.responses.values().sum::<u64>() == self.requests
@@ -64,14 +66,14 @@
     result: Mutex<LoadResult>,
 }
 
-/// Running clients.
+/// The running clients of a load.
 pub(crate) struct Load {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    /// Starts clients of these proxies, with `rate` requests a second for this time.
+    /// Starts clients of these proxies, which send `rate` requests a second for `duration`.
     pub(crate) fn start(proxies: Vec<SocketAddr>, rate: u64, duration: Duration, seed: u64) -> Load {
         let total = rate * duration.as_secs();
         let shared = Arc::new(Shared {
@@ -92,16 +94,16 @@
         Load { shared, threads }
     }
 
-    /// Sends no further requests, and waits for those in flight.
+    /// Stops sending requests, and waits for those in flight.
     pub(crate) fn cancel(self) {
         self.shared.next.store(self.shared.total, Ordering::Relaxed);
         self.wait();
     }
 
-    /// Waits until all requests that were due have a response; returns the result.
+    /// Waits until all requests of the load have ended; returns their counts and latencies.
     pub(crate) fn wait(self) -> LoadResult {
         for thread in self.threads {
-            // A client that panicked has printed why, and has poisoned the lock.
+            // A client that panicked has printed the reason and poisoned the lock of the result.
             let _ = thread.join();
         }
         std::mem::take(&mut *self.shared.result.lock().expect("no client panicked"))
@@ -113,9 +115,9 @@
     connections: BTreeMap<usize, BufReader<TcpStream>>,
 }
 
-/// The result of one attempt.
+/// The outcome of one attempt.
 enum AttemptResult {
-    /// A final response of this kind.
+    /// A final response of this kind arrived.
     Final(&'static str),
     /// The connection broke without a response.
     Broken,
@@ -166,8 +168,8 @@
         change(&mut self.shared.result.lock().expect("no client panicked"));
     }
 
-    /// Sends an attempt to one proxy. If the connection breaks the client has disconnected, and may
-    /// retry.
+    /// Sends an attempt to one proxy and reads its response. A broken connection is recorded as a
+    /// client that has disconnected, and the request may be retried.
     fn send_attempt(
         &mut self,
         proxy: usize,
@@ -184,7 +186,8 @@
             format!("mg {key} v O{id} Pc=read,t=acme,d={ms}{repeat}\r\n")
         };
         let Some(stream) = self.connection(proxy) else { return AttemptResult::Broken };
-        // Buffered input before the request is sent is a second response to an earlier one.
+        // Input that is buffered before the request is sent is a second response to an earlier
+        // request.
         let was_buffer_empty = stream.buffer().is_empty();
         self.shared.recorder.record_request(&command);
         let Some(stream) = self.connections.get_mut(&proxy) else { return AttemptResult::Broken };
@@ -219,7 +222,8 @@
             stream.set_nodelay(true).ok()?;
             self.connections.insert(proxy, BufReader::new(stream));
         }
-        // The proxy may have closed an idle connection, which is noticed before it is used.
+        // The proxy may have closed an idle connection. A request on it would count as an attempt
+        // whose connection broke, so the end is detected before the connection is used.
         let stream = self.connections.get_mut(&proxy)?;
         stream.get_ref().set_nonblocking(true).ok()?;
         let seen = stream.get_ref().peek(&mut [0]);
@@ -232,7 +236,7 @@
     }
 }
 
-/// The line of a response, and its value if it has one.
+/// Reads a response; returns its line, and its value or an empty string.
 fn read_response(stream: &mut BufReader<TcpStream>) -> std::io::Result<(String, String)> {
     let mut line = String::new();
     if stream.read_line(&mut line)? == 0 {
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,4 +1,5 @@
-//! Experiments with pinetrail. `pinetrail-experiments --help` lists them.
+//! The program `pinetrail-experiments`, which measures pinetrail and checks its guarantees under
+//! faults. Each subcommand of [`Experiment`] is one experiment.
 
 mod chart;
 mod cost;
@@ -16,7 +17,8 @@
 use pinetrail_test_harness::remove_run_folder;
 use std::process::ExitCode;
 
-/// Experiments with pinetrail: real processes on loopback, and models in simulated time.
+/// Measures pinetrail and checks its guarantees, with real processes on loopback and in simulated
+/// time.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -26,24 +28,25 @@
 
 #[derive(Subcommand)]
 enum Experiment {
-    /// Three proxies of a fleet with their backends, under load and faults: real processes on
-    /// loopback.
+    /// Runs three proxies of a fleet as real processes on loopback, under load and faults.
     Demo(demo::Options),
-    /// The membership of 3 to 1,000 proxies in simulated time, compared with heartbeats between all
-    /// pairs.
+    /// Measures the membership of 2 to 1,024 proxies in simulated time, compared with heartbeats
+    /// between all pairs.
     Members(membership::Options),
-    /// Quotas of an origin by three rules, in simulated time: static, divided by the live proxies,
-    /// leased.
+    /// Compares three rules for the quotas of an origin in simulated time: static, divided by the
+    /// live proxies, leased.
     Shares(quota::Options),
-    /// The guarantees of quotas, under many seeds of faults and in every order of a few faults.
+    /// Checks the guarantees of quotas under many seeds of faults and in every order of a few faults.
     Proof(quota::proof::Options),
-    /// Policy changes under faults from seeds, in simulated time, and how long they take.
+    /// Checks policy changes under seeded faults in simulated time, and measures how long they take.
     Policy(policy::Options),
-    /// The cost of a fleet for real processes and their clients: with it and without it, in turn.
+    /// Measures the cost of a fleet for real processes and their clients, in alternating rounds with
+    /// and without a fleet.
     Cost(cost::Options),
-    /// Several real processes under mixes of faults from seeds, checked against the rules.
+    /// Runs several real processes under seeded mixes of faults, and checks what their clients and
+    /// backends observe against the rules.
     Soak(soak::Options),
-    /// One proxy, like the program `pinetrail`. The demo starts its processes with this.
+    /// Runs one proxy, like the program `pinetrail`. The experiments start their processes with this.
     #[command(hide = true)]
     Proxy,
 }
@@ -58,7 +61,7 @@
         Experiment::Shares(options) => quota::run(&options),
         Experiment::Soak(options) => soak::run(&options),
         Experiment::Proxy => {
-            // Without this signal the processes would outlive a demo that is killed.
+            // Without this signal the proxies would outlive an experiment that is killed.
             let _ = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
             return pinetrail::net::lifecycle::run();
         }
--- a/crates/experiments/src/membership/mod.rs
+++ b/crates/experiments/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! `pinetrail-experiments members`: the membership as it runs in service, in simulated time over a
-//! simulated network.
+//! The subcommand `members`: measures the membership as it runs in service, in simulated time over a
+//! simulated network. `trials` has the measurements, `script` plays a script of faults instead.
 
 mod plots;
 mod script;
@@ -16,40 +16,40 @@
 use std::path::{Path, PathBuf};
 use trials::{Outcome, Trial, TrialKind};
 
-/// What to measure.
+/// The options of `members`.
 #[derive(Args)]
 pub(crate) struct Options {
-    /// Random numbers begin with this: the same seed gives the same digest.
+    /// The seed of the random choices: the same seed gives the same digest.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Sizes of fleets.
+    /// The sizes of the fleets.
     #[arg(long, value_delimiter = ',', default_values_t = [3, 30, 300], value_parser = clap::value_parser!(u16).range(2..=1024))]
     members: Vec<u16>,
-    /// Deaths watched at each size, one after the other.
+    /// The number of crashes at each size, one after the other.
     #[arg(long, default_value_t = 20)]
     deaths: usize,
-    /// Shares of datagrams lost while false alarms are counted, in percent.
+    /// The percentages of datagrams that are lost while false alarms are counted.
     #[arg(long, value_delimiter = ',', default_values_t = [0, 5, 20], value_parser = clap::value_parser!(u8).range(0..=90))]
     loss: Vec<u8>,
-    /// Simulated minutes in which false alarms are counted, for each size and loss; every member
+    /// The simulated minutes in which false alarms are counted, for each size and loss; every member
     /// is paused for 200 to 450 ms every 1.7 to 6 s.
     #[arg(long, default_value_t = 10)]
     minutes: u64,
-    /// Leaves the baseline out.
+    /// Do not measure the baseline, heartbeats between all pairs.
     #[arg(long)]
     no_baseline: bool,
-    /// Instead of measuring, plays a script of faults on the first of the sizes and prints the
-    /// events of each member. A line of it is a time in ms and a fault: kill N, start N, stop N,
+    /// Instead of measuring, play a script of faults on a fleet of the first size and print the
+    /// events of each member. Each line of the script is a time in ms and a fault: kill N, start N, stop N,
     /// go-on N, upgrade N, cut N N, sides N,N|N,N, heal, loss PERCENT.
     #[arg(long)]
     script: Option<PathBuf>,
-    /// Threads; as many as there are cores if not given.
+    /// The number of threads; by default the number of cores.
     #[arg(long)]
     threads: Option<usize>,
-    /// Where to write all figures as JSON.
+    /// The file to which all figures are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// A folder for the plots (SVG).
+    /// The folder to which the plots are written as SVG.
     #[arg(long)]
     plots: Option<PathBuf>,
 }
@@ -62,7 +62,7 @@
     outcomes: Vec<Outcome>,
 }
 
-/// Measures, prints and writes the figures.
+/// Plays the script if one is given; otherwise plays all trials, and prints and writes the figures.
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
     if let Some(path) = &options.script {
         play_script(path, options)?;
@@ -88,7 +88,7 @@
     Ok(true)
 }
 
-/// Plays a script on a fleet of the first size and prints what happened.
+/// Plays a script on a fleet of the first size and prints its log.
 fn play_script(path: &Path, options: &Options) -> Result<(), ExperimentError> {
     let text = std::fs::read_to_string(path).map_err(ExperimentError::file(path))?;
     let script =
@@ -102,13 +102,13 @@
     Ok(())
 }
 
-/// The most simulated minutes of one trial. Shorter trials are not worth their start: the join of
-/// 300 members costs as much processor time as an hour without faults.
+/// The most simulated minutes of one trial. Shorter trials would spend most of their time on the
+/// start: the join of 300 members costs as much processor time as an hour without faults.
 const MAX_TRIAL_MINUTES: u64 = 60;
 
-/// The trials, in a fixed order. Long ones are divided into trials that run side by side. The
-/// baseline, whose datagrams grow with the square of the size, has fewer and shorter trials in
-/// fleets of over 100, and none in those of over 300.
+/// Returns the trials in a fixed order. Long trials are divided into parts that run in parallel. The
+/// number of datagrams of the baseline grows with the square of the size, so the baseline has fewer
+/// and shorter trials in fleets of over 100 members, and none in fleets of over 300.
 fn plan(options: &Options) -> Vec<Trial> {
     let mut trials = Vec::new();
     let mut seed = options.seed.wrapping_mul(1_000_003);
@@ -158,9 +158,9 @@
             format!("{:.1}", outcome.datagrams_per_s),
         ])
     });
-    println!("ms from the last start until all know all; after a death, until the first and until the last knows (p50, p99,");
-    println!("worst); what each member sends while nothing happens");
-    let heading = ["members", "met", "first knows", "last knows", "bytes/s", "datagrams/s"];
+    println!("ms from the last start until all members know all; ms from a crash until the first and the last member detect it (p50, p99,");
+    println!("worst); traffic sent by each member without faults");
+    let heading = ["members", "joined", "first detects", "last detects", "bytes/s", "datagrams/s"];
     table::print(&heading, &rows.collect::<Vec<_>>());
     let rows = figures.outcomes.iter().filter_map(|outcome| {
         let alarms = outcome.alarms.as_ref()?;
@@ -172,7 +172,7 @@
             format!("{:.2}", alarms.members_failed as f64 / alarms.hours),
         ])
     });
-    println!("\nMembers taken for failed that were alive, with pauses of 200 to 450 ms every 1.7 to 6 s");
+    println!("\nLive members declared failed, with pauses of 200 to 450 ms every 1.7 to 6 s");
     table::print(&["members", "loss", "hours", "false", "false/h"], &rows.collect::<Vec<_>>());
     println!("\nseed {}, digest {}", figures.seed, figures.digest);
 }
--- a/crates/experiments/src/membership/plots.rs
+++ b/crates/experiments/src/membership/plots.rs
@@ -1,10 +1,11 @@
-//! The plots: SVG files.
+//! The plots of the measurements as SVG files: [`draw`].
 
 use super::trials::Outcome;
 use crate::chart::{draw_lines, ChartError};
 use std::path::Path;
 
-/// Draws the time to detect and the bytes against size, and false alarms against loss.
+/// Draws the detection times and the traffic by size, and the rate of false alarms by loss in the
+/// largest fleet.
 pub(super) fn draw(folder: &Path, outcomes: &[Outcome]) -> Result<(), ChartError> {
     std::fs::create_dir_all(folder)?;
     let by_size = |heartbeats: bool, of: fn(&Outcome) -> Option<f64>| -> Vec<(f64, f64)> {
@@ -22,23 +23,23 @@
     };
     draw_lines(
         &folder.join("detection.svg"),
-        "ms from a death until it is known (p99)",
+        "ms from a crash until its detection (p99)",
         "members",
         &[
-            ("swim, the last", by_size(false, last)),
-            ("swim, the first", by_size(false, first)),
-            ("heartbeats, the last", by_size(true, last)),
+            ("swim, last member", by_size(false, last)),
+            ("swim, first member", by_size(false, first)),
+            ("heartbeats, last member", by_size(true, last)),
         ],
     )?;
     draw_lines(
         &folder.join("bytes.svg"),
-        "bytes a second sent by each member",
+        "bytes per second sent by each member",
         "members",
         &[("swim", by_size(false, bytes)), ("heartbeats", by_size(true, bytes))],
     )?;
     draw_lines(
         &folder.join("false-alarms.svg"),
-        "members taken for failed an hour that were alive",
+        "live members declared failed per hour",
         "loss in percent",
         &[("swim", by_loss(false)), ("heartbeats", by_loss(true))],
     )
--- a/crates/experiments/src/membership/script.rs
+++ b/crates/experiments/src/membership/script.rs
@@ -1,4 +1,5 @@
-//! Plays a script of faults on a fleet in simulated time, and logs the events of its members.
+//! Plays a script of faults on a fleet in simulated time, and logs the events of its members:
+//! [`play`].
 
 use crate::error::PlayError;
 use crate::membership::trials::event_text;
@@ -6,12 +7,12 @@
 use pinetrail_simulation::fleet::Fleet;
 use pinetrail_test_harness::script::{Fault, Script, ScriptStep};
 
-/// How long members are observed after the last fault.
+/// The time for which members are observed after the last fault.
 const OBSERVATION_AFTER_MS: u64 = 15_000;
 
-/// How long members have to join before the script begins.
+/// The time that members have to join before the script begins.
 const JOIN_TIME_MS: u64 = 30_000;
-/// How many members the others join by.
+/// The number of members that the others join through.
 const PEER_COUNT: usize = 3;
 
 /// Plays a script on a fleet of this many members; returns the log lines.
@@ -33,29 +34,29 @@
     Ok(player.lines)
 }
 
-/// A fleet to which the faults of a script happen.
+/// A fleet on which the faults of a script are injected.
 struct ScriptPlayer {
     fleet: Fleet<Membership>,
     members: usize,
-    /// How many members the fleet may have.
+    /// The most members that the fleet may have.
     size: usize,
-    /// The members that the others join by.
+    /// The members that the others join through.
     peers: Vec<usize>,
-    /// When the script began, in ms of the fleet's clock.
+    /// The start of the script in ms of the fleet's clock.
     start: u64,
-    /// The log so far.
+    /// The log lines so far.
     lines: Vec<String>,
 }
 
 impl ScriptPlayer {
-    /// Lets time pass until `at` ms after the beginning of the script.
+    /// Advances simulated time to `at` ms after the start of the script.
     fn run_until(&mut self, at: u64) {
         let left = (self.start + at).saturating_sub(self.fleet.now());
         self.fleet.run(left);
         self.log_events();
     }
 
-    /// Logs the events of members since the last call.
+    /// Logs the events of members since the previous call.
     fn log_events(&mut self) {
         for observed in std::mem::take(&mut self.fleet.observed) {
             let at = observed.at - self.start;
@@ -78,7 +79,8 @@
             Fault::Heal => self.fleet.network.heal(),
             Fault::Loss(percent) => self.fleet.network.loss = f64::from(*percent) / 100.0,
             Fault::HotRestart(member) => {
-                // The process that accepts connections is the member, as a later start of the name.
+                // Only the process that accepts connections speaks as the member. The new process is
+                // a later start of the same name.
                 self.fleet.kill(*member);
                 self.fleet.start_member(*member, self.size, &self.peers);
             }
@@ -87,7 +89,7 @@
         Ok(())
     }
 
-    /// Checks that all members of a fault exist.
+    /// Checks that all members that a fault names exist.
     fn check_members(&self, fault: &Fault) -> Result<(), PlayError> {
         let named = match fault {
             Fault::Kill(member)
--- a/crates/experiments/src/membership/trials.rs
+++ b/crates/experiments/src/membership/trials.rs
@@ -1,4 +1,4 @@
-//! One trial: a fleet in simulated time, its faults, and what is measured. Read [`Trial`] first.
+//! One trial: a fleet in simulated time, its faults, and the measurements. Read [`Trial`] first.
 
 use hdrhistogram::Histogram;
 use pinetrail_membership::{MemberState, Membership, MembershipEvent};
@@ -7,16 +7,16 @@
 use pinetrail_simulation::Time;
 use serde::Serialize;
 
-/// What a trial is about.
+/// The faults and the measurement of a trial.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TrialKind {
-    /// Members die, one after the other.
+    /// Members crash one after the other, and detection times are measured.
     Deaths { heartbeats: bool, deaths: usize },
-    /// No member dies; datagrams are lost and members are paused.
+    /// No member crashes. Datagrams are lost, members are paused, and false alarms are counted.
     FalseAlarms { heartbeats: bool, loss: u8, minutes: u64 },
 }
 
-/// A trial.
+/// A fleet to simulate, with its faults and its seed. The same trial gives the same outcome.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Trial {
     pub members: usize,
@@ -24,7 +24,7 @@
     pub seed: u64,
 }
 
-/// Times in ms.
+/// A summary of times in ms.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct TimeSummary {
     pub p50: u64,
@@ -33,21 +33,22 @@
     pub count: u64,
 }
 
-/// When the other members knew of deaths.
+/// The times from crashes until the first and the last of the other members detected them.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct DetectionTimes {
     pub first: TimeSummary,
     pub last: TimeSummary,
-    /// Deaths of which not all the others knew within a minute.
+    /// The number of crashes that not all other members detected within a minute.
     pub missed: usize,
 }
 
-/// False alarms: members declared failed that were alive.
+/// The false alarms of a trial: live members that were declared failed.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct FalseAlarms {
     pub loss: u8,
     pub hours: f64,
-    /// Members declared failed by at least one other, counted once for each alarm.
+    /// The number of false alarms. A member that several others declare failed at the same time
+    /// counts once.
     pub members_failed: usize,
 }
 
@@ -56,13 +57,14 @@
 pub(super) struct Outcome {
     pub members: usize,
     pub heartbeats: bool,
-    /// The time from the last start until all members knew of all, to the second; none if it was
-    /// longer than three minutes.
+    /// The time from the last start until all members knew of all, rounded up to seconds; none if
+    /// this took longer than three minutes.
     pub met_within_ms: Option<u64>,
     pub known: Option<DetectionTimes>,
     pub alarms: Option<FalseAlarms>,
-    /// Bytes and datagrams that each member sent, on average.
+    /// The mean number of bytes that each member sent per second.
     pub bytes_per_s: f64,
+    /// The mean number of datagrams that each member sent per second.
     pub datagrams_per_s: f64,
     #[serde(skip)]
     pub digest: u32,
@@ -70,14 +72,14 @@
 
 /// The members that the others join through.
 const JOIN_PEERS: [usize; 3] = [0, 1, 2];
-/// How long a fleet has to join.
+/// The time after which a fleet counts as not joined.
 const MAX_JOIN_TIME_MS: Time = 180_000;
-/// The period of the baseline. With its timeout it detects a death about as fast as SWIM does in a
-/// fleet of five.
+/// The interval of the baseline's heartbeats. With [`HEARTBEAT_TIMEOUT_MS`] the baseline detects a
+/// crash about as fast as SWIM does in a fleet of five.
 const HEARTBEAT_PERIOD_MS: Time = 500;
-/// A member of the baseline that is silent for longer counts as failed.
+/// The time of silence after which the baseline declares a member failed.
 const HEARTBEAT_TIMEOUT_MS: Time = 2_000;
-/// Reports of one member's failure within this time count as one alarm.
+/// The time within which reports of one member's failure count as one false alarm.
 const SAME_ALARM_MS: Time = 20_000;
 
 /// The datagrams that all members have received so far.
@@ -109,7 +111,7 @@
 }
 
 impl Trial {
-    /// Plays it.
+    /// Simulates the fleet of the trial and returns its figures.
     pub(super) fn play(&self) -> Outcome {
         let heartbeats = match self.kind {
             TrialKind::Deaths { heartbeats, .. } | TrialKind::FalseAlarms { heartbeats, .. } => heartbeats,
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Plays it with the baseline: heartbeats between all pairs.
+    /// Simulates the baseline: heartbeats between all pairs.
     fn play_heartbeats(&self) -> Outcome {
         let members = self.members;
         let start = |host: usize, fleet: &mut Fleet<Heartbeats>| {
@@ -138,7 +140,7 @@
         self.outcome(true, None, measurements)
     }
 
-    /// Plays it with the membership as it runs in service.
+    /// Simulates the membership as it runs in service.
     fn play_membership(&self) -> Outcome {
         let peers = &JOIN_PEERS[..JOIN_PEERS.len().min(self.members)];
         let size = self.members.max(peers.len() + 1);
@@ -156,11 +158,12 @@
         self.outcome(false, met_within_ms, measurements)
     }
 
-    /// Waits until all members know of all; returns how long it took, or none if it took too long.
+    /// Waits until all members know of all; returns how long this took, or none after
+    /// [`MAX_JOIN_TIME_MS`].
     fn wait_until_joined(&self, fleet: &mut Fleet<Membership>) -> Option<u64> {
         let all: Vec<usize> = (0..self.members).collect();
         let start = fleet.now();
-        // The check costs more than the simulation, so it is made rarely.
+        // The check costs more than the simulation, so it runs only once a simulated second.
         while !fleet.all_agree(&all) && fleet.now() < start + MAX_JOIN_TIME_MS {
             fleet.run(1_000);
         }
@@ -208,7 +211,7 @@
         }
     }
 
-    /// The number of false alarms under loss and brief pauses.
+    /// Counts the false alarms under loss and brief pauses.
     fn observe_alarms<M: Member>(
         &self,
         fleet: &mut Fleet<M>,
@@ -226,7 +229,7 @@
             *digest = extend_digest(*digest, &fleet.observed);
             for observed in std::mem::take(&mut fleet.observed) {
                 let Some(member) = failed_member(&observed) else { continue };
-                // All other members report the same false alarm, which counts once.
+                // All other members report the same false alarm, so it must count once.
                 let is_new = failed_at[member].is_none_or(|at| at + SAME_ALARM_MS < observed.at);
                 members_failed += usize::from(is_new);
                 failed_at[member] = Some(observed.at);
@@ -246,21 +249,21 @@
         let mut last = Vec::new();
         let mut missed = 0;
         for n in 0..deaths {
-            // Every member has its turn, those that the others joined through included.
+            // The members that the others joined through crash as well.
             let dead = (n * 7 + 1) % self.members;
             let times = self.observe_death(fleet, dead, digest);
             missed += usize::from(times.len() < self.members - 1);
             first.extend(times.iter().min());
             last.extend(times.iter().max());
             restart(dead, fleet);
-            // The time differs, so that deaths fall anywhere in a protocol period.
+            // The interval varies, so that crashes fall anywhere in a protocol period.
             fleet.run(15_000 + n as u64 * 37);
         }
         DetectionTimes { first: summarize(&first), last: summarize(&last), missed }
     }
 
-    /// Kills one member. Returns how many ms later each of the others knew of it, for those that
-    /// did.
+    /// Kills one member. Returns the detection time in ms of each other member that detected the
+    /// crash.
     fn observe_death<M: Member>(&self, fleet: &mut Fleet<M>, dead: usize, digest: &mut u32) -> Vec<u64> {
         fleet.observed.clear();
         let killed_at = fleet.now();
@@ -282,7 +285,7 @@
     }
 }
 
-/// An event as text.
+/// Returns the text of an event in the log of a script.
 pub(super) fn event_text(event: &MembershipEvent) -> String {
     match event {
         MembershipEvent::MemberChanged { record, .. } => {
@@ -294,7 +297,7 @@
     }
 }
 
-/// The member that an event declares failed, if it is such an event.
+/// Returns the member that an event declares failed, if any.
 fn failed_member(observed: &ObservedEvent) -> Option<usize> {
     match &observed.event {
         MembershipEvent::MemberChanged { record, .. } if record.state == MemberState::Failed => {
@@ -304,7 +307,7 @@
     }
 }
 
-/// Extends a digest by these events.
+/// Extends a digest by the texts of events.
 fn extend_digest(mut digest: u32, observed: &[ObservedEvent]) -> u32 {
     for event in observed {
         digest = crc32c::crc32c_append(digest, digest_input(event).as_bytes());
@@ -312,7 +315,8 @@
     digest
 }
 
-/// The text of an event of which digests were recorded: durations in it are in ms.
+/// Returns the text of an event that goes into digests. Durations are in ms, so that digests can be
+/// compared with earlier ones.
 fn digest_input(observed: &ObservedEvent) -> String {
     let ObservedEvent { at, host, event } = observed;
     let event = match event {
@@ -323,9 +327,9 @@
 }
 
 fn summarize(times: &[u64]) -> TimeSummary {
-    let mut histogram = Histogram::<u64>::new(3).expect("three digits are possible");
+    let mut histogram = Histogram::<u64>::new(3).expect("three significant digits are valid");
     for time in times {
-        histogram.record(*time).expect("it grows as needed");
+        histogram.record(*time).expect("the histogram resizes itself");
     }
     TimeSummary {
         p50: histogram.value_at_quantile(0.5),
@@ -335,7 +339,7 @@
     }
 }
 
-/// Merges the parts of long trials.
+/// Merges the outcomes of the parts of long trials.
 pub(super) fn merge_parts(outcomes: Vec<Outcome>) -> Vec<Outcome> {
     let mut merged: Vec<Outcome> = Vec::new();
     for outcome in outcomes {
--- a/crates/experiments/src/policy/mod.rs
+++ b/crates/experiments/src/policy/mod.rs
@@ -1,5 +1,6 @@
-//! `pinetrail-experiments policy`: policy consensus under faults from many seeds, and how long a
-//! change takes without any.
+//! The subcommand `policy`: checks policy consensus under faults from many seeds, and measures how
+//! long a change takes in a fleet without faults and in one with a crashed member. Read [`run`]
+//! first.
 
 use crate::error::ExperimentError;
 use crate::output::write_json;
@@ -15,46 +16,48 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The time between the reloads of the baseline.
+/// The time between the reloads of two proxies in the baseline.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(200);
-/// When a change is proposed in a simulated run, and when a member crashes before that.
+/// When a change is proposed in a simulated run.
 const PROPOSAL_AT_MS: u64 = 4_000;
+/// When a member crashes in a simulated run, just before the proposal.
 const CRASH_AT_MS: u64 = 3_950;
 /// The most voters of a simulated fleet.
 const MAX_VOTERS: usize = 5;
 
-/// What to play.
+/// The options of `policy`.
 #[derive(Args)]
 pub(crate) struct Options {
     /// The first seed.
     #[arg(long, default_value_t = 0)]
     seed: u64,
-    /// Seeds of faults to play.
+    /// The number of seeds of faults to play.
     #[arg(long, default_value_t = 200)]
     seeds: u64,
-    /// Sizes of fleets in which changes are timed.
+    /// The sizes of fleets in which changes are timed.
     #[arg(long, value_delimiter = ',', default_values_t = [5, 30], value_parser = clap::value_parser!(u16).range(3..=60))]
     members: Vec<u16>,
-    /// Changes timed at each size.
+    /// The number of changes timed at each size.
     #[arg(long, default_value_t = 20)]
     changes: u64,
-    /// Seeds of faults to play with real processes on loopback, and hangups in turn as a baseline.
+    /// The number of seeds of faults to play with real processes on loopback. If above 0,
+    /// reloads by SIGHUP, one proxy after the other, are measured as a baseline.
     #[arg(long, default_value_t = 0)]
     processes: u64,
     /// Print the log of the run of the first seed.
     #[arg(long)]
     log: bool,
-    /// Where to write all figures as JSON.
+    /// The file to which all figures are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// The results of many seeds.
+/// The violations and the outcomes of changes of all seeds.
 #[derive(Serialize)]
 struct SeedResults {
     first: u64,
     seeds: u64,
-    /// Each seed with a violation, and its verdict.
+    /// Each seed with a violation, with its verdict.
     #[serde(rename = "wrong")]
     violations: Vec<(u64, String)>,
     #[serde(rename = "taken")]
@@ -65,7 +68,7 @@
     unknown: u32,
 }
 
-/// Times from the proposal of changes to the first request under them, in ms.
+/// The times from the proposals of changes to the first requests under them, in ms.
 #[derive(Serialize)]
 struct ChangeTimes {
     members: usize,
@@ -74,11 +77,11 @@
     p50: u64,
     p99: u64,
     worst: u64,
-    /// The longest time for which a member admitted nothing.
+    /// The longest time for which a member admitted no request.
     longest_gap: u64,
 }
 
-/// The fault of a timed change.
+/// The fault that is injected before a timed change.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Disturbance {
     None,
@@ -91,7 +94,8 @@
     took: Vec<ChangeTimes>,
 }
 
-/// Plays, prints and writes the figures. False if there was a violation.
+/// Plays all seeds, times changes, and prints and writes the figures. Returns false if there was a
+/// violation.
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
     if options.log {
         for line in &play_seed(options.seed).log {
@@ -138,7 +142,7 @@
         let first = format!("{} {}", took.members, took.what);
         [first].into_iter().chain(figures.map(|figure| figure.to_string())).collect::<Vec<_>>()
     });
-    println!("ms of simulated time from a proposal to the first request under it (admission leases of 800 ms), network latency 1 to 3 ms");
+    println!("ms of simulated time from the proposal of a change to the first request under it; admission leases of 800 ms, network latency of 1 to 3 ms");
     let heading = ["members", "changes", "p50", "p99", "worst", "longest gap"];
     table::print(&heading, &rows.collect::<Vec<_>>());
     let passed = seeds.violations.is_empty() & run_real_processes(options.seed, options.processes)?;
@@ -148,7 +152,8 @@
     Ok(passed)
 }
 
-/// The same with four real processes, three of them founders; false if there was a violation.
+/// Plays seeds with four real processes, three of them founders, and the baseline. Returns false if
+/// a seed had a violation.
 fn run_real_processes(first: u64, seeds: u64) -> Result<bool, ExperimentError> {
     if seeds == 0 {
         return Ok(true);
@@ -177,7 +182,7 @@
     let baseline =
         run_with_reloads(Fleet::start_all(FleetOptions::with_members(4), nodes, origin), RELOAD_INTERVAL);
     println!(
-        "baseline, SIGHUP at each of four in turn, {} ms apart: {} requests show two policies, for {:.0} ms",
+        "baseline, SIGHUP to each of four proxies in turn, {} ms apart: {} requests show two policies at once, for {:.0} ms",
         RELOAD_INTERVAL.as_millis(),
         baseline.violations,
         baseline.overlap_ms
@@ -185,8 +190,8 @@
     Ok(violating_seeds.is_empty())
 }
 
-/// Times of changes in fleets without faults, or in which a member that is no founder crashes just
-/// before.
+/// Times changes in fleets without faults, or in fleets in which a member crashes just before the
+/// proposal.
 fn time_changes(members: usize, disturbance: Disturbance, seed: u64, changes: u64) -> ChangeTimes {
     let runs: Vec<Run> = (seed..seed + changes)
         .into_par_iter()
@@ -199,7 +204,7 @@
             })
         })
         .collect();
-    let mut times = Histogram::<u64>::new(3).expect("three digits");
+    let mut times = Histogram::<u64>::new(3).expect("three significant digits are valid");
     for ms in runs.iter().flat_map(|run| &run.commit_latencies_ms) {
         times.saturating_record(*ms);
     }
--- a/crates/experiments/src/quota/day/mod.rs
+++ b/crates/experiments/src/quota/day/mod.rs
@@ -1,5 +1,5 @@
-//! One day in simulated time: proxies that fetch from one origin, each within its quota, and their
-//! faults. [`Scenario`] is the scenario, [`Outcome`] its figures.
+//! One scenario in simulated time: proxies that fetch from one origin, each within its quota, and
+//! their faults. Read [`Scenario`] first; [`Outcome`] has its figures.
 
 mod script;
 mod tally;
@@ -18,32 +18,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Rule {
-    /// An equal part for each configured proxy: `GroupSize`.
+    /// Each configured proxy has an equal part: `GroupSize`.
     Static,
-    /// An equal part for each proxy that it believes to be alive.
+    /// Each proxy divides the total by the number of proxies that it believes to be alive.
     Live,
-    /// As it runs in service: a guaranteed minimum and a lease.
+    /// Each proxy has a guaranteed minimum and a lease, as in service.
     Leased,
 }
 
-/// The event of a scenario.
+/// The faults of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Event {
-    /// Seven in ten are asked to end, one after the other within 20 s, and have ended 2 s later;
-    /// they return 23 s after that.
+    /// Seven in ten proxies shut down one after the other within 20 s. Each ends 2 s after it was
+    /// asked to, and all restart 45 s after the first was asked to.
     Release,
-    /// The same, but they are killed.
+    /// Seven in ten proxies crash one after the other within 20 s, and restart 45 s after the first
+    /// crash.
     Deaths,
-    /// Seven in ten die at once, and return 40 s later.
+    /// Seven in ten proxies crash at once, and restart 40 s later.
     Crash,
-    /// They are partitioned into halves for 6 s, while the demand exceeds the origin's capacity.
+    /// The proxies are partitioned into halves for 6 s, while the demand exceeds the origin's
+    /// capacity.
     Cut,
-    /// A third of them, a zone, dies at once, and returns 40 s later.
+    /// All proxies of one zone, a third, crash at once, and restart 40 s later.
     Zone,
 }
 
-/// A day to play.
+/// A scenario to simulate. The same scenario gives the same outcome.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Scenario {
     pub proxies: usize,
@@ -58,50 +60,56 @@
     pub proxies: usize,
     pub event: Event,
     pub rule: Rule,
-    /// Fetches that were wanted, and the percentage that was served in time, from the event on
-    /// until its end.
+    /// The number of fetches that clients requested during the event.
     pub wanted: u64,
+    /// The percentage of these fetches that were served in time.
     pub served_percent: f64,
-    /// The most concurrent calls at the origin, as a multiple of its capacity.
+    /// The most concurrent calls at the origin, as a multiple of the origin's capacity.
     pub most: f64,
-    /// How long it was over its capacity, in ms, and how often it went down.
+    /// The time in ms for which the origin was over its capacity.
     pub over_ms: u64,
+    /// The number of outages of the origin.
     pub falls: u64,
-    /// The most fetches that began in a second, as a multiple of its capacity.
+    /// The most fetches that began within a second, as a multiple of the origin's capacity.
     pub fetches: f64,
-    /// The largest sum of quotas, calls under earlier quotas included.
+    /// The largest sum of quotas, as a multiple of the origin's capacity. Calls that began under
+    /// earlier quotas are included.
     pub sum: f64,
-    /// The time from the last death until the survivors had their quota, in ms.
+    /// The time in ms from the last crash until the survivors had their quota; none if they did not
+    /// reach it, or if no proxy crashed.
     pub grown_ms: Option<u64>,
-    /// The sum of quotas by time, in s.
+    /// The sum of quotas over time, as points of a time in s and a sum.
     #[serde(skip)]
     pub shares: Vec<(f64, f64)>,
 }
 
-/// A step of simulated time.
+/// The length of a step of simulated time.
 const STEP_MS: u64 = 10;
-/// When the event begins; quotas have settled by then.
+/// The time at which the event begins. Quotas have settled by then.
 const START_OF_EVENT_MS: u64 = 30_000;
-/// When the day ends.
+/// The time at which the scenario ends.
 const END_OF_SCENARIO_MS: u64 = 90_000;
 /// The origin's capacity of concurrent calls for each proxy.
 const CALLS_PER_PROXY: usize = 4;
-/// How long a call takes within the capacity.
+/// The duration of a call while the origin is within its capacity.
 const CALL_DURATION_MS: u64 = 100;
-/// How long after its request a fetch is still in time.
+/// The time from a client's request until its fetch is too late.
 const DEADLINE_MS: u64 = 400;
-/// Demand as a multiple of the origin's capacity: on most days, on days with a partition, and
-/// during the partition.
+/// The demand as a multiple of the origin's capacity, in scenarios without a partition.
 const NORMAL_DEMAND: f64 = 0.55;
+/// The demand as a multiple of the origin's capacity, before and after the event of a partition.
 const CUT_DEMAND: f64 = 0.6;
+/// The demand as a multiple of the origin's capacity, during the event of a partition.
 const OVERLOAD_DEMAND: f64 = 1.6;
-/// How long a day counts from the beginning of its event: a partition, a release, a crash.
+/// The time from the beginning of a partition for which fetches are counted.
 const CUT_EVENT_MS: u64 = 12_000;
+/// The time from the beginning of a release for which fetches are counted.
 const RELEASE_EVENT_MS: u64 = 45_000;
+/// The time from a crash of many proxies for which fetches are counted.
 const CRASH_EVENT_MS: u64 = 40_000;
 
 impl Scenario {
-    /// Plays it.
+    /// Simulates the scenario and returns its figures.
     pub(super) fn play(&self) -> Outcome {
         let mut rng = StdRng::seed_from_u64(self.seed);
         let mut steps: VecDeque<script::ScriptStep> = script::steps(self, &mut rng).into();
@@ -120,7 +128,7 @@
         tally.outcome(&world)
     }
 
-    /// The demand at this time, as a multiple of the origin's capacity.
+    /// Returns the demand at a time, as a multiple of the origin's capacity.
     fn demand(&self, now: u64) -> f64 {
         match self.event {
             Event::Cut if (START_OF_EVENT_MS..self.end_of_event()).contains(&now) => OVERLOAD_DEMAND,
@@ -129,7 +137,7 @@
         }
     }
 
-    /// Until when an event counts, in ms.
+    /// Returns the time in ms at which the event ends: fetches are counted until then.
     fn end_of_event(&self) -> u64 {
         match self.event {
             Event::Cut => START_OF_EVENT_MS + CUT_EVENT_MS,
@@ -139,7 +147,7 @@
     }
 }
 
-/// Takes the first of a queue if it is due.
+/// Removes the first item of a queue if it is due.
 fn take_due<T>(queue: &mut VecDeque<T>, is_due: impl Fn(&T) -> bool) -> Option<T> {
     if queue.front().is_some_and(is_due) {
         queue.pop_front()
--- a/crates/experiments/src/quota/day/script.rs
+++ b/crates/experiments/src/quota/day/script.rs
@@ -1,44 +1,44 @@
-//! The faults of a day and their times.
+//! The faults of a scenario and their times: [`steps`].
 
 use super::{Event, Scenario, START_OF_EVENT_MS};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 
-/// A fault of proxies, by their numbers.
+/// A fault of proxies, which have numbers from 0.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Fault {
-    /// One is asked to end.
+    /// A proxy is asked to shut down.
     Shutdown(usize),
-    /// One dies.
+    /// A proxy ends: it crashes, or its graceful shutdown is complete.
     Crash(usize),
-    /// One starts again.
+    /// A proxy starts again.
     Restart(usize),
-    /// The fleet is partitioned into halves.
+    /// The network between the proxies is partitioned into halves.
     Partition,
     /// The partition ends.
     Heal,
 }
 
-/// A fault and when it happens.
+/// A fault and its time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScriptStep {
-    /// In ms from the day's beginning.
+    /// The time in ms from the beginning of the scenario.
     pub(super) at: u64,
     pub(super) fault: Fault,
 }
 
-/// How long a crashed proxy is down.
+/// The time from a crash of many proxies until they restart.
 const CRASH_DURATION_MS: u64 = 40_000;
-/// The time within which the proxies of a release end, one after the other.
+/// The time within which the proxies of a release end one after the other.
 const RELEASE_DURATION_MS: u64 = 20_000;
-/// When the proxies of a release return, from its beginning on.
+/// The time from the beginning of a release until its proxies restart.
 const RELEASE_RETURN_MS: u64 = 45_000;
-/// How long a graceful shutdown takes.
+/// The duration of a graceful shutdown.
 const SHUTDOWN_DURATION_MS: u64 = 2_000;
-/// How long the fleet is partitioned.
+/// The duration of a partition.
 const PARTITION_DURATION_MS: u64 = 6_000;
 
-/// The steps of a scenario, in the order of time.
+/// Returns the steps of a scenario in the order of time.
 pub(super) fn steps(scenario: &Scenario, rng: &mut StdRng) -> Vec<ScriptStep> {
     let mut all: Vec<usize> = (0..scenario.proxies).collect();
     all.shuffle(rng);
@@ -58,7 +58,7 @@
     }
 }
 
-/// All of these die at once, and return later.
+/// Returns the steps of a crash of all these proxies at once, and of their restart.
 fn crash(proxies: &[usize]) -> Vec<ScriptStep> {
     let crash_of = |proxy: &usize| ScriptStep { at: START_OF_EVENT_MS, fault: Fault::Crash(*proxy) };
     let restart_at = START_OF_EVENT_MS + CRASH_DURATION_MS;
@@ -66,8 +66,8 @@
     proxies.iter().map(crash_of).chain(proxies.iter().map(restart_of)).collect()
 }
 
-/// These end one after the other: by a graceful shutdown of this duration, or by a crash if it is
-/// 0.
+/// Returns the steps in which these proxies end one after the other and restart. They end by a
+/// graceful shutdown of this duration, or by a crash if the duration is 0.
 fn releases(proxies: &[usize], shutdown_duration_ms: u64) -> Vec<ScriptStep> {
     let interval = RELEASE_DURATION_MS / proxies.len() as u64;
     let mut steps = Vec::new();
--- a/crates/experiments/src/quota/day/tally.rs
+++ b/crates/experiments/src/quota/day/tally.rs
@@ -1,24 +1,24 @@
-//! The counters of a scenario: [`Tally`].
+//! The measurements of a scenario: [`Tally`].
 
 use super::script::{Fault, ScriptStep};
 use super::world::World;
 use super::{take_due, Outcome, Scenario, CALL_DURATION_MS, START_OF_EVENT_MS, STEP_MS};
 use std::collections::VecDeque;
 
-/// The time between two points of the plot.
+/// The time between two points of the plot of quotas.
 const PLOT_INTERVAL_MS: u64 = 200;
-/// The window over which the rate of fetches is measured.
+/// The length of the sliding window over which the rate of fetches is measured.
 const RATE_WINDOW_MS: u64 = 1_000;
-/// The survivors count as recovered once they have this fraction of their quota.
+/// The fraction of their quota from which the survivors count as recovered.
 const RECOVERED_FRACTION: f64 = 0.99;
 
-/// The fetches that began in one step.
+/// The number of fetches that began in one step.
 struct StartedFetches {
     at: u64,
     fetches: u64,
 }
 
-/// The counters so far.
+/// The measurements of a scenario so far.
 pub(super) struct Tally {
     scenario: Scenario,
     last_death: Option<u64>,
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Lets the fetches of one step end, be wanted and begin, and counts them.
+    /// Plays the fetches of one step and counts them: those that end, those that clients request and
+    /// those that begin.
     pub(super) fn add_step(&mut self, now: u64, world: &mut World) {
         let in_time = world.end_fetches();
         let wanted = world.request_fetches();
@@ -86,8 +87,9 @@
         if self.recovery_ms.is_some() || now <= last_death || now >= self.scenario.end_of_event() {
             return;
         }
-        // The survivors' guaranteed minimum and the leased half. Rounding down to complete attempts
-        // loses a small part.
+        // Half of the capacity is guaranteed and divided among all proxies, so that the survivors have
+        // their part of it only. The other half is leased to the survivors. Rounding down to complete
+        // attempts loses a small part.
         if sum >= RECOVERED_FRACTION * (0.5 + 0.5 * world.live_fraction()) {
             self.recovery_ms = Some(now - last_death);
         }
--- a/crates/experiments/src/quota/day/tests.rs
+++ b/crates/experiments/src/quota/day/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Without the lines of its plot.
+/// Plays a scenario with 30 proxies; its outcome has no points of the plot, for shorter messages.
 fn day(event: Event, rule: Rule) -> Outcome {
     Outcome { shares: Vec::new(), ..Scenario { proxies: 30, event, rule, seed: 1 }.play() }
 }
--- a/crates/experiments/src/quota/day/world.rs
+++ b/crates/experiments/src/quota/day/world.rs
@@ -1,4 +1,4 @@
-//! The proxies of a scenario, the origin that they fetch from, and the quota of each: [`World`].
+//! The simulated proxies of a scenario, their quotas and their origin: [`World`].
 
 use super::script::Fault;
 use super::{take_due, Rule, Scenario, CALLS_PER_PROXY, CALL_DURATION_MS, DEADLINE_MS, STEP_MS};
@@ -10,51 +10,51 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long it takes until the other proxies notice that one has ended or returned.
+/// The time until the other proxies detect that a proxy ended or restarted, or a partition.
 const DETECTION_DELAY_MS: u64 = 2_500;
-/// How long the origin is down after an overload.
+/// The duration of an outage of the origin after an overload.
 const OUTAGE_DURATION_MS: u64 = 3_000;
-/// Keeps a quota that is a complete number of attempts from being rounded down.
+/// The tolerance that keeps a quota of a complete number of attempts from being rounded down by one.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
-/// The most founders that a fleet has here.
+/// The most founders of a simulated fleet.
 const MAX_FOUNDERS: usize = 15;
 
-/// Which proxies are alive and reachable, in fact or in the view of the proxies.
+/// The proxies that are alive and their sides of a partition, in fact or in the view of the proxies.
 #[derive(Clone)]
 struct Liveness {
     alive: Vec<bool>,
-    /// On which side of a partition each is.
+    /// The side of the partition on which each proxy is.
     side: Vec<u8>,
 }
 
 impl Liveness {
-    /// The live proxies that one proxy reaches, itself included if it is alive.
+    /// Returns the live proxies that one proxy reaches, itself included if it is alive.
     fn reached_by(&self, proxy: usize) -> impl Iterator<Item = usize> + '_ {
         (0..self.alive.len()).filter(move |other| self.alive[*other] && self.side[*other] == self.side[proxy])
     }
 }
 
-/// A change that proxies notice later.
+/// A state of the proxies and the time at which they detect it.
 struct LivenessUpdate {
     at: u64,
     liveness: Liveness,
 }
 
-/// The proxies of a day at one moment of it.
+/// The proxies of a scenario, their origin and their quotas at one moment.
 pub(super) struct World {
     scenario: Scenario,
     now: u64,
     rng: StdRng,
     actual: Liveness,
-    /// The view of the proxies.
+    /// The proxies that are alive and reachable in the view of the proxies.
     observed: Liveness,
     pending_updates: VecDeque<LivenessUpdate>,
-    /// For each proxy when its fetches that wait were wanted.
+    /// For each proxy, the times at which its waiting fetches were requested.
     waiting: Vec<VecDeque<u64>>,
-    /// For each proxy when its fetches that are at the origin were wanted.
+    /// For each proxy, the times at which its fetches in flight were requested.
     in_flight: Vec<VecDeque<u64>>,
     pub(super) origin: Origin,
-    /// The quota as it runs in service, for [`Rule::Leased`].
+    /// The quota processes as they run in service, for [`Rule::Leased`] only.
     quota: Option<QuotaSimulation>,
 }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Lets time pass up to this moment, in ms, after the faults of this step.
+    /// Injects the faults of a step and advances simulated time to `now`, in ms.
     pub(super) fn advance(&mut self, now: u64, faults: &[Fault]) {
         self.now = now;
         for fault in faults {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Updates the view of the proxies.
+    /// Sets the view of the proxies to what they have detected.
     fn apply_update(&mut self, liveness: Liveness) {
         self.observed = liveness;
         let Some(quota) = &mut self.quota else { return };
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The quota of one proxy, from 0 to 1.
+    /// Returns the quota of one proxy as a fraction of the origin's capacity.
     fn quota_of(&self, proxy: usize) -> f64 {
         match self.scenario.rule {
             Rule::Static => 1.0 / self.scenario.proxies as f64,
@@ -159,12 +159,13 @@
         }
     }
 
-    /// The sum of the quotas of all live proxies.
+    /// Returns the sum of the quotas of all live proxies, as a multiple of the origin's capacity.
     pub(super) fn quota_sum(&self) -> f64 {
         self.live_proxies().into_iter().map(|proxy| self.quota_of(proxy)).sum()
     }
 
-    /// The largest sum of leased quotas, attempts under earlier quotas included.
+    /// Returns the largest sum of leased quotas so far, with attempts that began under earlier quotas;
+    /// none under the other rules.
     pub(super) fn largest_quota_in_use(&self) -> Option<f64> {
         let quota = self.quota.as_ref()?;
         Some(quota.max_parts_in_use as f64 / TOTAL_PARTS as f64)
@@ -174,12 +175,12 @@
         (0..self.scenario.proxies).filter(|proxy| self.actual.alive[*proxy]).collect()
     }
 
-    /// The fraction of proxies that are alive.
+    /// Returns the fraction of proxies that are alive.
     pub(super) fn live_fraction(&self) -> f64 {
         self.live_proxies().len() as f64 / self.scenario.proxies as f64
     }
 
-    /// Clients request fetches from the live proxies; returns how many.
+    /// Adds the fetches that clients request from live proxies in this step; returns their number.
     pub(super) fn request_fetches(&mut self) -> u64 {
         let live_proxies = self.live_proxies();
         let capacity = self.origin.capacity as f64;
@@ -193,7 +194,7 @@
         count
     }
 
-    /// Ends fetches; returns how many ended in time.
+    /// Ends the fetches that the origin has completed; returns how many of them were in time.
     pub(super) fn end_fetches(&mut self) -> u64 {
         let mut in_time = 0;
         for proxy in self.origin.take_ended(self.now) {
@@ -203,11 +204,11 @@
         in_time
     }
 
-    /// Each proxy begins the fetches that its quota allows; returns how many.
+    /// Begins the fetches that the quotas of the proxies allow; returns their number.
     pub(super) fn begin_fetches(&mut self) -> u64 {
         let mut begun = 0;
         for proxy in self.live_proxies() {
-            // Fetches that would end too late are dropped at once.
+            // Fetches that would end after their deadline are dropped before they use the quota.
             self.waiting[proxy].retain(|wanted_at| wanted_at + DEADLINE_MS >= self.now + CALL_DURATION_MS);
             let allowed =
                 (self.quota_of(proxy) * self.origin.capacity as f64 + ROUNDING_TOLERANCE).floor() as usize;
--- a/crates/experiments/src/quota/mod.rs
+++ b/crates/experiments/src/quota/mod.rs
@@ -1,5 +1,5 @@
-//! `pinetrail-experiments shares`: proxies that fetch from one origin, under three rules for their
-//! quotas, side by side.
+//! The subcommand `shares`: compares three rules for the quotas of proxies that fetch from one
+//! origin. `day` simulates one scenario; `proof` is the subcommand of that name.
 
 mod day;
 pub(crate) mod proof;
@@ -13,27 +13,28 @@
 use rayon::prelude::*;
 use std::path::PathBuf;
 
-/// Tolerance for the rounding of quotas.
+/// The rounding error that the sum of quotas may have.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// What to compare.
+/// The options of `shares`.
 #[derive(Args)]
 pub(crate) struct Options {
-    /// Random numbers begin with this.
+    /// The seed of the random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Sizes of fleets.
+    /// The sizes of the fleets.
     #[arg(long, value_delimiter = ',', default_values_t = [30, 300], value_parser = clap::value_parser!(u16).range(10..=500))]
     members: Vec<u16>,
-    /// Where to write all figures as JSON.
+    /// The file to which all figures are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// A folder for the plots (SVG).
+    /// The folder to which the plots are written as SVG.
     #[arg(long)]
     plots: Option<PathBuf>,
 }
 
-/// Compares, prints and writes the figures. False if leased quotas ever exceeded the total.
+/// Plays all scenarios under each rule, and prints and writes the figures. Returns false if the sum
+/// of leased quotas exceeded the origin's capacity.
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
     let rules = [Rule::Static, Rule::Live, Rule::Leased];
     let events = [Event::Release, Event::Deaths, Event::Crash, Event::Cut, Event::Zone];
@@ -68,9 +69,9 @@
             outcome.grown_ms.map_or("-".to_owned(), |ms| ms.to_string()),
         ]
     });
-    println!("Served in time, in percent, from the event to its end; the most concurrent calls and fetches begun in a second, as multiples");
-    println!("of the origin's capacity; ms over the capacity; outages; the largest sum of quotas; ms from the last death until the");
-    println!("survivors had their quota");
+    println!("Fetches served in time during the event, in percent; the most concurrent calls, and the most fetches begun in a second, as");
+    println!("multiples of the origin's capacity; ms over the capacity; outages; the largest sum of quotas; ms from the last crash until");
+    println!("the survivors had their quota");
     let heading =
         ["proxies, event, rule", "served", "calls", "fetches", "over", "outages", "sum", "recovered"];
     table::print(&heading, &rows.collect::<Vec<_>>());
@@ -80,7 +81,8 @@
     std::fs::create_dir_all(folder)?;
     for group in outcomes.chunks(3) {
         let name = format!("shares-{}-{:?}", group[0].proxies, group[0].event).to_lowercase();
-        let lines = [("static", &group[0]), ("divided by the live", &group[1]), ("leased", &group[2])];
+        let lines =
+            [("static", &group[0]), ("divided by the live proxies", &group[1]), ("leased", &group[2])];
         let lines = lines.map(|(name, outcome)| (name, outcome.shares.clone()));
         chart::draw_lines(&folder.join(format!("{name}.svg")), "sum of the active quotas", "s", &lines)?;
     }
--- a/crates/experiments/src/quota/proof.rs
+++ b/crates/experiments/src/quota/proof.rs
@@ -1,5 +1,5 @@
-//! `pinetrail-experiments proof`: checks the guarantees of quotas under many seeds of faults, and
-//! in every order of a few faults.
+//! The subcommand `proof`: checks the guarantees of quotas under many seeds of faults, and in every
+//! order of a few faults.
 
 use crate::error::ExperimentError;
 use crate::output::progress_bar;
@@ -10,27 +10,28 @@
 use rayon::prelude::*;
 use std::time::Instant;
 
-/// How much is explored.
+/// The options of `proof`.
 #[derive(Args)]
 pub(crate) struct Options {
-    /// Seeds of faults: five processes and 25 faults each.
+    /// The number of seeds of faults, with five processes and 25 faults each.
     #[arg(long, default_value_t = 10_000)]
     seeds: u64,
-    /// Faults of the model, in every order, among three processes.
+    /// The number of faults of the model, which are played in every order among three processes.
     #[arg(long, default_value_t = 2)]
     faults: usize,
-    /// Ticks of the model; a vote lasts two, a lease three.
+    /// The number of ticks of the model. A vote lasts two ticks, a lease three.
     #[arg(long, default_value_t = 8)]
     ticks: u64,
-    /// Rates of the three clocks, in thousandths. Two in a hundred is the stated bound.
+    /// The rates of the three clocks, in thousandths. The guarantees are stated for clocks that differ
+    /// by at most two in a hundred.
     #[arg(long, value_delimiter = ',', default_values_t = [1000, 1010, 990])]
     rates: Vec<u64>,
-    /// Threads; as many as there are cores if not given.
+    /// The number of threads; by default the number of cores.
     #[arg(long)]
     threads: Option<usize>,
 }
 
-/// Explores, and prints the violations. False if there are any.
+/// Plays all seeds, explores the model and prints the violations. Returns false if there are any.
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
     let rates = <[u64; 3]>::try_from(options.rates.as_slice()).map_err(|_| ExperimentError::RateCount)?;
     if !rates.iter().all(|rate| (100..=10_000).contains(rate)) {
@@ -48,7 +49,7 @@
     });
     bar.finish_and_clear();
     println!(
-        "{} seeds in {:.1} s: {} failures",
+        "{} seeds in {:.1} s: {} with a violation",
         options.seeds,
         started_at.elapsed().as_secs_f64(),
         failures.len()
@@ -59,7 +60,7 @@
     let started_at = Instant::now();
     let exploration = QuotaModel::new(options.faults, options.ticks, rates).explore(threads);
     println!(
-        "{} faults in {} ticks: {} states, {} of them different, in {:.1} s: {} properties do not hold",
+        "{} faults in {} ticks: {} states, {} of them unique, in {:.1} s: {} properties violated",
         options.faults,
         options.ticks,
         exploration.states,
