--- a/crates/experiments/src/cost/mod.rs
+++ b/crates/experiments/src/cost/mod.rs
@@ -168,9 +168,7 @@
     let knows = |fleet: &Fleet, member: usize| {
         fleet.timeline.first_match_of_both(&Fleet::name(member), &text, "-> failed", killed_at)
     };
-    fleet.wait_until("all members have detected the crash", |fleet| {
-        (0..dead).all(|member| knows(fleet, member).is_some())
-    });
+    fleet.wait_until("the crash is detected", |fleet| (0..dead).all(|member| knows(fleet, member).is_some()));
     let times: Vec<u128> =
         (0..dead).filter_map(|member| knows(fleet, member)).map(|at| at - killed_at).collect();
     DetectionTimes {
--- a/crates/experiments/src/demo/mod.rs
+++ b/crates/experiments/src/demo/mod.rs
@@ -101,8 +101,8 @@
     Recorder::current().record_active_config(&config.to_string());
 }
 
-/// Returns the faults of the demo: one proxy crashes and restarts, one network path is cut and heals,
-/// and one cache node is down for a tenth of the run.
+/// Returns the faults of the demo: one proxy crashes and restarts, one network path is cut and
+/// heals, and one cache node is down for a tenth of the run.
 fn script(seconds: u64) -> Script {
     let step = |tenths: u64, fault| ScriptStep { at_ms: seconds * 100 * tenths, fault };
     let steps = vec![
--- a/crates/experiments/src/demo/servers.rs
+++ b/crates/experiments/src/demo/servers.rs
@@ -15,8 +15,8 @@
     StubServer::node(move |line| {
         sleep(NODE_LATENCY);
         let key = line.split(' ').nth(1).unwrap_or_default().to_owned();
-        // The node serves a key from the second request on, as if the origin's value had been stored
-        // after the miss.
+        // The node serves a key from the second request on, as if the origin's value had been
+        // stored after the miss.
         if present.lock().is_ok_and(|mut present| !present.insert(key.clone())) {
             StubAction::Reply(format!("VA {} {}\r\nc.{key}\r\n", key.len() + 2, opaque(line)))
         } else {
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -36,17 +36,20 @@
     /// Compares three rules for the quotas of an origin in simulated time: static, divided by the
     /// live proxies, leased.
     Shares(quota::Options),
-    /// Checks the guarantees of quotas under many seeds of faults and in every order of a few faults.
+    /// Checks the guarantees of quotas under many seeds of faults and in every order of a few
+    /// faults.
     Proof(quota::proof::Options),
-    /// Checks policy changes under seeded faults in simulated time, and measures how long they take.
+    /// Checks policy changes under seeded faults in simulated time, and measures how long they
+    /// take.
     Policy(policy::Options),
-    /// Measures the cost of a fleet for real processes and their clients, in alternating rounds with
-    /// and without a fleet.
+    /// Measures the cost of a fleet for real processes and their clients, in alternating rounds
+    /// with and without a fleet.
     Cost(cost::Options),
     /// Runs several real processes under seeded mixes of faults, and checks what their clients and
     /// backends observe against the rules.
     Soak(soak::Options),
-    /// Runs one proxy, like the program `pinetrail`. The experiments start their processes with this.
+    /// Runs one proxy, like the program `pinetrail`. The experiments start their processes with
+    /// this.
     #[command(hide = true)]
     Proxy,
 }
--- a/crates/experiments/src/membership/mod.rs
+++ b/crates/experiments/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The subcommand `members`: measures the membership as it runs in service, in simulated time over a
-//! simulated network. `trials` has the measurements, `script` plays a script of faults instead.
+//! The subcommand `members`: measures the membership as it runs in service, in simulated time over
+//! a simulated network. `trials` has the measurements, `script` plays a script of faults instead.
 
 mod plots;
 mod script;
@@ -31,16 +31,16 @@
     /// The percentages of datagrams that are lost while false alarms are counted.
     #[arg(long, value_delimiter = ',', default_values_t = [0, 5, 20], value_parser = clap::value_parser!(u8).range(0..=90))]
     loss: Vec<u8>,
-    /// The simulated minutes in which false alarms are counted, for each size and loss; every member
-    /// is paused for 200 to 450 ms every 1.7 to 6 s.
+    /// The simulated minutes in which false alarms are counted, for each size and loss; every
+    /// member is paused for 200 to 450 ms every 1.7 to 6 s.
     #[arg(long, default_value_t = 10)]
     minutes: u64,
     /// Do not measure the baseline, heartbeats between all pairs.
     #[arg(long)]
     no_baseline: bool,
     /// Instead of measuring, play a script of faults on a fleet of the first size and print the
-    /// events of each member. Each line of the script is a time in ms and a fault: kill N, start N, stop N,
-    /// go-on N, upgrade N, cut N N, sides N,N|N,N, heal, loss PERCENT.
+    /// events of each member. Each line of the script is a time in ms and a fault: kill N, start N,
+    /// stop N, go-on N, upgrade N, cut N N, sides N,N|N,N, heal, loss PERCENT.
     #[arg(long)]
     script: Option<PathBuf>,
     /// The number of threads; by default the number of cores.
@@ -106,9 +106,9 @@
 /// start: the join of 300 members costs as much processor time as an hour without faults.
 const MAX_TRIAL_MINUTES: u64 = 60;
 
-/// Returns the trials in a fixed order. Long trials are divided into parts that run in parallel. The
-/// number of datagrams of the baseline grows with the square of the size, so the baseline has fewer
-/// and shorter trials in fleets of over 100 members, and none in fleets of over 300.
+/// Returns the trials in a fixed order. Long trials are divided into parts that run in parallel.
+/// The number of datagrams of the baseline grows with the square of the size, so the baseline has
+/// fewer and shorter trials in fleets of over 100 members, and none in fleets of over 300.
 fn plan(options: &Options) -> Vec<Trial> {
     let mut trials = Vec::new();
     let mut seed = options.seed.wrapping_mul(1_000_003);
--- a/crates/experiments/src/membership/script.rs
+++ b/crates/experiments/src/membership/script.rs
@@ -79,8 +79,8 @@
             Fault::Heal => self.fleet.network.heal(),
             Fault::Loss(percent) => self.fleet.network.loss = f64::from(*percent) / 100.0,
             Fault::HotRestart(member) => {
-                // Only the process that accepts connections speaks as the member. The new process is
-                // a later start of the same name.
+                // Only the process that accepts connections speaks as the member. The new process
+                // is a later start of the same name.
                 self.fleet.kill(*member);
                 self.fleet.start_member(*member, self.size, &self.peers);
             }
--- a/crates/experiments/src/membership/trials/tests.rs
+++ b/crates/experiments/src/membership/trials/tests.rs
@@ -9,7 +9,8 @@
         let known = one.known.unwrap();
         assert_eq!((known.last.count, known.missed), (4, 0));
         assert!(known.first.worst <= known.last.worst && known.first.p50 > 500 && known.last.p99 > 500);
-        // Another seed gives another digest, except for the baseline, which makes no random choices.
+        // Another seed gives another digest, except for the baseline, which makes no random
+        // choices.
         assert!(heartbeats || one.digest != Trial { seed: 4, ..trial }.play().digest);
     }
 }
--- a/crates/experiments/src/quota/day/tally.rs
+++ b/crates/experiments/src/quota/day/tally.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Plays the fetches of one step and counts them: those that end, those that clients request and
-    /// those that begin.
+    /// Plays the fetches of one step and counts them: those that end, those that clients request
+    /// and those that begin.
     pub(super) fn add_step(&mut self, now: u64, world: &mut World) {
         let in_time = world.end_fetches();
         let wanted = world.request_fetches();
@@ -87,9 +87,9 @@
         if self.recovery_ms.is_some() || now <= last_death || now >= self.scenario.end_of_event() {
             return;
         }
-        // Half of the capacity is guaranteed and divided among all proxies, so that the survivors have
-        // their part of it only. The other half is leased to the survivors. Rounding down to complete
-        // attempts loses a small part.
+        // Half of the capacity is guaranteed and divided among all proxies, so that the survivors
+        // have their part of it only. The other half is leased to the survivors. Rounding down to
+        // complete attempts loses a small part.
         if sum >= RECOVERED_FRACTION * (0.5 + 0.5 * world.live_fraction()) {
             self.recovery_ms = Some(now - last_death);
         }
--- a/crates/experiments/src/quota/day/world.rs
+++ b/crates/experiments/src/quota/day/world.rs
@@ -14,12 +14,14 @@
 const DETECTION_DELAY_MS: u64 = 2_500;
 /// The duration of an outage of the origin after an overload.
 const OUTAGE_DURATION_MS: u64 = 3_000;
-/// The tolerance that keeps a quota of a complete number of attempts from being rounded down by one.
+/// The tolerance that keeps a quota of a complete number of attempts from being rounded down by
+/// one.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 /// The most founders of a simulated fleet.
 const MAX_FOUNDERS: usize = 15;
 
-/// The proxies that are alive and their sides of a partition, in fact or in the view of the proxies.
+/// The proxies that are alive and their sides of a partition, in fact or in the view of the
+/// proxies.
 #[derive(Clone)]
 struct Liveness {
     alive: Vec<bool>,
@@ -164,8 +166,8 @@
         self.live_proxies().into_iter().map(|proxy| self.quota_of(proxy)).sum()
     }
 
-    /// Returns the largest sum of leased quotas so far, with attempts that began under earlier quotas;
-    /// none under the other rules.
+    /// Returns the largest sum of leased quotas so far, with attempts that began under earlier
+    /// quotas; none under the other rules.
     pub(super) fn largest_quota_in_use(&self) -> Option<f64> {
         let quota = self.quota.as_ref()?;
         Some(quota.max_parts_in_use as f64 / TOTAL_PARTS as f64)
--- a/crates/experiments/src/quota/proof.rs
+++ b/crates/experiments/src/quota/proof.rs
@@ -22,8 +22,8 @@
     /// The number of ticks of the model. A vote lasts two ticks, a lease three.
     #[arg(long, default_value_t = 8)]
     ticks: u64,
-    /// The rates of the three clocks, in thousandths. The guarantees are stated for clocks that differ
-    /// by at most two in a hundred.
+    /// The rates of the three clocks, in thousandths. The guarantees are stated for clocks that
+    /// differ by at most two in a hundred.
     #[arg(long, value_delimiter = ',', default_values_t = [1000, 1010, 990])]
     rates: Vec<u64>,
     /// The number of threads; by default the number of cores.
--- a/crates/experiments/src/soak/backends.rs
+++ b/crates/experiments/src/soak/backends.rs
@@ -1,4 +1,4 @@
-//! The backends of a soak: cache nodes and an origin whose behaviour follows from a seed. Read
+//! The backends of a soak: cache nodes and an origin whose behaviour is derived from a seed. Read
 //! [`Backend`] first.
 
 use super::record::{AttemptEnd, Observation, Record};
@@ -12,7 +12,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// No connection is read for longer than this.
+/// The longest time for which a backend waits for a request, or keeps a connection open without a
+/// complete response.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The time between two bytes of a response that trickles.
@@ -21,38 +22,38 @@
 /// The protocol of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
-    /// A cache node: the memcache meta commands.
+    /// A cache node, which speaks the memcache meta commands.
     Node,
-    /// The origin: HTTP/1.1.
+    /// The origin, which speaks HTTP/1.1.
     Origin,
 }
 
 /// What a backend does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Behaviour {
-    /// Serves it after a while.
+    /// Serves the request.
     Serve,
-    /// Lacks the key; the origin serves.
+    /// Responds that it lacks the key, so that the origin serves the request.
     Miss,
     /// Sends nothing until the proxy closes the connection.
     Hang,
-    /// Sends its response byte by byte.
+    /// Sends the response byte by byte.
     Trickle,
-    /// Sends half a response, and then nothing.
+    /// Sends half of the response, and nothing more until the proxy closes the connection.
     Stall,
-    /// Sends half a response and ends the connection.
+    /// Sends half of the response and closes the connection.
     CloseHalfway,
-    /// Rejects it.
+    /// Rejects the request.
     Busy,
-    /// Sends a failure.
+    /// Responds that the request failed.
     Fail,
-    /// Sends its response twice.
+    /// Sends the response twice.
     ServeTwice,
 }
 
-/// One backend. Its threads end with the program.
+/// A running backend, whose threads run until the program ends.
 pub(super) struct Backend {
-    /// Where it listens.
+    /// The address on which the backend listens.
     pub address: SocketAddr,
 }
 
@@ -72,7 +73,11 @@
 }
 
 impl Backend {
-    /// Starts one.
+    /// Starts a backend that records the attempts that it receives.
+    ///
+    /// # Errors
+    ///
+    /// If the backend cannot listen, or the kernel does not record when bytes arrive.
     pub(super) fn start(
         kind: Kind,
         number: usize,
@@ -87,7 +92,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let server = Arc::clone(&server);
-                // An error ends the connection, as it would at a real backend.
+                // An error closes the connection, as at a real backend.
                 thread::spawn(move || drop(server.serve(stream)));
             }
         });
@@ -136,7 +141,8 @@
         }
     }
 
-    /// Responds; returns how the attempt ended, and a moment before which it had not ended.
+    /// Responds as `behaviour` says. Returns a time before which the attempt had not ended, and how
+    /// the attempt ended.
     fn respond(
         &self,
         reader: &mut BufReader<ArrivalStream>,
@@ -156,7 +162,7 @@
         }
         let complete = self.complete_response(received, &value);
         let half = &complete.as_bytes()[..complete.len() / 2];
-        // A failed write ends the attempt as well.
+        // After a failed write the request may have run, as after an incomplete response.
         let write = |bytes: &[u8]| reader.get_ref().get_ref().write_all(bytes).is_ok();
         let (over_at, is_written) = match behaviour {
             Behaviour::Serve => (open_at, write(complete.as_bytes())),
@@ -203,7 +209,7 @@
         }
     }
 
-    /// The next request; none at the end of the connection.
+    /// Reads the next request; returns none at the end of the connection.
     fn read(&self, reader: &mut BufReader<ArrivalStream>) -> std::io::Result<Option<ReceivedRequest>> {
         reader.get_ref().get_ref().set_read_timeout(Some(READ_TIMEOUT))?;
         let mut head = String::new();
@@ -229,17 +235,19 @@
     }
 }
 
-/// A word of a command by its first letter, without it.
+/// Returns the value of a flag of a meta command: the first word that begins with `letter`, without
+/// the letter.
 fn flag(command: &str, letter: &str) -> Option<String> {
     command.split_whitespace().skip(1).find_map(|word| word.strip_prefix(letter)).map(str::to_owned)
 }
 
-/// The rest of the line with this beginning.
+/// Returns the value of an HTTP field: the rest of the first line that begins with `begins`.
 fn field(head: &str, begins: &str) -> Option<String> {
     head.lines().find_map(|line| line.strip_prefix(begins)).map(str::to_owned)
 }
 
-/// Writes a response byte by byte; returns a moment before its end, and whether it is complete.
+/// Writes a response byte by byte. Returns a time before which the attempt had not ended, and
+/// whether the response is complete.
 fn write_slowly(reader: &mut BufReader<ArrivalStream>, bytes: &[u8]) -> (Instant, bool) {
     let mut open_at = Instant::now();
     for (number, byte) in bytes.iter().enumerate() {
--- a/crates/experiments/src/soak/clients.rs
+++ b/crates/experiments/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! The clients of a soak. Each keeps its connection until the proxy closes it, also while the proxy
-//! drains, and sends one request after the other. Read [`Client::run`] first.
+//! The clients of a soak. Each sends one request after the other and keeps its connection until the
+//! proxy closes it, also while the proxy drains. Read [`Client::run`] first.
 
 use super::record::{Class, FinalResponse, Observation, Record};
 use pinetrail_test_harness::ArrivalStream;
@@ -11,29 +11,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The timeouts of clients.
+/// The client timeouts, one of which is chosen for each request.
 const TIMEOUTS_MS: [u64; 6] = [40, 90, 250, 480, 800, 900];
-/// During one request in this many the client disconnects.
+/// The client disconnects during one request in this many.
 const DISCONNECTS_ONE_IN: u32 = 25;
-/// A response that takes longer counts as missing.
+/// The time after which a client closes the connection of a request without a response.
 const READ_TIMEOUT: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a client waits after a failed connect.
+/// The time that a client waits after a failed connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 /// One client of one proxy.
 pub(super) struct Client {
-    /// The proxy's number.
+    /// The number of the proxy.
     pub proxy: usize,
-    /// Where it listens.
+    /// The address on which the proxy listens.
     pub address: SocketAddr,
-    /// This client's number among all.
+    /// The number of the client among those of the proxy.
     pub number: usize,
-    /// Seeds its random choices.
+    /// The seed of the client's random choices.
     pub seed: u64,
-    /// It begins no request after this.
+    /// The time after which the client begins no request.
     pub stop_at: Instant,
-    /// Where it records its observations.
+    /// The record to which the client adds its observations.
     pub record: Arc<Record>,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Client {
-    /// Sends requests until its end.
+    /// Sends requests until [`Client::stop_at`].
     pub(super) fn run(&self) {
         let mut rng = StdRng::seed_from_u64(self.seed ^ ((self.number as u64) << 32));
         let mut connection = None;
@@ -139,7 +139,9 @@
 /// Reads one response.
 ///
 /// # Errors
-/// [`ErrorKind::WouldBlock`] if it is not complete in time, others if the connection ended.
+///
+/// [`ErrorKind::WouldBlock`] if the response is not complete in time, another kind if the
+/// connection ended.
 fn read_response(stream: &mut BufReader<ArrivalStream>, until: Instant) -> std::io::Result<FinalResponse> {
     let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
     stream.get_ref().get_ref().set_read_timeout(Some(left))?;
--- a/crates/experiments/src/soak/judge.rs
+++ b/crates/experiments/src/soak/judge.rs
@@ -1,10 +1,10 @@
-//! The rules of a soak, checked on the observations of clients and backends: [`judge`]. It does not
-//! use the proxies' state or decisions.
+//! Checks the observations of the clients and backends of a soak against the rules: [`judge`]. The
+//! state and the decisions of the proxies are not used.
 //!
-//! Arrivals are as the kernel recorded them, and each other time is on the side that a proxy cannot
-//! be blamed for. Two errors are measured and added to the limits that they concern: the delays of
-//! this program, where it signals or publishes, and the time by which it stopped a proxy for longer
-//! than a proxy must tolerate.
+//! The times of arrivals are those that the kernel recorded, and each other time errs in favour of
+//! the proxy. Two errors are measured and added to the limits that they affect: the delays of this
+//! program where it sends signals or publishes endpoint lists, and the time by which it stopped a
+//! proxy for longer than a proxy must tolerate.
 
 use super::record::{AttemptEnd, Change, Class, FinalResponse, Observation, Record, Stop};
 use super::request_logs::RequestLogs;
@@ -13,102 +13,106 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-/// Added to every limit.
+/// The tolerance that is added to every limit.
 const CLOCK_TOLERANCE: Duration = Duration::from_millis(25);
-/// Delays of this program within this time of an observation count as its error.
+/// The time before and after an observation within which delays of this program count as its error.
 const DELAY_WINDOW: Duration = Duration::from_millis(400);
-/// A final response is in time for this long after its deadline.
+/// The time after its deadline within which a final response is still in time.
 const RESPONSE_SLACK: Duration = Duration::from_millis(60);
-/// Timeouts from this on leave time for a hold-up at their end. Responses to shorter ones only have
-/// to meet [`MISSING_AFTER`].
+/// The shortest timeout that leaves time for a hold-up at its end. With a shorter timeout, a
+/// response only has to meet [`MISSING_AFTER`].
 const LONG_TIMEOUT_MS: u64 = 734;
-/// A final response that comes later than this after its deadline counts as missing. Until then it
-/// is late.
+/// The time after its deadline from which a final response counts as missing instead of late.
 const MISSING_AFTER: Duration = Duration::from_millis(500);
-/// An attempt may begin this long after its client disconnected.
+/// The time after the client disconnected within which an attempt may still begin.
 const CANCEL_GRACE: Duration = Duration::from_millis(100);
-/// An attempt's budget may exceed the time that its client still waits by this.
+/// The time by which the budget of an attempt may exceed the time that the client still waits.
 const BUDGET_SLACK: Duration = Duration::from_millis(150);
-/// The deduplication window in the configuration, and its slack on sockets.
+/// The deduplication window in the configuration.
 pub(super) const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(300);
+/// The time after the deduplication window in which a repeat may still arrive over the network.
 const WINDOW_SLACK: Duration = Duration::from_millis(50);
-/// New attempts may go to a backend for this long after it was listed as draining.
+/// The time after a backend was listed as draining in which it may still get new attempts.
 const DRAIN_GRACE: Duration = Duration::from_millis(2200);
-/// Proxies must know a change this long after the end of an outage of discovery.
+/// The time after an outage of discovery within which a proxy must receive the endpoint list.
 const OUTAGE_RECOVERY_TIME: Duration = Duration::from_secs(6);
-/// A SIGKILL excuses missing responses only to requests sent up to this long after SIGTERM.
+/// The time after SIGTERM within which a request must be sent for SIGKILL to excuse its missing
+/// response.
 const KILL_EXCUSE_WINDOW: Duration = Duration::from_millis(700);
 
-/// A proxy plans the response to a short wait for this part of it.
+/// The fraction of a short timeout at which a proxy plans to respond.
 const PLANNED_FRACTION: f64 = 0.85;
-/// A proxy that was stopped writes what is due within this time.
+/// The time within which a proxy writes responses that became due while it was stopped.
 const CATCH_UP_TIME: Duration = Duration::from_millis(10);
-/// Changes of proxies, backends and discovery are shown from this long before a request.
+/// The time before a request from which changes of proxies, backends and discovery are shown.
 const CHANGES_SHOWN_BEFORE: Duration = Duration::from_secs(8);
 
 /// A rule of the soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Rule {
-    /// No final response, or one that is too late.
+    /// A request has no final response, or one that comes so late that it counts as missing.
     Unanswered,
-    /// A final response after the slack of a long wait.
+    /// The final response to a request with a long timeout is late.
     Late,
-    /// A connection was closed over a request that a backend had seen, or that was its first.
+    /// A connection was closed without a response to a request that had reached a backend, or that
+    /// was the first on the connection.
     ClosedUnanswered,
-    /// A value that no backend returned for this request.
+    /// A response has a value that no backend returned for this request.
     UnknownValue,
-    /// An attempt after the client had disconnected.
+    /// An attempt began after the client had disconnected.
     AfterDisconnect,
-    /// An attempt after the final response.
+    /// An attempt began after the final response.
     AfterResponse,
     /// The budget of an attempt was longer than the time that the client still waited.
     BudgetTooLong,
-    /// Two attempts at once.
+    /// Two attempts of a request ran at once.
     ConcurrentAttempts,
-    /// Another attempt though an earlier one may have run.
+    /// A request that is not idempotent was repeated although an earlier attempt may have run.
     UnsafeRepeat,
-    /// The same, after the deduplication window.
+    /// A request with an idempotency key was repeated after the deduplication window although an
+    /// earlier attempt may have run.
     RepeatAfterWindow,
-    /// A rejection though an attempt may have run.
+    /// A request that is not idempotent was rejected although an attempt may have run.
     RejectedAfterRun,
-    /// An attempt at a backend that is draining.
+    /// A backend got an attempt too long after it was listed as draining.
     Draining,
 }
 
 /// A violation of a rule.
 #[derive(Clone, Debug)]
 pub(super) struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
     /// The request's id.
     pub request: String,
-    /// All observations of the request, a line each.
+    /// All that is known of the request in the order of time, a line each.
     pub timeline: String,
 }
 
-/// A final response after the slack of a short timeout, although the proxy ran.
+/// A late final response to a request with a short timeout that no stop of the proxy explains.
 #[derive(Clone, Debug)]
 pub(super) struct LateResponse {
     /// The request's id.
     pub request: String,
-    /// All that is known of it.
+    /// All that is known of the request in the order of time, a line each.
     pub timeline: String,
 }
 
 /// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Verdict {
-    /// Requests that were sent.
+    /// The number of requests that were sent.
     pub requests: usize,
-    /// Of them, those served.
+    /// The number of requests that were served.
     pub served: usize,
-    /// Final responses after the slack of a short timeout.
+    /// The number of late final responses to requests with short timeouts.
     pub late_after_short_timeouts: usize,
-    /// Those of them that no stop of the proxy explains, with their timelines.
+    /// The late final responses to requests with short timeouts that no stop of the proxy explains.
     pub unexplained_late: Vec<LateResponse>,
-    /// The longest time between the arrival of an attempt and its read by a backend of this program.
+    /// The longest time between the arrival of an attempt and its read by a backend of this
+    /// program.
     pub longest_read_delay: Duration,
-    /// The violations.
+    /// The violations of rules.
     pub violations: Vec<Violation>,
 }
 
@@ -121,9 +125,10 @@
 
 /// The observations of one request.
 struct Request {
-    /// Before its first byte was written.
+    /// The time before the first byte was written.
     sent: Instant,
-    /// After its last byte was written. Its time counts from some moment between the two.
+    /// The time after the last byte was written. The timeout counts from a time between
+    /// [`Request::sent`] and this one.
     written: Instant,
     proxy: usize,
     class: Class,
@@ -136,7 +141,7 @@
 }
 
 impl Request {
-    /// The latest moment at which its client's wait ended.
+    /// Returns the latest time at which the client's timeout may have ended.
     fn deadline(&self) -> Instant {
         self.written + self.timeout
     }
@@ -153,7 +158,7 @@
     verdict: Verdict,
 }
 
-/// Judges a run that lasted from `began` to `ended`.
+/// Checks a run that lasted from `began` to `ended` against the rules.
 pub(super) fn judge(record: &Record, logs: &RequestLogs, began: Instant, ended: Instant) -> Verdict {
     let (observations, changes, delays, stops) =
         (record.requests(), record.changes(), record.delays(), record.stops());
@@ -263,7 +268,7 @@
             FinalResponse::Served(value) => {
                 self.verdict.served += 1;
                 let is_from_backend = |attempt: &Attempt| matches!(&attempt.end, Some((_, AttemptEnd::Served(given))) if given == value);
-                // A backend records the end of its response only after it was written.
+                // A backend records the end of an attempt only after it has written the response.
                 let is_open = |attempt: &Attempt| attempt.end.is_none();
                 if !request.attempts.values().any(|attempt| is_from_backend(attempt) || is_open(attempt)) {
                     self.report(Rule::UnknownValue, id);
@@ -280,11 +285,11 @@
         }
     }
 
-    /// A connection ended without a response. A request that the proxy did not read can be sent
-    /// again by its client, and is not lost.
+    /// Checks a request whose connection ended without a response. A request that the proxy did not
+    /// read is not lost, because the client can send it again.
     fn judge_closed_connection(&mut self, id: &str, request: &Request, at: Instant) {
         let proxy = request.proxy;
-        // The process ended at some moment between the two.
+        // The process ended at a time between the two changes.
         let kills = self.changes_of(Change::Killed(proxy)).zip(self.changes_of(Change::Ended(proxy)));
         let killed = kills
             .filter(|(killed, ended)| *ended >= request.sent && *killed <= at)
@@ -295,7 +300,8 @@
         let started = self.changes_of(Change::Started(proxy)).filter(|start| *start <= request.sent).last();
         let is_draining = terminated.is_some() && started.is_none_or(|start| Some(start) < terminated);
         if let Some(killed) = killed {
-            // A request sent late in a drain must have its response before SIGKILL.
+            // The response to a request that was sent late in a drain must be written before
+            // SIGKILL.
             let was_sent_late =
                 terminated.is_some_and(|term| is_draining && request.sent > term + KILL_EXCUSE_WINDOW);
             if !was_sent_late || killed < request.sent {
@@ -332,7 +338,8 @@
 
     fn judge_repeats(&mut self, id: &str, request: &Request) {
         let mut attempts: Vec<&Attempt> = request.attempts.values().collect();
-        // The numbers of attempts are in the order in which threads of different backends read them.
+        // Attempts are numbered in the order in which the threads of the backends read them, which
+        // may differ from the order of arrival.
         attempts.sort_by_key(|attempt| attempt.arrived);
         for (number, later) in attempts.iter().enumerate().skip(1) {
             let earlier = &attempts[..number];
@@ -355,10 +362,10 @@
         }
     }
 
-    /// The latest time at which a proxy received the drain of a backend, if it is draining at this
-    /// moment. A process that has started since receives it with its first watch, and may serve
-    /// before this program knows that it is ready. After an outage of discovery a proxy has
-    /// [`OUTAGE_RECOVERY_TIME`].
+    /// Returns the latest time at which a proxy learned that a backend is draining, if the backend
+    /// is draining at `at`. A process that has started since learns it with its first watch, and
+    /// may serve before this program knows that it is ready. After an outage of discovery a proxy
+    /// has [`OUTAGE_RECOVERY_TIME`].
     fn drain_listed_at(&self, proxy: usize, backend: usize, at: Instant) -> Option<Instant> {
         let since = self.draining_since(backend, at)?;
         let last = |change| self.changes_of(change).filter(|changed| *changed <= at).last();
@@ -373,7 +380,7 @@
         }
     }
 
-    /// Since when a backend is listed as draining, if it is at this moment.
+    /// Returns since when a backend is listed as draining, if it is at `at`.
     fn draining_since(&self, backend: usize, at: Instant) -> Option<Instant> {
         let is_state = |change: &Change| [Change::Draining(backend), Change::Ready(backend)].contains(change);
         let last = self.changes.iter().rfind(|(changed, change)| *changed <= at && is_state(change))?;
@@ -384,8 +391,9 @@
         self.changes.iter().filter(move |(_, change)| *change == wanted).map(|(at, _)| *at)
     }
 
-    /// Whether a proxy was stopped when it planned the response to a short wait, and wrote it as soon
-    /// as it went on. No proxy can do better without answering all requests earlier.
+    /// Returns whether a proxy was stopped at the time at which it planned a response to a request
+    /// with a short timeout, and wrote the response as soon as it continued. A proxy could only do
+    /// better if it responded earlier to all requests.
     fn is_explained_by_stop(&self, request: &Request, answered: Instant) -> bool {
         let planned = request.sent + request.timeout.mul_f64(PLANNED_FRACTION);
         let explains = |stop: &Stop| {
@@ -394,15 +402,16 @@
         self.stops.iter().any(explains)
     }
 
-    /// By how much this program stopped a proxy for longer than a proxy must tolerate, in stops that
-    /// fall into a span.
+    /// Returns by how much this program stopped a proxy for longer than a proxy must tolerate, in
+    /// the stops that overlap a period.
     fn excess_stop(&self, proxy: usize, from: Instant, until: Instant) -> Duration {
         let overlaps = |stop: &&Stop| stop.proxy == proxy && stop.began <= until && stop.ended >= from;
         let stops = self.stops.iter().filter(overlaps);
         stops.map(|stop| stop.ended.duration_since(stop.began).saturating_sub(HOLD_UP_DURATION)).sum()
     }
 
-    /// The error of a time at which this program signalled or published something.
+    /// Returns the error of a time at which this program sent a signal or published an endpoint
+    /// list.
     fn tolerance(&self, at: Instant) -> Duration {
         let from = at.checked_sub(DELAY_WINDOW).unwrap_or(self.began);
         let first = self.delays.partition_point(|(delayed, _)| *delayed < from);
@@ -416,8 +425,8 @@
         self.verdict.violations.push(Violation { rule, request: id.to_owned(), timeline });
     }
 
-    /// All that is known of a request in the order of time: observations, the proxy's log, and the
-    /// changes and stops around them.
+    /// Returns all that is known of a request in the order of time: observations, log lines of the
+    /// proxy, and the changes and stops around them.
     fn timeline(&self, id: &str) -> String {
         let own = self.observations.iter().filter(|(_, seen_id, _)| seen_id == id);
         let mut lines: Vec<(Instant, String)> =
--- a/crates/experiments/src/soak/judge/tests.rs
+++ b/crates/experiments/src/soak/judge/tests.rs
@@ -4,10 +4,10 @@
 const ID: &str = "O0.0.1";
 const PROXY: usize = 0;
 const NODE: usize = 1;
-/// How long the client of these tests waits.
+/// The timeout of the client in these tests.
 const TIMEOUT_MS: u64 = 40;
 
-/// Observations of one request, at times after its beginning.
+/// The observations of one request, at times after the beginning of the run.
 struct Case {
     began: Instant,
     record: Record,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Guards against a proxy that still writes an attempt after its client has its response.
+/// Guards against a proxy that still sends an attempt after the client has the final response.
 #[test]
 fn an_attempt_60_ms_after_the_response_is_a_violation() {
     let case = Case::new();
@@ -71,7 +71,7 @@
 fn attempts_are_ordered_by_their_arrival() {
     let case = Case::new();
     case.sent(0);
-    // The thread that read the first one was late, so that the second has the lower number.
+    // The thread that read the first attempt was late, so the second attempt has the lower number.
     case.attempt_arrived(1, 2, 34);
     case.attempt_ended(5, 2);
     case.attempt_arrived(6, 1, 28);
@@ -101,7 +101,7 @@
         case.sent(0);
         let stop = Stop { proxy: PROXY, began: case.began, ended: case.began + ms(180) };
         case.record.note_stop(stop);
-        // 34 ms were left when it was encoded.
+        // The proxy encoded the budget when 34 ms of the timeout were left.
         let budget_ms = if broken.is_empty() { 34 } else { 210 };
         case.attempt_arrived(arrived_ms, 1, budget_ms);
         case.attempt_ended(arrived_ms + 1, 1);
@@ -111,7 +111,8 @@
     }
 }
 
-/// Seed 81036 beside load: the new process served before this program knew that it was ready.
+/// Guards against a false violation: on a loaded machine, in seed 81036, the new process served
+/// requests before this program knew that it was ready.
 #[test]
 fn a_new_process_may_use_a_draining_node_until_its_grace_is_over() {
     let drained_and_restarted = |sent_ms| {
@@ -133,7 +134,8 @@
     assert_eq!(drained_and_restarted(5600), [Rule::Draining], "by the new one, too late");
 }
 
-/// Seed 81036 beside load: SIGKILL took effect 30 ms after this program had noted it.
+/// Guards against a false violation: on a loaded machine, in seed 81036, SIGKILL took effect 30 ms
+/// after this program had recorded it.
 #[test]
 fn a_kill_excuses_what_was_sent_until_the_process_had_ended() {
     let cut_off = |sent_ms| {
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -1,9 +1,9 @@
-//! `pinetrail-experiments soak`: several real processes under seeded mixes of faults. The rules are
-//! checked on what clients and backends observe. Read [`run`] first.
+//! The subcommand `soak`: runs several real processes under seeded mixes of faults, and checks what
+//! clients and backends observe against rules. Read [`run`] first.
 //!
-//! `plan` derives the faults from a seed, `clients` and `backends` make traffic and record their
-//! observations in a `record`, `judge` checks these against the rules, `request_logs` has what the
-//! proxies logged.
+//! `plan` derives the faults from a seed, `clients` and `backends` generate traffic and add their
+//! observations to a `record`, `judge` checks these against the rules, and `request_logs` reads
+//! what the proxies logged.
 
 mod backends;
 mod clients;
@@ -26,7 +26,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What to play.
+/// The options of `soak`.
 #[derive(Args)]
 pub(crate) struct Options {
     /// The first seed.
@@ -35,42 +35,45 @@
     /// The last seed.
     #[arg(long, default_value_t = 3)]
     last: u64,
-    /// How long each seed is played, in seconds.
+    /// The duration of the load for each seed, in seconds.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(5..=600))]
     seconds: u64,
-    /// Late responses after short waits that no stop explains: so many are shown for each seed.
+    /// The number of late responses to requests with short timeouts that are shown for each seed,
+    /// of those that no stop of the proxy explains.
     #[arg(long, default_value_t = 0)]
     show_late: usize,
-    /// Which faults are played.
+    /// The mix of faults that is played.
     #[arg(long, value_enum, default_value_t = FaultMix::Standard)]
     faults: FaultMix,
 }
 
-/// How long a crowd stays.
+/// The time for which a crowd keeps its connections.
 const CROWD_DURATION: Duration = Duration::from_secs(2);
-/// The time between the signals at a restart.
+/// The time between the signals of a restart or of a series.
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(20);
-/// Violations of one seed that are shown with their timelines.
+/// The most violations of one seed that are shown with their timelines.
 const MAX_SHOWN_VIOLATIONS: usize = 5;
 const NODES: usize = 4;
 /// The number of the origin among the backends.
 const ORIGIN: usize = NODES;
 const CLIENTS_PER_PROXY: usize = 6;
 /// The time from SIGTERM to SIGKILL: the longest timeout of the configuration's classes, and the
-/// time that the platform adds.
+/// time that the platform adds to it.
 const TERM_TO_KILL: Duration = Duration::from_millis(1700);
-/// How long a process is stopped.
+/// The duration of a hold-up: a proxy must tolerate that it is stopped for this time.
 const HOLD_UP_DURATION: Duration = Duration::from_millis(150);
-/// Two hold-ups without a break would be one that is longer than a proxy must tolerate.
+/// The least time between two hold-ups of a proxy. Without a break, they would be one that is
+/// longer than a proxy must tolerate.
 const TIME_BETWEEN_HOLD_UPS: Duration = Duration::from_millis(60);
-/// How long open requests have after the end of the load.
+/// The time that requests in flight have to end after the end of the load.
 const WIND_DOWN_TIME: Duration = Duration::from_secs(3);
-/// Idle connections of a crowd: more than a proxy's descriptors allow.
+/// The connections of a crowd: more than the descriptors of a proxy allow.
 const CROWD_CONNECTIONS: usize = 220;
-/// The deduplication window in the default configuration, which the soak shortens.
+/// The deduplication window in the default configuration, which the soak replaces by
+/// [`DEDUPLICATION_WINDOW`].
 const DEFAULT_WINDOW: &str = r#""RepeatWindow":5000.0"#;
 
-/// Runs the soak; returns whether no rule was violated.
+/// Plays all seeds and prints their verdicts. Returns whether no rule was violated.
 pub(crate) fn run(options: &Options) -> Result<bool, ExperimentError> {
     if options.first > options.last {
         return Err(ExperimentError::EmptySeedRange { first: options.first, last: options.last });
@@ -93,7 +96,7 @@
     let violations = verdict.violations.len();
     let (requests, served, late) = (verdict.requests, verdict.served, verdict.late_after_short_timeouts);
     println!(
-        "seed {:3}: {}: {requests} requests, {served} served, {late} late after short waits ({} without a stop), \
+        "seed {:3}: {}: {requests} requests, {served} served, {late} late responses after short timeouts ({} without a stop of the proxy), \
          {violations} violations; backends read up to {} ms late",
         plan.seed,
         plan.summary,
@@ -101,7 +104,7 @@
         verdict.longest_read_delay.as_millis()
     );
     for Violation { rule, request, timeline } in verdict.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
-        println!("  {rule:?} by request {request}\n{timeline}");
+        println!("  violation of {rule:?} by request {request}\n{timeline}");
     }
     for LateResponse { request, timeline } in verdict.unexplained_late.iter().take(options.show_late) {
         println!("  late response to request {request}\n{timeline}");
@@ -111,12 +114,12 @@
         let faults =
             options.faults.to_possible_value().map_or(String::new(), |mix| mix.get_name().to_owned());
         println!(
-            "  to repeat: pinetrail-experiments soak --first {seed} --last {seed} --seconds {seconds} --faults {faults}"
+            "  to reproduce: pinetrail-experiments soak --first {seed} --last {seed} --seconds {seconds} --faults {faults}"
         );
     }
 }
 
-/// The processes of a run and the servers that they call.
+/// The proxies of a run, and the backends and the discovery service that they call.
 struct TestBed {
     proxies: Vec<ProxyFixture>,
     backends: Vec<Backend>,
@@ -140,7 +143,7 @@
         test_bed.inject(*fault);
     }
     for client in clients {
-        // A client that panicked has printed why.
+        // A client that panicked has printed the reason.
         let _ = client.join();
     }
     thread::sleep(WIND_DOWN_TIME.saturating_sub(stop_at.elapsed()));
@@ -223,7 +226,8 @@
         }
     }
 
-    /// SIGTERM, signals after it, and SIGKILL at the earliest moment that the platform allows.
+    /// Sends SIGTERM, further signals, and SIGKILL at the earliest time that the platform allows.
+    /// Starts the proxy again.
     fn restart(&mut self, proxy: usize) {
         self.record.note_change(Change::Terminated(proxy));
         let terminated = Instant::now();
@@ -233,7 +237,7 @@
             thread::sleep(SIGNAL_INTERVAL);
         }
         thread::sleep(TERM_TO_KILL.saturating_sub(HOLD_UP_DURATION).saturating_sub(terminated.elapsed()));
-        // The last responses must be written before a hold-up that lasts until SIGKILL.
+        // The proxy is stopped from here until SIGKILL, so it must have written its last responses.
         let began = Instant::now();
         fixture.signal("STOP");
         thread::sleep(TERM_TO_KILL.saturating_sub(terminated.elapsed()));
@@ -241,7 +245,8 @@
         self.kill(proxy);
     }
 
-    /// Stops a proxy for a while. It has run for some time since it was stopped last.
+    /// Stops a proxy for [`HOLD_UP_DURATION`], at least [`TIME_BETWEEN_HOLD_UPS`] after it was last
+    /// stopped.
     fn hold_up(&self, proxy: usize) {
         if let Some(last) = self.record.stops().iter().rfind(|stop| stop.proxy == proxy) {
             thread::sleep(TIME_BETWEEN_HOLD_UPS.saturating_sub(last.ended.elapsed()));
@@ -253,8 +258,8 @@
         self.record.note_stop(Stop { proxy, began, ended: Instant::now() });
     }
 
-    /// Signals in series, SIGTERM while a reload is under way; the process has the same time as
-    /// before a SIGKILL to end by itself.
+    /// Sends a series of signals, with SIGTERM while a reload is under way, and starts the proxy
+    /// again. The process has [`TERM_TO_KILL`] to end by itself before it is killed.
     fn end_by_signals(&mut self, proxy: usize) {
         let fixture = &self.proxies[proxy];
         for signal in ["HUP", "USR1", "HUP"] {
@@ -290,7 +295,8 @@
         self.discovery.publish(endpoint_list_json(self.generation, true, &entries));
     }
 
-    /// Idle clients that fill a proxy's descriptors for [`CROWD_DURATION`].
+    /// Connects a crowd of idle clients, which use up the descriptors of a proxy for
+    /// [`CROWD_DURATION`].
     fn crowd(&self, proxy: usize) {
         self.record.note_change(Change::Crowd(proxy));
         let address = self.proxies[proxy].client_address;
--- a/crates/experiments/src/soak/plan.rs
+++ b/crates/experiments/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of a soak, from a seed: [`Plan`].
+//! The faults of a soak, which are derived from a seed: [`Plan`].
 
 use super::{HOLD_UP_DURATION, NODES, TERM_TO_KILL};
 use clap::ValueEnum;
@@ -6,44 +6,48 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Which faults are played. The standard ones are those of CI, whose seeds must not change.
+/// The kinds of faults that are played. CI plays fixed seeds of the standard mix, so the faults of
+/// its seeds must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(super) enum FaultMix {
-    /// Hold-ups, reloads, restarts, kills, drains, outages of discovery; crowds in some seeds.
+    /// Hold-ups, reloads, restarts, kills, drains and outages of discovery, and in some seeds
+    /// crowds of idle clients.
     Standard,
-    /// Also signals in series after which a process ends by itself, a crowd in one seed of four, and
-    /// hold-ups in pairs: at the arrival of long requests, and when their responses are planned.
+    /// The standard faults, and also series of signals after which a process ends by itself, a
+    /// crowd in one seed of four, and hold-ups in pairs: at the arrival of requests with long
+    /// timeouts, and when their responses are planned.
     Wide,
 }
 
-/// A fault of a proxy, by its number, of a node or of discovery.
+/// A fault of a proxy or of a cache node, by its number, or of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
-    /// The process is stopped for [`HOLD_UP_DURATION`].
+    /// A proxy is stopped for [`HOLD_UP_DURATION`].
     HoldUp(usize),
-    /// Three configurations in a row, one of them broken.
+    /// A proxy loads three configurations in a row, the second of which is invalid.
     Reload(usize),
-    /// SIGTERM, further signals, SIGKILL, and a new start.
+    /// A proxy is sent SIGTERM, further signals and SIGKILL, and is started again.
     Restart(usize),
-    /// SIGKILL without SIGTERM, and a new start.
+    /// A proxy is sent SIGKILL without SIGTERM, and is started again.
     Kill(usize),
-    /// Signals in series, SIGTERM the last; the process ends by itself, and is started anew.
+    /// A proxy is sent a series of signals that ends with SIGTERM, ends by itself, and is started
+    /// again.
     SignalSeries(usize),
-    /// A node is listed as draining.
+    /// A cache node is listed as draining.
     Drain(usize),
-    /// It is listed as ready again.
+    /// A cache node that was draining is listed as ready again.
     Undrain(usize),
     /// Discovery ends its watches and does not respond.
     DiscoveryDown,
     /// Discovery responds again.
     DiscoveryUp,
-    /// Idle clients fill the proxy's descriptors.
+    /// A crowd of idle clients uses up the descriptors of a proxy.
     Crowd(usize),
 }
 
 impl Fault {
-    /// How long it takes. The next fault comes after it: two hold-ups without a break would be one
-    /// that is longer than a proxy must tolerate.
+    /// Returns the duration of the fault. The next fault begins after it, because two hold-ups
+    /// without a break would be one that is longer than a proxy must tolerate.
     fn duration(self) -> Duration {
         match self {
             Fault::HoldUp(_) => HOLD_UP_DURATION,
@@ -53,32 +57,33 @@
     }
 }
 
-/// The scenario of one seed.
+/// The proxies and the faults of one seed.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
-    /// The seed.
+    /// The seed from which the plan is derived.
     pub seed: u64,
-    /// How many proxies there are.
+    /// The number of proxies.
     pub proxies: usize,
-    /// How long clients send requests.
+    /// The time for which clients send requests.
     pub duration: Duration,
-    /// The faults with their times, in the order of time. A fault delays the next until it is over.
+    /// The faults in the order of time, each with its planned time. A fault delays the next one
+    /// until it is over.
     pub faults: Vec<(Duration, Fault)>,
-    /// The number of faults of each kind, for the report.
+    /// The numbers of proxies and of faults of each kind, for the report.
     pub summary: String,
 }
 
-/// No fault begins in this first part of a run, while proxies start to serve.
+/// The time without faults at the beginning of a run, in which the proxies start to serve.
 const FAULT_FREE_START: Duration = Duration::from_millis(500);
-/// No fault begins in this last part of a run.
+/// The time at the end of a run in which no fault is drawn.
 const FAULT_FREE_END: Duration = Duration::from_millis(500);
-/// Discovery is down for this long.
+/// The duration of an outage of discovery.
 const OUTAGE_DURATION: Duration = Duration::from_millis(1200);
-/// How long a node is draining.
+/// The time for which a cache node is listed as draining.
 const DRAIN_DURATION: Duration = Duration::from_millis(3500);
 
 impl Plan {
-    /// The plan of a seed.
+    /// Derives the plan of a seed.
     pub(super) fn from_seed(seed: u64, duration: Duration, mix: FaultMix) -> Plan {
         let mut rng = StdRng::seed_from_u64(seed);
         let proxies = rng.random_range(3..=5);
@@ -113,7 +118,8 @@
             }
         }
         if mix == FaultMix::Wide {
-            // Drawn after the standard faults, so that those of a seed are the same in both mixes.
+            // Drawn after the standard faults, so that the standard faults of a seed are drawn
+            // alike in both mixes.
             add_wide_faults(&mut faults, &mut rng, proxies);
         }
         faults.sort_by_key(|(at, _)| *at);
@@ -122,12 +128,13 @@
     }
 }
 
-/// The second hold-up of a pair begins this long after the first one did, in ms: when the responses
-/// to waits of 800 and 900 ms that arrived in the first are planned.
+/// The time in ms from the beginning of the first hold-up of a pair until the second begins.
+/// Proxies then plan the responses to requests with timeouts of 800 and 900 ms that arrived in the
+/// first.
 const PAIR_OFFSET_MS: std::ops::RangeInclusive<u64> = 600..=820;
 
-/// Has every second restart end a process by signals in series, adds hold-ups that
-/// follow others, and a crowd in one seed of four.
+/// Replaces half of the restarts by series of signals, adds a second hold-up to half of the
+/// hold-ups, and adds a crowd in one seed of four.
 fn add_wide_faults(faults: &mut Vec<(Duration, Fault)>, rng: &mut StdRng, proxies: usize) {
     for (_, fault) in faults.iter_mut() {
         if let Fault::Restart(proxy) = *fault {
--- a/crates/experiments/src/soak/record.rs
+++ b/crates/experiments/src/soak/record.rs
@@ -4,75 +4,76 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The effect of a class of requests, as the configuration gives it.
+/// A class of requests of the configuration, with its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Class {
-    /// Idempotent.
+    /// Requests are idempotent.
     Read,
-    /// Idempotent with a key: repeats are dropped within a window.
+    /// Requests have an idempotency key: backends drop repeats within the deduplication window.
     Put,
-    /// Not idempotent.
+    /// Requests are not idempotent.
     Confirm,
 }
 
-/// A final response.
+/// The final response to a request, as its client read it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum FinalResponse {
-    /// A value or a receipt.
+    /// The request was served with this value or receipt.
     Served(String),
-    /// Rejected, which promises that a retry is harmless.
+    /// The request was rejected, which promises that it had no effect and a retry is harmless.
     Rejected,
-    /// Failed, without a promise.
+    /// The request failed, and it may have had an effect.
     Failed,
 }
 
 /// How an attempt ended, as its backend observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum AttemptEnd {
-    /// This was returned completely.
+    /// The backend sent a complete response with this value.
     Served(String),
-    /// It had no effect: a miss, or a rejection.
+    /// The attempt had no effect, because it was a miss or a rejection.
     NeverRan,
-    /// The connection ended, or the response was incomplete or a failure.
+    /// The attempt may have had an effect, because the connection ended, or the response was
+    /// incomplete or a failure.
     MayHaveRun,
 }
 
-/// One observation.
+/// An observation of a request by its client, or of one of its attempts by a backend.
 #[derive(Clone, Debug)]
 pub(super) enum Observation {
-    /// A client began to write a request, and had written its last byte after `write_time`.
+    /// A client began to write the request, and had written its last byte after `write_time`.
     Sent { proxy: usize, class: Class, timeout_ms: u64, is_first_on_connection: bool, write_time: Duration },
-    /// The last byte of its final response arrived.
+    /// The last byte of the final response arrived at the client.
     Answered(FinalResponse),
-    /// Its connection ended without one.
+    /// The connection of the client ended without a final response.
     ConnectionEnded,
-    /// Its client has closed the connection.
+    /// The client disconnected without waiting for the response.
     Disconnected,
-    /// The last byte of an attempt arrived at a backend.
+    /// The last byte of an attempt arrived at a backend, which read it after `read_delay`.
     AttemptArrived { attempt: u64, backend: usize, budget_ms: u64, read_delay: Duration },
-    /// An attempt ended at this moment or later: the backend began to write the end of its
-    /// response, or the end of the connection arrived.
+    /// An attempt ended at this time or later: the backend began to write the end of the response,
+    /// or the end of the connection arrived.
     AttemptEnded { attempt: u64, end: AttemptEnd },
 }
 
-/// A change of a proxy, a backend or discovery.
+/// A change of a proxy, of a backend or of discovery that the soak made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Change {
-    /// A proxy was sent SIGTERM.
+    /// A proxy is about to be sent SIGTERM.
     Terminated(usize),
     /// A proxy is about to be sent SIGKILL.
     Killed(usize),
-    /// A proxy that was killed has ended. From now on another process has its place.
+    /// A proxy that was killed has ended. Another process takes its place from now on.
     Ended(usize),
     /// A proxy that was sent SIGTERM has ended by itself.
     Exited(usize),
-    /// A proxy that was started anew is ready.
+    /// A proxy that was started again is ready.
     Started(usize),
-    /// A backend is listed as draining.
+    /// A backend is about to be listed as draining.
     Draining(usize),
-    /// A backend is listed as ready again.
+    /// A backend is about to be listed as ready again.
     Ready(usize),
-    /// Discovery ends its watches and does not respond.
+    /// Discovery is about to end its watches, and does not respond from now on.
     DiscoveryDown,
     /// Discovery responds again.
     DiscoveryUp,
@@ -80,33 +81,33 @@
     Crowd(usize),
 }
 
-/// A time for which this program stopped a proxy.
+/// A period for which the soak stopped a proxy by SIGSTOP.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Stop {
-    /// The proxy.
+    /// The number of the proxy.
     pub proxy: usize,
-    /// Before it was sent SIGSTOP.
+    /// The time just before the proxy was sent SIGSTOP.
     pub began: Instant,
-    /// After it was sent SIGCONT, or SIGKILL.
+    /// The time just after the proxy was sent SIGCONT, or just before it is sent SIGKILL.
     pub ended: Instant,
 }
 
-/// All observations of one run.
+/// All observations of one run, and the delays of the soak itself.
 #[derive(Debug, Default)]
 pub(super) struct Record {
-    /// Guards the observations of requests, each with the id of its request.
+    /// Guards the observations, each with its time and the id of its request.
     requests: Mutex<Vec<(Instant, String, Observation)>>,
-    /// Guards the changes.
+    /// Guards the changes, each with its time.
     changes: Mutex<Vec<(Instant, Change)>>,
-    /// Guards the times for which proxies were stopped.
+    /// Guards the periods for which proxies were stopped.
     stops: Mutex<Vec<Stop>>,
-    /// Guards by how much the sleeps of this program were too long.
+    /// Guards by how much the sleeps of this program were too long, each with the time of its end.
     delays: Mutex<Vec<(Instant, Duration)>>,
-    /// Guards the number of attempts.
+    /// Guards the number of attempts that have arrived at backends so far.
     attempts: Mutex<u64>,
 }
 
-/// How often this program measures its own delay.
+/// The interval at which this program measures its own delay.
 const DELAY_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Record {
@@ -125,20 +126,20 @@
         self.changes.lock().unwrap_or_else(PoisonError::into_inner).push((at, change));
     }
 
-    /// Records a time for which a proxy was stopped.
+    /// Records a period for which a proxy was stopped.
     pub(super) fn note_stop(&self, stop: Stop) {
         self.stops.lock().unwrap_or_else(PoisonError::into_inner).push(stop);
     }
 
-    /// A number for an attempt.
+    /// Returns the number of the next attempt.
     pub(super) fn next_attempt(&self) -> u64 {
         let mut attempts = self.attempts.lock().unwrap_or_else(PoisonError::into_inner);
         *attempts += 1;
         *attempts
     }
 
-    /// Measures the delay of this program itself until `ends`; recorded times have an error of this
-    /// size.
+    /// Measures until `ends` by how much the threads of this program are scheduled late. The
+    /// recorded times have an error of this size.
     pub(super) fn measure_own_delays(&self, ends: Instant) {
         while Instant::now() < ends {
             let began = Instant::now();
@@ -148,24 +149,24 @@
         }
     }
 
-    /// The observations of requests, in the order of time.
+    /// Returns the observations of requests in the order of time.
     pub(super) fn requests(&self) -> Vec<(Instant, String, Observation)> {
         let mut observations = self.requests.lock().unwrap_or_else(PoisonError::into_inner).clone();
         observations.sort_by_key(|(at, _, _)| *at);
         observations
     }
 
-    /// The changes, in the order of time.
+    /// Returns the changes in the order in which they were recorded.
     pub(super) fn changes(&self) -> Vec<(Instant, Change)> {
         self.changes.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The times for which proxies were stopped.
+    /// Returns the periods for which proxies were stopped.
     pub(super) fn stops(&self) -> Vec<Stop> {
         self.stops.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The delays of this program, in the order of time.
+    /// Returns the delays of this program in the order of time.
     pub(super) fn delays(&self) -> Vec<(Instant, Duration)> {
         self.delays.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/experiments/src/soak/request_logs.rs
+++ b/crates/experiments/src/soak/request_logs.rs
@@ -1,5 +1,5 @@
-//! The request logs of the proxies of a soak, of which a violation shows the lines that concern it:
-//! [`RequestLogs`].
+//! The request logs of the proxies of a soak, from which the report of a violation takes the lines
+//! about its request: [`RequestLogs`].
 
 use pinetrail_test_harness::{keep_request_logs, run_folder};
 use std::io;
@@ -7,35 +7,36 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Faults that a proxy logged within this time of a violation are shown with it.
+/// The time before the first and after the last log line of a request for which the faults of the
+/// same process are shown.
 const FAULT_WINDOW: Duration = Duration::from_millis(500);
-/// Where the time of the day begins in a line, and where it ends.
+/// The position of the time of day in a line.
 const TIME_OF_DAY: std::ops::Range<usize> = 11..26;
 
 /// A line of a log.
 #[derive(Clone, Debug)]
 pub(super) struct LogLine {
-    /// When it was written.
+    /// The time at which the line was written.
     pub at: Instant,
-    /// Its text, without the time.
+    /// The text of the line without the time.
     pub text: String,
 }
 
-/// The files in which the proxies write their request logs.
+/// The folder to which the proxies write their request logs.
 pub(super) struct RequestLogs {
     folder: PathBuf,
-    /// One moment by both clocks.
+    /// The reference time for conversions, by the monotonic clock.
     reference: Instant,
-    /// In seconds of the day, UTC.
+    /// The same time by the wall clock, in seconds since midnight UTC.
     reference_seconds: f64,
 }
 
 impl RequestLogs {
-    /// Has all proxies that are started from now on write their request logs.
+    /// Makes all proxies that are started from now on write request logs.
     ///
     /// # Errors
     ///
-    /// If the folder for them cannot be made.
+    /// If the folder for the logs cannot be created.
     pub(super) fn enable() -> io::Result<RequestLogs> {
         let folder = run_folder().join("logs");
         std::fs::create_dir_all(&folder)?;
@@ -43,8 +44,8 @@
         Ok(RequestLogs::in_folder(folder))
     }
 
-    /// The logs in a folder, which need not exist.
-    #[allow(clippy::disallowed_methods, reason = "logs have the time of the wall clock")]
+    /// Reads the logs from a folder, which need not exist.
+    #[allow(clippy::disallowed_methods, reason = "log lines have wall-clock times")]
     pub(super) fn in_folder(folder: PathBuf) -> RequestLogs {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let reference_seconds = since_epoch.as_secs_f64() % SECONDS_PER_DAY;
@@ -54,14 +55,15 @@
     /// Removes the logs of earlier runs, whose requests have the same ids.
     pub(super) fn clear(&self) {
         for path in self.files() {
-            // A file that stays only shows lines that do not belong to the run.
+            // A file that cannot be removed only adds lines of other runs to reports.
             let _ = std::fs::remove_file(path);
         }
     }
 
-    /// The lines about a request, and the faults that the same process logged around them.
+    /// Returns the lines about a request and the faults that the same process logged around them,
+    /// in the order of time.
     pub(super) fn lines_of(&self, id: &str) -> Vec<LogLine> {
-        // Proxies log ids without the letter of the protocol's flag.
+        // Proxies log ids without the letter `O` of the protocol's flag.
         let quoted = format!("id=\"{}\"", id.trim_start_matches('O'));
         let mut found = Vec::new();
         for path in self.files() {
@@ -88,7 +90,8 @@
         entries.filter_map(Result::ok).map(|entry| entry.path()).collect()
     }
 
-    /// A line that begins with a time such as `2026-12-03T12:00:00.000000Z`.
+    /// Parses a line that begins with a time such as `2026-12-03T12:00:00.000000Z`. Returns none
+    /// for another line.
     fn parse(&self, line: &str) -> Option<LogLine> {
         let mut fields = line.get(TIME_OF_DAY)?.split(':');
         let mut next = || fields.next()?.parse::<f64>().ok();
--- a/crates/experiments/src/table.rs
+++ b/crates/experiments/src/table.rs
@@ -3,8 +3,8 @@
 /// The line under a heading, cut to the width of each column.
 const UNDERLINE: &str = "----------------------------------------";
 
-/// Prints rows under a heading, each column as wide as its widest cell: the first one aligned to the
-/// left, the others to the right.
+/// Prints rows under a heading, each column as wide as its widest cell: the first one aligned to
+/// the left, the others to the right.
 pub(crate) fn print(heading: &[&str], rows: &[Vec<String>]) {
     let width = |column: usize| {
         let cells = rows.iter().map(|row| row[column].len());
--- a/crates/experiments/tests/demo.rs
+++ b/crates/experiments/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The demo as a newcomer starts it.
+//! Runs the subcommand `demo` as a user does, and checks its figures and its processes.
 
 use serde_json::Value;
 use std::process::{Child, Command, Stdio};
@@ -10,7 +10,7 @@
 fn demo(arguments: &[&str]) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pinetrail-experiments"));
     command.arg("demo").args(arguments).stdout(Stdio::null()).stderr(Stdio::null());
-    command.spawn().expect("the demo starts")
+    command.spawn().expect("the demo cannot be started")
 }
 
 fn end(mut child: Child) -> Option<i32> {
@@ -22,7 +22,7 @@
         sleep(Duration::from_millis(20));
     }
     child.kill().and_then(|()| child.wait()).unwrap();
-    panic!("the demo does not end");
+    panic!("the demo did not end within {WAIT:?}");
 }
 
 #[test]
@@ -43,7 +43,7 @@
     assert!(known.iter().all(|known| known["after_ms"].as_u64().is_some()), "{known:?}");
 }
 
-/// Guards against processes that outlive what started them.
+/// Guards against proxies that outlive the demo that started them.
 #[test]
 fn an_interrupt_ends_it_and_all_its_processes() {
     let child = demo(&["--seconds", "120"]);
@@ -55,7 +55,7 @@
         if proxies.len() == 3 {
             break proxies;
         }
-        assert!(Instant::now() < until, "it starts no proxies");
+        assert!(Instant::now() < until, "the demo did not start its three proxies within {WAIT:?}");
         sleep(Duration::from_millis(20));
     };
     let pid = rustix::process::Pid::from_child(&child);
--- a/crates/experiments/tests/soak.rs
+++ b/crates/experiments/tests/soak.rs
@@ -1,17 +1,18 @@
-//! A short soak with fixed seeds: no rule may be broken.
+//! Runs short soaks with fixed seeds, in which no rule may be violated.
 
 use std::process::Command;
 
-/// Seeds that mix hold-ups, restarts with SIGKILL at the earliest, kills, drains, outages of
-/// discovery and a crowd.
+/// Guards the rules under hold-ups, restarts with SIGKILL at the earliest time, kills, drains,
+/// outages of discovery and a crowd of idle clients, which these seeds mix.
 #[test]
 fn fixed_seeds_break_no_rule() {
-    // The last one was broken until the time in the queue of connections was counted.
+    // Seed 28 violated a rule when proxies did not count the time that a request spends in the
+    // queue of connections.
     for (first, last) in [("1", "4"), ("28", "28")] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pinetrail-experiments"));
         command.args(["soak", "--first", first, "--last", last, "--seconds", "8"]);
 
-        let output = command.output().expect("the soak starts");
+        let output = command.output().expect("the soak cannot be started");
 
         let text = String::from_utf8_lossy(&output.stdout);
         assert!(output.status.success(), "{text}{}", String::from_utf8_lossy(&output.stderr));
@@ -19,13 +20,13 @@
     }
 }
 
-/// Guards against a run that plays nothing and passes.
+/// Guards against a run that plays no seed and passes.
 #[test]
 fn an_empty_range_of_seeds_is_an_error() {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pinetrail-experiments"));
     command.args(["soak", "--first", "9", "--last", "1"]);
 
-    let output = command.output().expect("the soak starts");
+    let output = command.output().expect("the soak cannot be started");
 
     let error = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{error}");
