--- a/crates/experiments/src/cost/core.rs
+++ b/crates/experiments/src/cost/core.rs
@@ -13,7 +13,7 @@
 /// The simulated time between the starts of two members.
 const START_INTERVAL_MS: u64 = 10;
 
-/// A member that measures the processor time of its calls.
+/// A member that measures the duration of its calls.
 struct TimedMember {
     membership: Membership,
     time_in_datagrams: Duration,
--- a/crates/experiments/src/membership/trials.rs
+++ b/crates/experiments/src/membership/trials.rs
@@ -196,7 +196,7 @@
         let mut digest = 0;
         match self.kind {
             TrialKind::Deaths { deaths, .. } => {
-                // The traffic of a fleet without faults, before the first death.
+                // The traffic of a fleet without faults, before the first crash.
                 fleet.run(30_000);
                 let after = Traffic::of(&fleet);
                 let known = self.observe_deaths(&mut fleet, deaths, &mut digest, &restart);
