--- a/crates/history-checker/src/draining.rs
+++ b/crates/history-checker/src/draining.rs
@@ -1,37 +1,38 @@
-//! The rule that no new attempt goes to a node that is draining, has left, or was never listed:
-//! [`check`].
+//! Checks the rule that no new attempt goes to a node that is draining, has left, or was never
+//! listed. Read [`check`] first.
 
 use crate::history::{History, HistoryEvent, Limits, Node, NodeState, Time};
 use crate::violation::{Reason, Violation};
 use std::collections::BTreeMap;
 
-/// A node in a proxy's list.
+/// A node in a proxy's list, and its state.
 struct ListedNode<'a> {
     node: &'a Node,
     state: NodeState,
-    /// Since when it is in this state or, if it is not ready, may get no new attempts.
+    /// When the node became ready or not ready, in ms. The drain grace of a node that is not ready
+    /// counts from this time.
     since: Time,
-    /// The event that listed this state.
+    /// The index of the event at this time.
     event: usize,
 }
 
 /// The nodes that were listed to one proxy.
 #[derive(Default)]
 struct NodeList<'a> {
-    /// By the names of nodes.
+    /// The listed nodes by their names.
     nodes: BTreeMap<&'a str, ListedNode<'a>>,
-    /// The proxy may still send new attempts for this long after a drain was listed.
+    /// How long after a drain was listed the proxy may still send new attempts, in ms.
     drain_grace: Time,
 }
 
-/// Why no new attempt may go to a node.
+/// The reason for which no new attempt may go to a node.
 struct Forbidden {
     reason: Reason,
-    /// The event that listed its state, if one did.
+    /// The event that listed the state of the node; none if the node was never listed.
     event: Option<usize>,
 }
 
-/// Checks the nodes that the proxies sent attempts to.
+/// Checks the state of each node to which a proxy sent an attempt.
 pub(crate) fn check(history: &History) -> Vec<Violation> {
     let mut proxies: BTreeMap<&str, NodeList> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -67,7 +68,7 @@
 }
 
 impl<'a> NodeList<'a> {
-    /// A complete list has arrived: nodes that are not in it have left.
+    /// Marks as gone the nodes that are not in a complete list.
     fn mark_absent_as_gone(&mut self, at: Time, event: usize, nodes: &[Node]) {
         for (name, listed) in &mut self.nodes {
             let is_absent = !nodes.iter().any(|node| node.name == *name);
@@ -82,7 +83,7 @@
     fn update(&mut self, at: Time, event: usize, nodes: &'a [Node]) {
         for node in nodes {
             let mut listed = ListedNode { node, state: node.state, since: at, event };
-            // Listing a node as not ready once more does not extend the time for new attempts.
+            // Listing a node as not ready once more does not extend the drain grace.
             if let Some(before) = self.nodes.get(node.name.as_str()) {
                 if before.state != NodeState::Ready && node.state != NodeState::Ready {
                     listed.since = before.since;
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Why no new attempt may go to an address at a time; none if one may.
+    /// Returns why no new attempt may go to an address at a time; none if one may.
     fn forbids(&self, address: &str, at: Time, clock_error: Time) -> Option<Forbidden> {
         let here: Vec<&ListedNode> =
             self.nodes.values().filter(|listed| listed.node.address == address).collect();
--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -1,4 +1,4 @@
-//! The form of a history. Read [`History`] first, then [`HistoryEvent`].
+//! The data types of a history. Read [`History`] first, then [`HistoryEvent`].
 
 use std::collections::BTreeMap;
 
@@ -8,111 +8,111 @@
 /// The events of a fleet as they are visible from outside, in the order of time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
-    /// The largest error of recorded times, which is added to each time limit. 0 if the history has
-    /// a clock of its own.
+    /// The largest error of recorded times, in ms, which is added to each time limit. 0 if the
+    /// history was recorded in simulated time, which has no error.
     pub clock_error: Time,
     /// The events, each with its time.
     pub events: Vec<(Time, HistoryEvent)>,
 }
 
-/// One event.
+/// An event of a fleet that is visible from outside.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HistoryEvent {
     /// A configuration became active at a proxy.
     ConfigActivated {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
-        /// The figures in it.
+        /// The limits in the configuration.
         limits: Limits,
     },
     /// A proxy received a list of nodes, from discovery or from its configuration.
     EndpointsListed {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
-        /// Whether the list is complete: a node that is not in it has left.
+        /// Whether the list is complete, so that a node that is not in it has left.
         is_complete: bool,
-        /// The nodes.
+        /// The nodes in the list.
         nodes: Vec<Node>,
     },
     /// A backend's process started.
     BackendStarted {
-        /// Its address.
+        /// The address of the backend.
         address: String,
-        /// Its capacity once it is warm, in work a ms.
+        /// The capacity of the backend after its warm-up, in units of work per ms.
         capacity: f64,
     },
     /// A proxy's process ended.
     ProxyEnded {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
-        /// How.
+        /// How the process ended.
         how: ProxyEnd,
     },
     /// The last byte of a client's request was written.
     RequestSent {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
-        /// The request's id, unique in the history.
+        /// The id of the request, unique in the history.
         request: String,
-        /// The name of its class.
+        /// The name of the request's class.
         class: String,
-        /// How long the client waits.
+        /// How long the client waits for the response, in ms.
         budget: Time,
     },
-    /// A body stream began to arrive in response; from then on there is no deadline.
+    /// A body stream began to arrive in response. From then on the request has no deadline.
     BodyStarted {
-        /// The request.
+        /// The id of the request.
         request: String,
     },
     /// The last byte of a response arrived at the client.
     ResponseReceived {
-        /// The request.
+        /// The id of the request.
         request: String,
-        /// The response.
+        /// What the response says.
         outcome: ResponseOutcome,
     },
-    /// The client closed its connection: no response is due any more.
+    /// The client closed its connection, so that no response is due any more.
     ClientDisconnected {
-        /// The request.
+        /// The id of the request.
         request: String,
     },
     /// The last byte of an attempt arrived at a backend.
     AttemptReceived {
-        /// The proxy that made it.
+        /// The name of the proxy that made the attempt.
         proxy: String,
-        /// The request that it is for.
+        /// The id of the request that the attempt is for.
         request: String,
-        /// The attempt, by a number unique in the history.
+        /// The number of the attempt, unique in the history.
         attempt: u64,
-        /// The backend's address.
+        /// The address of the backend.
         address: String,
-        /// When its first byte arrived.
+        /// When the first byte of the attempt arrived, in ms.
         first_byte_at: Time,
-        /// How much work it is.
+        /// The work that the attempt causes at the backend, in the unit of the capacity.
         work: f64,
     },
-    /// A proxy stated its quota; the total is 1. A quota that it gives up stays in use until the
-    /// attempts under it have ended.
+    /// A proxy stated its quota; the total is 1. A quota that the proxy gives up stays in use until
+    /// the attempts under it have ended.
     QuotaStated {
-        /// The proxy; each process of one is a proxy of its own here.
+        /// The name of the proxy. Each process of a proxy counts as a proxy of its own here.
         proxy: String,
-        /// Its quota, from 0 to 1.
+        /// The quota, as a fraction of the total from 0 to 1.
         fraction: f64,
-        /// How long attempts may run.
+        /// The longest duration of an attempt, in ms.
         longest_attempt: Time,
     },
-    /// All proxies together may have at most `limit` attempts in flight at a backend.
+    /// A limit was set on the attempts that all proxies together may have in flight at a backend.
     AttemptLimitSet {
-        /// The backend's address.
+        /// The address of the backend.
         address: String,
-        /// How many attempts.
+        /// The maximum number of attempts in flight.
         limit: usize,
     },
-    /// An attempt ended, at the backend or by its connection.
+    /// An attempt ended, because the backend responded or because its connection ended.
     AttemptEnded {
-        /// The attempt.
+        /// The number of the attempt.
         attempt: u64,
-        /// How.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
     },
 }
@@ -120,119 +120,121 @@
 /// How a proxy's process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyEnd {
-    /// It was killed: its open requests need no response.
+    /// The process was killed, so that its open requests need no response.
     Killed,
-    /// It exited cleanly by itself: it had to respond to all requests that it accepted.
+    /// The process exited by itself, before which it had to respond to all accepted requests.
     Exited,
 }
 
 /// The final response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponseOutcome {
-    /// Served, with this value or receipt.
+    /// The request was served, with this value or receipt.
     Served(String),
-    /// Rejected: sending the request again does no harm.
+    /// The request was rejected, which promises that a retry does no harm.
     Rejected,
-    /// Failed; nothing is promised.
+    /// The request failed, which promises nothing.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served, with this value or receipt.
+    /// The backend served the attempt, with this value or receipt.
     Served(String),
-    /// The backend does not hold the key; nothing ran.
+    /// The backend does not hold the key, so that nothing ran.
     Missed,
-    /// The backend rejected it; nothing ran.
+    /// The backend rejected the attempt, so that nothing ran.
     Rejected,
-    /// It failed; it may have run.
+    /// The attempt failed; the request may have run.
     Failed,
-    /// Its connection ended without a complete response; it may have run.
+    /// The connection ended without a complete response; the request may have run.
     Broken,
 }
 
 /// Whether a node may get new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// It may.
+    /// The node may get new attempts.
     Ready,
-    /// It completes the attempts that it has, and gets no new ones.
+    /// The node completes the attempts that it has, and gets no new ones.
     Draining,
-    /// It has left.
+    /// The node has left.
     Gone,
 }
 
-/// A node in the form in which it was listed to a proxy.
+/// A node as an endpoint list describes it to a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its name.
+    /// The name of the node.
     pub name: String,
-    /// Its address.
+    /// The address of the node.
     pub address: String,
-    /// Its zone.
+    /// The number of the node's zone.
     pub zone: u16,
-    /// Its cell.
+    /// The number of the node's cell.
     pub cell: u16,
-    /// Its state.
+    /// Whether the node may get new attempts.
     pub state: NodeState,
-    /// When it last started, on the history's clock; before the history's beginning if long ago.
+    /// When the node last started, on the clock of the history. The time may lie before the first
+    /// event.
     pub started: Time,
 }
 
-/// How often a request may run.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// A request may run any number of times.
     Idempotent,
-    /// Any number of times at a group of backends within the deduplication window, in which they
-    /// drop repeats.
+    /// A request may be sent any number of times to one group of backends within the deduplication
+    /// window, because the group drops repeats during that time.
     IdempotencyKey,
-    /// Once.
+    /// A request may run at most once.
     NotIdempotent,
 }
 
-/// Which backends drop the repeats of a request with an idempotency key.
+/// The group of backends that drops the repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All.
+    /// All backends.
     All,
-    /// Those of one zone.
+    /// The backends of one zone.
     Zone,
-    /// Those of one cell.
+    /// The backends of one cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// How often it may run.
+    /// Whether a request of the class may run more than once.
     pub idempotency: Idempotency,
-    /// Which backends drop its repeats.
+    /// The group of backends that drops repeats.
     pub scope: DeduplicationScope,
-    /// For how long they do.
+    /// The deduplication window, in ms: for how long the group drops repeats.
     pub window: Time,
 }
 
-/// The limits that the rules check.
+/// The limits in a configuration that the rules apply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The classes by name.
+    /// The request classes by name.
     pub classes: BTreeMap<String, Class>,
-    /// The most attempts of one request.
+    /// The maximum number of attempts of one request.
     pub max_attempts: usize,
     /// Whether two attempts of a request may be in flight at once.
     pub allows_hedging: bool,
-    /// A response counts as in time for this long after its deadline.
+    /// How long after its deadline a response still counts as in time, in ms.
     pub response_slack: Time,
-    /// New attempts may still go to a draining node for this long after the drain was listed.
+    /// How long after a drain was listed new attempts may still go to the node, in ms.
     pub drain_grace: Time,
-    /// A node starts with this share of its capacity.
+    /// The fraction of its capacity that a node has when it starts.
     pub start_capacity: f64,
-    /// The duration of its warm-up.
+    /// The time from the start of a node until it has its full capacity, in ms.
     pub warm_up_time: Time,
-    /// It is overloaded by work beyond this multiple of its present capacity ...
+    /// The multiple of its present capacity beyond which the work sent to a node within any
+    /// `overload_time` is an overload.
     pub overload_multiple: f64,
-    /// ... over a span of this length.
+    /// The length of the interval over which work is added up to find an overload, in ms.
     pub overload_time: Time,
 }
--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -1,11 +1,11 @@
 //! Checks histories of a fleet, recorded from outside, against the rules that every proxy keeps.
-//! For tests only; it does no I/O, and shares no code with the decisions that it checks.
+//! For tests only. The crate does no I/O, and shares no code with the decisions that it checks.
 //!
-//! Read [`History`] first, then [`check`]. A history holds what clients sent and received, what
-//! backends received and how they responded, what discovery listed, which figures were active, and
-//! which processes started and ended. It does not contain a proxy's state, decisions, counters and
-//! log. [`check`] returns each [`Violation`] with its [`Reason`], its subject, its time and the
-//! events at fault. A history without a request is an error: nothing was checked.
+//! Read [`History`] first, then [`check`]. A history contains what clients sent and received, what
+//! backends received and how they responded, what discovery listed, which limits were active, and
+//! which processes started and ended. A proxy's state, decisions, counters and log are not part of
+//! it. [`check`] returns each [`Violation`] with its [`Reason`], its subject, its time and the
+//! events at fault. A history without a request is an error, because nothing was checked.
 //!
 //! Each rule has a module: `responses`, `repetition`, `draining`, `slow_start`, `quota` and
 //! `policies`. The first two work on the index of requests in `request_index`.
@@ -28,11 +28,11 @@
 pub use quota::check_quota;
 pub use violation::{CheckError, Reason, Rule, Violation};
 
-/// Checks a history against all rules; returns the violations in the order of time.
+/// Checks a history against all rules. Returns the violations in the order of time.
 ///
 /// # Errors
 ///
-/// Why the history cannot be checked.
+/// Returns the reason for which the history cannot be checked.
 pub fn check(history: &History) -> Result<Vec<Violation>, CheckError> {
     let index = request_index::RequestIndex::read(history)?;
     let mut violations = responses::check(history, &index)?;
--- a/crates/history-checker/src/policies.rs
+++ b/crates/history-checker/src/policies.rs
@@ -1,8 +1,9 @@
-//! The rule that each policy version becomes active at one moment: no proxy admits a request under
-//! it before that moment, or under the previous version after it. See [`check_policies`].
+//! Checks the rule that each policy version becomes active at one moment: no proxy admits a request
+//! under the version before that moment, or under the previous version after it. Read
+//! [`check_policies`] first.
 //!
-//! It needs only what clients sent and received: the response must show which version decided the
-//! request.
+//! The check needs only what clients sent and received, provided that each response shows which
+//! version decided the request.
 
 use crate::history::Time;
 use crate::violation::{CheckError, Reason, Violation};
@@ -10,25 +11,27 @@
 /// A request whose response shows the policy version that decided it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicyDecision {
-    /// When its last byte was sent.
+    /// When the last byte of the request was sent, in ms.
     pub sent: Time,
-    /// When its response was complete.
+    /// When the response was complete, in ms.
     pub answered: Time,
-    /// The version.
+    /// The policy version that decided the request.
     pub version: u64,
-    /// The proxy that decided.
+    /// The name of the proxy that decided the request.
     pub proxy: String,
 }
 
-/// Checks that there is one moment for each version.
+/// Checks that there is one moment at which each version can have become active.
 ///
-/// A request was admitted at some time between its sending and its response: the moment of a
-/// version lies after the sending of each request under the one before, and before the response of
-/// each under it. `clock_error` is how far two readings of the clock may be apart, in ms.
+/// A request was admitted at some time between its sending and its response. Therefore the moment
+/// of a version lies after the sending of each request under the previous version, and before the
+/// response to each request under the version itself. `clock_error` is the largest error between
+/// two readings of the clock, in ms.
 ///
 /// # Errors
 ///
-/// There are no decisions, or one was answered before it was sent.
+/// Returns [`CheckError::Empty`] if there are no decisions, and [`CheckError::OutOfOrder`] if a
+/// request was answered before it was sent.
 pub fn check_policies(decisions: &[PolicyDecision], clock_error: Time) -> Result<Vec<Violation>, CheckError> {
     if decisions.is_empty() {
         return Err(CheckError::Empty);
--- a/crates/history-checker/src/policies/tests.rs
+++ b/crates/history-checker/src/policies/tests.rs
@@ -16,14 +16,14 @@
         decision(4.0, 9.0, 1, "a"),
         decision(7.0, 8.0, 2, "a"),
     ];
-    assert_eq!(violations(&good), 0, "all may have been admitted at one side of 5");
+    assert_eq!(violations(&good), 0, "version 2 can have become active at 5 ms");
     let late = [decision(0.0, 5.0, 2, "b"), decision(6.0, 7.0, 1, "a")];
     assert_eq!(violations(&late), 1);
     let one_proxy = [decision(0.0, 5.0, 2, "a"), decision(6.0, 7.0, 1, "a")];
-    assert_eq!(violations(&one_proxy), 1, "nor does one proxy go back");
+    assert_eq!(violations(&one_proxy), 1, "a proxy must not go back to an old version either");
     let three_versions = [decision(0.0, 5.0, 3, "a"), decision(6.0, 7.0, 1, "b"), decision(8.0, 9.0, 2, "b")];
     assert_eq!(violations(&three_versions), 2);
-    assert_eq!(check_policies(&late, 2.0), Ok(vec![]), "clocks are read one after the other");
+    assert_eq!(check_policies(&late, 2.0), Ok(vec![]), "1 ms is within the clock error of 2 ms");
 }
 
 #[test]
--- a/crates/history-checker/src/quota.rs
+++ b/crates/history-checker/src/quota.rs
@@ -1,19 +1,19 @@
-//! The rules that quotas add up to at most one, and that backends have at most as many attempts at
-//! once as all proxies together may make: [`check_quota`].
+//! Checks the rules that quotas add up to at most one, and that a backend has at most as many
+//! attempts in flight as all proxies together may have there. Read [`check_quota`] first.
 
 use crate::history::{History, HistoryEvent, Time};
 use crate::violation::{CheckError, Reason, Violation};
 use std::collections::BTreeMap;
 
-/// Tolerance for the rounding of quotas that are written as decimal numbers.
+/// The tolerance for the rounding of quotas that are written as decimal numbers.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Checks the quotas that proxies stated, and the number of attempts that backends had in flight.
-/// It needs no requests.
+/// The history needs no request for that.
 ///
 /// # Errors
 ///
-/// The history has no event about either.
+/// Returns [`CheckError::Empty`] if the history has neither a stated quota nor an attempt limit.
 pub fn check_quota(history: &History) -> Result<Vec<Violation>, CheckError> {
     let is_about_quota = |(_, seen): &(Time, HistoryEvent)| {
         matches!(seen, HistoryEvent::QuotaStated { .. } | HistoryEvent::AttemptLimitSet { .. })
@@ -31,7 +31,7 @@
     violations
 }
 
-/// A quota that a proxy stated.
+/// A quota that a proxy stated, and the event that states it.
 #[derive(Clone, Copy)]
 struct StatedQuota {
     at: Time,
@@ -39,9 +39,9 @@
     event: usize,
 }
 
-/// Proxies state their quotas at different moments. A quota that one gives up may go to another
-/// only after the attempts under it have ended, so the largest quotas stated within that time must
-/// not add up to more than the total.
+/// Checks that quotas never add up to more than the total. Proxies state their quotas at different
+/// moments. A quota that one proxy gives up may go to another only after the attempts under it have
+/// ended, so the largest quota that each proxy stated within that time counts.
 fn check_sums(history: &History) -> Vec<Violation> {
     let mut stated: BTreeMap<&str, Vec<StatedQuota>> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -67,7 +67,7 @@
     quotas.iter().copied().max_by(|a, b| a.fraction.total_cmp(&b.fraction))
 }
 
-/// An attempt that is in flight.
+/// The backend of an attempt that is in flight, and the event of its arrival there.
 struct InFlight<'a> {
     address: &'a str,
     event: usize,
--- a/crates/history-checker/src/quota/tests.rs
+++ b/crates/history-checker/src/quota/tests.rs
@@ -15,7 +15,7 @@
     let whole =
         vec![quota_stated(0.0, "a", 0.5), quota_stated(1.0, "b", 0.5), quota_stated(500.0, "a", 0.25)];
     assert_eq!(reasons(whole.clone()), []);
-    // What "a" gave up at 500 was last seen in use at 0.
+    // The quota that "a" gave up at 500 was stated at 0, and counts for 1000 ms from then.
     let early = quota_stated(900.0, "b", 0.75);
     assert_eq!(reasons([whole.clone(), vec![early]].concat()), [Reason::QuotaSumExceeded]);
     let in_time = quota_stated(1001.0, "b", 0.75);
--- a/crates/history-checker/src/repetition.rs
+++ b/crates/history-checker/src/repetition.rs
@@ -1,5 +1,5 @@
-//! The rule that no effect happens twice: which attempts and which rejections a request may have
-//! after its earlier attempts. See [`check`].
+//! Checks the rule that no effect happens twice: which attempts and which rejections a request may
+//! have after its earlier attempts. Read [`check`] first.
 
 use crate::history::{DeduplicationScope, History, HistoryEvent, Idempotency, Node, ResponseOutcome, Time};
 use crate::request_index::{Attempt, Request, RequestIndex};
@@ -48,7 +48,7 @@
         }
     }
 
-    /// No earlier attempt may be in flight.
+    /// Checks that no earlier attempt is in flight.
     fn check_in_flight(&mut self, earlier: &[Attempt], attempt: &Attempt) {
         let latest_end = attempt.began_at + self.clock_error;
         let is_in_flight = |other: &&Attempt| other.end.as_ref().is_none_or(|end| end.at > latest_end);
@@ -58,8 +58,9 @@
         }
     }
 
-    /// An attempt may not repeat the effect of any earlier one that may have run. It must be in the
-    /// group and in the window of each of them.
+    /// Checks that an attempt does not repeat the effect of any earlier attempt that may have run.
+    /// With an idempotency key, the attempt must be within the deduplication scope and window of
+    /// each of them.
     fn check_repeat(&mut self, earlier: &[Attempt], attempt: &Attempt) {
         let known_at = attempt.began_at + self.clock_error;
         for ran in earlier.iter().filter(|earlier| earlier.may_have_run(known_at)) {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// A rejection promises that a retry does no harm.
+    /// Checks the promise of a rejection that a retry does no harm.
     fn check_rejections(&mut self) {
         let request = self.request;
         for response in &request.responses {
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Why an attempt could apply its effect twice after one that may have run; none if it could
-    /// not.
+    /// Returns why an attempt could repeat the effect of an earlier attempt that may have run; none
+    /// if it could not.
     fn repeat_violation(&self, ran: &Attempt, attempt: &Attempt) -> Option<Reason> {
         let class = &self.request.class;
         let elapsed = attempt.began_at - ran.began_at;
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Whether the backends of two attempts drop the repeats of each other's requests.
+    /// Whether the backends of two attempts are in one deduplication scope, in which each drops the
+    /// repeats of requests that the other has run.
     fn share_a_group(&self, a: &Attempt, b: &Attempt) -> bool {
         let scope = self.request.class.scope;
         if scope == DeduplicationScope::All {
@@ -136,7 +138,7 @@
     }
 }
 
-/// The nodes by the addresses that discovery listed last.
+/// Returns the nodes by their addresses, each as it was listed last.
 fn nodes_by_address(history: &History) -> BTreeMap<&str, &Node> {
     let lists = history.events.iter().filter_map(|(_, seen)| match seen {
         HistoryEvent::EndpointsListed { nodes, .. } => Some(nodes),
--- a/crates/history-checker/src/request_index.rs
+++ b/crates/history-checker/src/request_index.rs
@@ -1,30 +1,31 @@
-//! The requests of a history, each with its attempts and responses: [`RequestIndex`].
+//! Indexes the requests of a history, each with its attempts and responses. Read [`RequestIndex`]
+//! first.
 
 use crate::history::{AttemptOutcome, Class, History, HistoryEvent, Limits, ProxyEnd, ResponseOutcome, Time};
 use crate::violation::CheckError;
 use std::collections::BTreeMap;
 
-/// An event: its index in the history, and when it was seen.
+/// The index of an event in the history, and its time in ms.
 #[derive(Clone, Copy)]
 pub(crate) struct Occurrence {
     pub event: usize,
     pub at: Time,
 }
 
-/// A request, and the figures that were active at its proxy when it was sent.
+/// A request, and the limits that were active at its proxy when it was sent.
 pub(crate) struct Request<'a> {
     pub sent: Occurrence,
     pub proxy: &'a str,
     pub limits: &'a Limits,
     pub class: Class,
-    /// How long its client waits.
+    /// How long the client waits for the response, in ms.
     pub budget: Time,
     /// When a body stream began to arrive in response.
     pub body_began: Option<Time>,
     pub responses: Vec<Response<'a>>,
-    /// Since when no response was due: its client disconnected, or its proxy was killed.
+    /// When the client disconnected or the proxy was killed. No response is due from then on.
     pub excused: Option<Time>,
-    /// When its proxy ended by itself, which excuses nothing.
+    /// When the proxy exited by itself. The response is due all the same.
     pub proxy_exited: Option<Occurrence>,
     pub attempts: Vec<Attempt<'a>>,
 }
@@ -37,24 +38,24 @@
 
 /// An attempt of a request at a backend.
 pub(crate) struct Attempt<'a> {
-    /// The event of its arrival at the backend.
+    /// The index of the event of the attempt's arrival at the backend.
     pub event: usize,
     /// The address of the backend.
     pub address: &'a str,
-    /// When its first byte arrived there.
+    /// When the first byte of the attempt arrived at the backend.
     pub began_at: Time,
-    /// How it ended, once it has.
+    /// When and how the attempt ended; none if it is in flight at the end of the history.
     pub end: Option<AttemptEnd<'a>>,
 }
 
-/// How an attempt ended.
+/// When and how an attempt ended.
 pub(crate) struct AttemptEnd<'a> {
     pub at: Time,
     pub outcome: &'a AttemptOutcome,
 }
 
 impl Attempt<'_> {
-    /// Whether it may have run, given the events up to a time.
+    /// Whether the request may have run by this attempt, given the events up to a time.
     pub(crate) fn may_have_run(&self, at: Time) -> bool {
         let Some(AttemptEnd { at: ended_at, outcome }) = &self.end else { return true };
         let did_not_run = matches!(outcome, AttemptOutcome::Missed | AttemptOutcome::Rejected);
@@ -62,14 +63,14 @@
     }
 }
 
-/// An attempt for which there was no request.
+/// An attempt for which no client sent a request.
 pub(crate) struct StrayAttempt<'a> {
     pub received: Occurrence,
-    /// The id of the request that it claims to be for.
+    /// The request id that the attempt states.
     pub request: &'a str,
 }
 
-/// All requests by their ids, and the attempts that belong to none.
+/// All requests by their ids, and the attempts that belong to no request.
 #[derive(Default)]
 pub(crate) struct RequestIndex<'a> {
     pub requests: BTreeMap<&'a str, Request<'a>>,
@@ -77,11 +78,11 @@
 }
 
 impl<'a> RequestIndex<'a> {
-    /// Reads a history.
+    /// Builds the index of a history.
     ///
     /// # Errors
     ///
-    /// Why the history cannot be checked.
+    /// Returns the reason for which the history cannot be checked.
     pub(crate) fn read(history: &'a History) -> Result<RequestIndex<'a>, CheckError> {
         if history.events.is_empty() {
             return Err(CheckError::Empty);
@@ -100,7 +101,8 @@
     }
 }
 
-/// Where an attempt is in the index.
+/// The position of an attempt in the index: its request, and its number among the request's
+/// attempts.
 #[derive(Clone, Copy)]
 struct AttemptPosition<'a> {
     request: &'a str,
@@ -110,9 +112,9 @@
 #[derive(Default)]
 struct Builder<'a> {
     index: RequestIndex<'a>,
-    /// The figures that are active at each proxy.
+    /// The limits that are active at each proxy.
     active: BTreeMap<&'a str, &'a Limits>,
-    /// Attempts by their numbers; none for those that belong to no request.
+    /// The positions of attempts by their numbers; none for a stray attempt.
     positions: BTreeMap<u64, Option<AttemptPosition<'a>>>,
 }
 
--- a/crates/history-checker/src/responses.rs
+++ b/crates/history-checker/src/responses.rs
@@ -1,4 +1,5 @@
-//! The rule that each request has one final response, in time, from a backend: [`check`].
+//! Checks the rule that each request has exactly one final response, in time, with a value that a
+//! backend gave. Read [`check`] first.
 
 use crate::history::{AttemptOutcome, History, ResponseOutcome, Time};
 use crate::request_index::{Request, RequestIndex, Response};
@@ -8,7 +9,7 @@
 ///
 /// # Errors
 ///
-/// The history ends before the deadline of a request without a response.
+/// Returns [`CheckError::Unfinished`] if the history ends before the response to a request is due.
 pub(crate) fn check(history: &History, index: &RequestIndex) -> Result<Vec<Violation>, CheckError> {
     let mut violations = Vec::new();
     for (id, request) in &index.requests {
@@ -45,13 +46,13 @@
         }
     }
 
-    /// The latest time of a response.
+    /// Returns the latest time at which a response is still in time.
     fn due(&self) -> Time {
         let Request { sent, budget, limits, .. } = self.request;
         sent.at + budget + limits.response_slack + self.history.clock_error
     }
 
-    /// There is no response.
+    /// Checks whether a response was due to a request that has none.
     fn check_missing(&mut self) -> Result<(), CheckError> {
         let due = self.due();
         let is_excused = self.request.excused.is_some_and(|at| at <= due);
@@ -74,7 +75,7 @@
     fn check_first(&mut self, response: &Response) {
         let received = response.received;
         let events = vec![self.request.sent.event, received.event];
-        // There is no deadline once the body has begun.
+        // A request has no deadline once the body of its response has begun.
         if self.request.body_began.unwrap_or(received.at) > self.due() {
             self.report(Reason::LateResponse, received.at, events.clone());
         }
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Nothing may happen after the final response.
+    /// Checks that neither another response nor a new attempt follows the final response.
     fn check_afterwards(&mut self, first: &Response, repeated: &[Response]) {
         let first = first.received;
         for Response { received, .. } in repeated {
@@ -102,7 +103,7 @@
     }
 }
 
-/// Whether a value that was served came from a backend, for this request.
+/// Whether a served value came from a backend in response to an attempt of this request.
 fn is_from_backend(request: &Request, outcome: &ResponseOutcome) -> bool {
     let ResponseOutcome::Served(value) = outcome else { return true };
     request.attempts.iter().any(|attempt| {
--- a/crates/history-checker/src/slow_start.rs
+++ b/crates/history-checker/src/slow_start.rs
@@ -1,15 +1,15 @@
-//! The rule that all proxies together send a node that is warming up no more work than it can take,
-//! over any span of the stated length: [`check`].
+//! Checks the rule that all proxies together send a node that is warming up no more work than its
+//! present capacity allows, over any interval of the overload time. Read [`check`] first.
 
 use crate::history::{History, HistoryEvent, Limits, Node, Time};
 use crate::violation::{Reason, Violation};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// An overload counts as a violation if at least this share of its work comes from proxies that
-/// knew of the node's start.
+/// The least share of the work of an overload, sent by proxies that knew of the node's start, at
+/// which the overload counts as a violation.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
-/// Work that was sent to a node.
+/// The work of an attempt that was sent to a node.
 struct SentWork {
     event: usize,
     at: Time,
@@ -18,10 +18,10 @@
     is_informed: bool,
 }
 
-/// A process of a node, and the work that it was sent within the last span.
+/// A process of a node, and the work that was sent to it within the last overload time.
 struct NodeProcess {
     started: Time,
-    /// In work a ms, once it is warm.
+    /// The capacity after the warm-up, in units of work per ms.
     capacity: f64,
     sent: VecDeque<SentWork>,
 }
@@ -29,16 +29,16 @@
 #[derive(Default)]
 struct Checker<'a> {
     clock_error: Time,
-    /// The figures that became active last, at any proxy.
+    /// The limits that became active last, at any proxy.
     limits: Option<&'a Limits>,
-    /// Processes by their addresses.
+    /// Processes by the addresses of their nodes.
     processes: BTreeMap<&'a str, NodeProcess>,
     /// Pairs of a proxy and the address of a node whose last start the proxy knows.
     informed: BTreeSet<(&'a str, &'a str)>,
     violations: Vec<Violation>,
 }
 
-/// Checks the work that all nodes were sent.
+/// Checks the work that was sent to each node.
 pub(crate) fn check(history: &History) -> Vec<Violation> {
     let mut checker = Checker { clock_error: history.clock_error, ..Checker::default() };
     for (event, (at, seen)) in history.events.iter().enumerate() {
@@ -86,7 +86,8 @@
 }
 
 impl NodeProcess {
-    /// The events of the last span, if their work is more than the process can take.
+    /// Returns the attempts of the last overload time, if their work exceeds what the present
+    /// capacity of the process allows.
     fn overloaded_by(&mut self, now: Time, limits: &Limits) -> Option<Vec<usize>> {
         let span = limits.overload_time;
         while self.sent.front().is_some_and(|sent| sent.at <= now - span) {
--- a/crates/history-checker/src/violation.rs
+++ b/crates/history-checker/src/violation.rs
@@ -1,19 +1,21 @@
-//! Violations of the rules ([`Violation`]), and why a history cannot be checked ([`CheckError`]).
+//! The results of a check: violations of the rules ([`Violation`]), or the reason for which a
+//! history cannot be checked ([`CheckError`]).
 
 use crate::history::Time;
 use std::fmt;
 use thiserror::Error;
 
-/// One of the rules.
+/// A rule that every proxy keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// Each request that a proxy accepts has exactly one final response, in time.
     OneResponse,
-    /// No effect happens twice, nor does a rejection risk that; attempts are limited.
+    /// No effect happens twice, no rejection invites a retry that could repeat an effect, and the
+    /// attempts of a request are limited.
     NoRepeatedEffect,
     /// No new attempt goes to a node that is draining, has left, or was never listed.
     Draining,
-    /// A node that is warming up gets no more work than it can take.
+    /// A node that is warming up gets no more work than its present capacity allows.
     SlowStart,
     /// The quotas of all proxies never add up to more than the total.
     Quota,
@@ -26,28 +28,31 @@
 pub enum Reason {
     /// A request never had its response.
     MissingResponse,
-    /// Its response came too late.
+    /// The response to a request came after its deadline.
     LateResponse,
-    /// It had more than one response.
+    /// A request had more than one response.
     DuplicateResponse,
-    /// No backend gave the value or receipt for this request.
+    /// A response has a value or receipt that no backend gave for the request.
     FabricatedResponse,
     /// An attempt was made after the final response.
     AttemptAfterResponse,
     /// An attempt was made for which there was no request.
     AttemptWithoutRequest,
-    /// An attempt was made though an earlier one may have run, and the effect forbids that.
+    /// An attempt of a request that may run only once was made though an earlier attempt may have
+    /// run.
     RepeatedEffect,
-    /// The same, at a backend outside the group that drops repeats.
+    /// An attempt with an idempotency key went to a backend outside the group that drops repeats,
+    /// though an earlier attempt may have run.
     OutsideScope,
-    /// The same, after the deduplication window.
+    /// An attempt with an idempotency key was made after the deduplication window of an earlier
+    /// attempt that may have run.
     OutsideWindow,
-    /// The request was rejected, which promises that a retry is harmless, though an attempt may
-    /// have run.
+    /// A request was rejected, which promises that a retry is harmless, though an attempt may have
+    /// run and a retry could repeat its effect.
     UnsafeRejection,
     /// Two attempts of a request were in flight at once.
     ConcurrentAttempts,
-    /// A request had more attempts than are allowed.
+    /// A request had more attempts than the configuration allows.
     TooManyAttempts,
     /// A new attempt went to a node that is draining.
     Draining,
@@ -55,18 +60,19 @@
     Gone,
     /// An attempt went to a node that was never listed to the proxy.
     NeverListed,
-    /// A node that is warming up was sent more work than it can take.
+    /// A node that is warming up was sent more work than its present capacity allows.
     Overloaded,
-    /// Quotas added up to more than one.
+    /// The quotas of all proxies added up to more than the total.
     QuotaSumExceeded,
-    /// A backend had more attempts at once than all proxies together may make.
+    /// A backend had more attempts in flight than all proxies together may have there.
     AttemptLimitExceeded,
-    /// A request was decided by a version after another one was decided by a later version.
+    /// A request was decided by a policy version after another request was decided by a later
+    /// version.
     VersionOverlap,
 }
 
 impl Reason {
-    /// The rule that it violates.
+    /// The rule that is violated.
     pub fn rule(self) -> Rule {
         use Reason::*;
         match self {
@@ -91,11 +97,11 @@
 pub struct Violation {
     /// How the rule is violated.
     pub reason: Reason,
-    /// The request, the node's address, the proxy or the versions that it is about.
+    /// The request, the node's address, the proxy or the policy versions at fault.
     pub subject: String,
-    /// When it happened, in ms.
+    /// When the rule was violated, in ms.
     pub at: Time,
-    /// The events at fault, by their indices in the history.
+    /// The indices of the events at fault in the history.
     pub events: Vec<usize>,
 }
 
@@ -106,25 +112,25 @@
     }
 }
 
-/// Why a history cannot be checked. Events are given by their indices.
+/// The reason for which a history cannot be checked. Events are given by their indices.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum CheckError {
-    /// The history has no event.
-    #[error("the history is empty")]
+    /// The history has no event, or none that the check needs.
+    #[error("the history has no event to check")]
     Empty,
-    /// No client sent a request.
+    /// The history has events, but no client sent a request.
     #[error("the history has no request")]
     NoRequest,
     /// An event is earlier than the one before it.
     #[error("event {0} is earlier than the one before it")]
     OutOfOrder(usize),
-    /// An event is about a proxy, class, request or attempt that was not seen before.
-    #[error("event {0} is about something that was not seen before")]
+    /// An event names a proxy, class, request or attempt that no earlier event introduced.
+    #[error("event {0} names a proxy, class, request or attempt that no earlier event introduced")]
     UnknownSubject(usize),
-    /// An event uses an id again.
-    #[error("event {0} uses an id again")]
+    /// An event uses the id of an earlier request or attempt.
+    #[error("event {0} uses the id of an earlier request or attempt")]
     DuplicateId(usize),
-    /// The history ends before the response of this request is due.
-    #[error("the history ends before the response of request {0} is due")]
+    /// The history ends before the response to this request is due.
+    #[error("the history ends before the response to request {0} is due")]
     Unfinished(String),
 }
