--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -1,5 +1,5 @@
 //! A fleet in simulated time: processes that start, die, pause and resume, and the network between
-//! them. Read [`Fleet`] first; [`Member`] is what runs on a host.
+//! them. Read [`Fleet`] first. Each host runs one [`Member`].
 
 mod members;
 mod schedule;
@@ -15,39 +15,39 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// When a simulation begins.
+/// The time at which a simulation begins, in ms.
 const START_MS: Time = 1000;
-/// How often [`Fleet::run_until`] checks its condition.
+/// The interval at which [`Fleet::run_until`] checks its condition, in ms.
 const CHECK_INTERVAL_MS: Time = 10;
 
 /// The failure detector of one process: the membership as it runs in service, or a baseline to
 /// compare it with.
 pub trait Member {
-    /// When [`Member::handle_timeout`] is to be called.
+    /// Returns the time at which [`Member::handle_timeout`] is to be called next.
     fn next_timeout(&self) -> Option<Timestamp>;
-    /// Time has passed.
+    /// Does what is due by now.
     fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>);
-    /// A datagram was received.
+    /// Handles a datagram that was received.
     fn handle_datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8], out: &mut Vec<Output>);
 }
 
-/// An event that a member reported.
+/// An event that a member reported, with its time and host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedEvent {
-    /// When, in ms.
+    /// When the member reported the event, in simulated ms.
     pub at: Time,
-    /// On which host the member runs.
+    /// The number of the host on which the member runs.
     pub host: usize,
-    /// The event.
+    /// The reported event.
     pub event: MembershipEvent,
 }
 
-/// Random pauses of every process: the shortest and the longest, in ms.
+/// Random pauses of every process. Each range is from the shortest to the longest, in ms.
 #[derive(Clone, Copy, Debug)]
 pub struct Pauses {
-    /// How long a pause lasts.
+    /// The range of the duration of a pause.
     pub duration: (Time, Time),
-    /// How long it is from the end of a pause to the beginning of the next.
+    /// The range of the time from the end of a pause to the beginning of the next.
     pub interval: (Time, Time),
 }
 
@@ -55,12 +55,12 @@
 pub const BRIEF_PAUSES: Pauses = Pauses { duration: (200, 450), interval: (1700, 6000) };
 
 struct Host<M> {
-    /// What runs on it.
+    /// The process that runs on the host, if one runs.
     member: Option<M>,
     is_paused: bool,
-    /// Datagrams in the socket of a paused process.
+    /// The datagrams in the socket of a paused process.
     inbox: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// The serial number of the wake-up that counts; earlier ones are outdated.
+    /// The serial number of the latest wake-up. Earlier wake-ups are ignored.
     wake_up: u64,
 }
 
@@ -70,7 +70,8 @@
     }
 }
 
-/// The hosts, the network between them, and the time. Equal seeds and calls give equal runs.
+/// A simulated fleet: the hosts, the network between them, and the time. Equal seeds and calls give
+/// equal runs.
 pub struct Fleet<M> {
     hosts: Vec<Host<M>>,
     hosts_by_address: BTreeMap<SocketAddr, usize>,
@@ -79,23 +80,23 @@
     /// The pauses of every process; none if processes do not pause.
     pub pauses: Option<Pauses>,
     now: Time,
-    /// Scheduled events by time, and by a serial number that keeps the order of scheduling.
+    /// The scheduled events by time, and by a serial number that keeps the order of scheduling.
     queue: BTreeMap<(Time, u64), Event>,
     scheduled: u64,
     rng: StdRng,
-    /// The events that members reported, in order; the caller may take them.
+    /// The events that members reported, in the order of time. The caller may remove them.
     pub observed: Vec<ObservedEvent>,
-    /// Datagrams that arrived at each host, and their bytes.
+    /// The number of datagrams that arrived at each host, and the number of their bytes.
     pub received: Vec<(u64, u64)>,
 }
 
-/// The address of a host by its number.
+/// Returns the address of a host by its number.
 pub fn host_address(host: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (host >> 8) as u8, host as u8], 7946))
 }
 
 impl<M: Member> Fleet<M> {
-    /// Hosts on which nothing runs.
+    /// Creates a fleet of hosts on which nothing runs.
     pub fn new(hosts: usize, seed: u64) -> Fleet<M> {
         Fleet {
             hosts: (0..hosts).map(|_| Host::new()).collect(),
@@ -111,13 +112,13 @@
         }
     }
 
-    /// The time now, in ms.
+    /// Returns the simulated time, in ms.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Starts a process on a host, in place of the one that runs there. `make` is given its start
-    /// in Unix microseconds, a seed, and the time.
+    /// Starts a process on a host, in place of the process that runs there. `make` creates the
+    /// member from the start of the process in Unix microseconds, a seed, and the time.
     pub fn start(&mut self, host: usize, make: impl FnOnce(u64, u64, Timestamp) -> M) {
         let seed = self.rng.random();
         let member = make(self.now * 1000 + 1, seed, Timestamp::from_millis(self.now));
@@ -135,8 +136,8 @@
         self.hosts[host].inbox.clear();
     }
 
-    /// Pauses the process on a host: it does nothing, and its socket keeps a bounded number of
-    /// datagrams.
+    /// Pauses the process on a host. A paused process does nothing, and its socket keeps a bounded
+    /// number of datagrams.
     pub fn pause(&mut self, host: usize) {
         self.hosts[host].is_paused = true;
     }
@@ -144,20 +145,20 @@
     /// Ends the pause of the process on a host.
     pub fn resume(&mut self, host: usize) {
         self.hosts[host].is_paused = false;
-        // Timeouts come before the datagrams that have arrived, which is the worse of the two
-        // orders.
+        // Timeouts are handled before the datagrams that have arrived, which is the worse of the
+        // two orders.
         self.act(host, Member::handle_timeout);
         while let Some((from, bytes)) = self.hosts[host].inbox.pop_front() {
             self.act(host, |member, now, out| member.handle_datagram(now, from, &bytes, out));
         }
     }
 
-    /// The process on a host, if one runs.
+    /// Returns the process on a host, if one runs.
     pub fn member(&self, host: usize) -> Option<&M> {
         self.hosts[host].member.as_ref()
     }
 
-    /// Calls the member on a host, and carries out its output.
+    /// Calls the member on a host, and carries out the outputs of the call.
     pub fn act(&mut self, host: usize, act: impl FnOnce(&mut M, Timestamp, &mut Vec<Output>)) {
         let mut out = Vec::new();
         let now = self.now;
@@ -166,7 +167,7 @@
         }
         for output in out {
             match output {
-                // Quota has a simulation of its own, and the peer directory needs none.
+                // The quota has a simulation of its own, and the peer directory needs none.
                 Output::QuotaMessage(_) | Output::DirectoryMessage(..) => {}
                 Output::MembershipEvent(event) => {
                     self.observed.push(ObservedEvent { at: now, host, event });
@@ -177,7 +178,7 @@
         self.schedule_wake_up(host);
     }
 
-    /// Lets this time pass, in ms.
+    /// Runs the simulation for a duration, in ms.
     pub fn run(&mut self, duration: Time) {
         let end = self.now + duration;
         while let Some(first) = self.queue.first_entry().filter(|first| first.key().0 <= end) {
@@ -188,7 +189,8 @@
         self.now = end;
     }
 
-    /// Lets time pass until a condition holds, at most `at_most` ms; returns whether it holds.
+    /// Runs the simulation until a condition holds, for at most `at_most` ms. Returns whether the
+    /// condition holds.
     pub fn run_until(&mut self, at_most: Time, holds: impl Fn(&Fleet<M>) -> bool) -> bool {
         let end = self.now + at_most;
         while self.now < end && !holds(self) {
@@ -197,7 +199,7 @@
         holds(self)
     }
 
-    /// Begins the pauses of the processes that run.
+    /// Schedules the first pause of every process.
     pub fn start_pauses(&mut self) {
         for host in 0..self.hosts.len() {
             self.schedule_pause(host);
--- a/crates/simulation/src/fleet/members.rs
+++ b/crates/simulation/src/fleet/members.rs
@@ -1,5 +1,5 @@
-//! A fleet of [`Membership`] as it runs in service: starting members, and the states that each
-//! believes the others to be in.
+//! A fleet whose members are the [`Membership`] that runs in service: the start of members, and the
+//! states that each believes the others to be in.
 
 use super::{host_address, Fleet, ObservedEvent};
 use pinetrail_membership::{
@@ -22,7 +22,8 @@
     }
 }
 
-/// The settings of the member on a host, in a fleet of this size, whose peers are these hosts.
+/// Returns the settings of the member on a host, in a fleet of at most `size` members. The member
+/// is configured with `peers`.
 pub fn member_settings(host: usize, size: usize, peers: &[usize]) -> Settings {
     let others = peers.iter().filter(|peer| **peer != host);
     Settings {
@@ -40,7 +41,8 @@
 }
 
 impl Fleet<Membership> {
-    /// A fleet of this many members, all started at once, each configured with these peers.
+    /// Creates a fleet with a member on each host. All members are started at once, and are
+    /// configured with `peers`.
     pub fn with_members(hosts: usize, seed: u64, peers: &[usize]) -> Fleet<Membership> {
         let mut fleet = Fleet::new(hosts, seed);
         for host in 0..hosts {
@@ -49,7 +51,8 @@
         fleet
     }
 
-    /// Starts a member on a host, in a fleet of this size, whose peers are these hosts.
+    /// Starts a member on a host, in a fleet of at most `size` members. The member is configured
+    /// with `peers`.
     pub fn start_member(&mut self, host: usize, size: usize, peers: &[usize]) {
         self.start_member_with(host, member_settings(host, size, peers));
     }
@@ -58,25 +61,26 @@
     ///
     /// # Panics
     ///
-    /// The settings contradict themselves.
+    /// If the settings are invalid.
     pub fn start_member_with(&mut self, host: usize, settings: Settings) {
         self.start(host, |start, seed, now| {
             Membership::new(settings, start, seed, now).expect("settings are valid")
         });
     }
 
-    /// The state that one host believes another to be in; none if it has no record of it.
+    /// Returns the state that one host believes another to be in; none if the observer has no
+    /// record of the other host.
     pub fn state_seen_by(&self, observer: usize, other: usize) -> Option<MemberState> {
         self.record_seen_by(observer, &member_name(other)).map(|record| record.state)
     }
 
-    /// The record that a host has of the member with this name.
+    /// Returns the record that a host has of the member with this name.
     pub fn record_seen_by(&self, observer: usize, name: &str) -> Option<MemberRecord> {
         self.member(observer)?.members().into_iter().find(|record| &*record.name == name)
     }
 
-    /// Whether all of these hosts believe that exactly these hosts are alive, and that no other is
-    /// alive or suspected.
+    /// Whether all of these hosts believe that exactly these hosts are alive, and that no other
+    /// host is alive or suspected.
     pub fn all_agree(&self, hosts: &[usize]) -> bool {
         let mut names: Vec<String> = hosts.iter().map(|host| member_name(*host)).collect();
         names.sort();
@@ -84,34 +88,34 @@
         hosts.iter().all(|host| self.member(*host).is_some_and(agrees))
     }
 
-    /// Which side of a partition a host is on.
+    /// Returns the side of a partition that a host believes to be on.
     pub fn side(&self, host: usize) -> Option<PartitionSide> {
         self.member(host).map(Membership::side)
     }
 
-    /// The counters of the member on a host.
+    /// Returns the counters of the member on a host.
     pub fn counters(&self, host: usize) -> MembershipCounters {
         self.member(host).map_or_else(MembershipCounters::default, Membership::counters)
     }
 
-    /// The number of observed events in which a member declared another failed. All of them are
-    /// false alarms if nothing was killed.
+    /// Returns the number of observed events in which a member declared another failed. All of them
+    /// are false alarms if nothing was killed.
     pub fn false_failures(&self) -> usize {
         self.observed.iter().filter(|observed| observed.is_about(MemberState::Failed)).count()
     }
 }
 
 impl ObservedEvent {
-    /// Whether it says that a member is in this state now.
+    /// Whether the event reports that a member has changed to this state.
     pub fn is_about(&self, state: MemberState) -> bool {
         matches!(&self.event, MembershipEvent::MemberChanged { record, .. } if record.state == state)
     }
 }
 
-/// Whether a member believes that exactly the members with these names, in this order, are alive,
-/// and that no other is alive or suspected.
+/// Whether a member believes that exactly the members with these names are alive, and that no other
+/// is alive or suspected. `names` must be sorted.
 fn sees_exactly(member: &Membership, names: &[String]) -> bool {
-    // Members come in the order of their names.
+    // The membership returns its records in the order of the names.
     let records = member.members();
     let live: Vec<&MemberRecord> =
         records.iter().filter(|record| record.state <= MemberState::Suspect).collect();
--- a/crates/simulation/src/fleet/schedule.rs
+++ b/crates/simulation/src/fleet/schedule.rs
@@ -1,18 +1,18 @@
-//! The scheduled events of a fleet: [`Event`].
+//! The scheduling and handling of the events of a fleet. Read [`Event`] first.
 
 use super::{host_address, Fleet, Member};
 use crate::Time;
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Datagrams that the socket of a paused process keeps; further ones are lost.
+/// The number of datagrams that the socket of a paused process keeps. Further datagrams are lost.
 const INBOX_CAPACITY_DATAGRAMS: usize = 256;
 
 /// An event at a scheduled time.
 pub(super) enum Event {
-    /// A datagram arrives.
+    /// A datagram arrives at a host.
     Datagram { from: usize, to: usize, bytes: Vec<u8> },
-    /// A timeout of the process on a host, unless a later wake-up has replaced this one.
+    /// A timeout of the process on a host is due, unless a later wake-up has replaced this one.
     WakeUp { host: usize, serial: u64 },
     /// The process on a host pauses.
     Pause { host: usize },
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends a datagram over the network, which may lose, repeat, delay or damage it.
+    /// Sends a datagram over the network, which may lose, duplicate, delay or damage the datagram.
     pub(super) fn send(&mut self, from: usize, to: SocketAddr, bytes: &[u8]) {
         let Some(to) = self.hosts_by_address.get(&to).copied() else { return };
         for (delay, damaged_byte) in self.network.transmit(&mut self.rng, from, to, bytes.len()) {
@@ -64,7 +64,7 @@
         self.schedule(at.as_millis().saturating_sub(self.now), Event::WakeUp { host, serial });
     }
 
-    /// Schedules the next pause of the process on a host, if processes pause at all.
+    /// Schedules the next pause of the process on a host, unless processes never pause.
     pub(super) fn schedule_pause(&mut self, host: usize) {
         if let Some(pauses) = self.pauses {
             let interval = self.rng.random_range(pauses.interval.0..=pauses.interval.1);
--- a/crates/simulation/src/heartbeats.rs
+++ b/crates/simulation/src/heartbeats.rs
@@ -1,5 +1,5 @@
-//! The baseline to compare SWIM with: [`Heartbeats`]. Every member sends heartbeats to all others,
-//! and a member that is silent for a time counts as failed.
+//! The failure detector that SWIM is compared with: [`Heartbeats`]. Every member sends heartbeats
+//! to all others, and a member that is silent for longer than a timeout counts as failed.
 
 use crate::fleet::{host_address, Member};
 use crate::Time;
@@ -7,20 +7,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Length of a heartbeat: that of the header of a SWIM message.
+/// The length of a heartbeat, in bytes: as long as the header of a SWIM message.
 const HEARTBEAT_BYTES: usize = 64;
-/// The time between the first heartbeats of members with consecutive numbers.
+/// The time between the first heartbeats of members with consecutive numbers, in ms.
 const STAGGER_MS: Time = 7;
 
-/// The observed state of one other host.
+/// The observed state of another member.
 #[derive(Clone, Copy, Default)]
 struct Peer {
-    /// When its last heartbeat came; none if it never sent one.
+    /// When the last heartbeat of the member arrived; none if none ever arrived.
     last_seen: Option<Timestamp>,
     has_failed: bool,
 }
 
-/// One member of the baseline. Times are in ms.
+/// A member that detects failures by heartbeats.
 pub struct Heartbeats {
     own_host: usize,
     period: Duration,
@@ -30,10 +30,10 @@
 }
 
 impl Heartbeats {
-    /// The member on this host in a fleet of so many hosts. It sends each `period`, and a
-    /// member that is silent for longer than `timeout` counts as failed; both in ms.
+    /// Creates the member on `own_host` in a fleet of `hosts` members. A member sends a heartbeat
+    /// every `period`, and counts as failed if it is silent for longer than `timeout`, both in ms.
     pub fn new(own_host: usize, hosts: usize, period: Time, timeout: Time, now: Timestamp) -> Heartbeats {
-        // Members do not all send at the same moment.
+        // The first heartbeats are staggered, so that members do not all send at the same moment.
         let next_heartbeat = now + Duration::from_millis((own_host as Time * STAGGER_MS) % period);
         let peers = vec![Peer::default(); hosts];
         let (period, timeout) = (Duration::from_millis(period), Duration::from_millis(timeout));
@@ -41,7 +41,7 @@
     }
 }
 
-/// The event that reports the believed state of a host.
+/// Returns the event that reports a new state of the member on a host.
 fn state_changed(now: Timestamp, host: usize, state: MemberState) -> Output {
     let record = MemberRecord {
         name: format!("n{host:04}").into(),
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,9 @@
-//! Models of what a proxy talks to, as state machines in simulated time: no socket, clock or
-//! thread. Equal seeds give equal runs. For tests and measurements; no proxy depends on it.
+//! Models of what a proxy talks to, as state machines in simulated time, without sockets, clocks
+//! and threads. Equal seeds give equal runs. For tests and measurements; no proxy depends on this
+//! crate.
 //!
-//! Read [`fleet::Fleet`] first: members of a fleet over a modelled [`network::Network`], with
-//! faults as its verbs.
+//! Read [`fleet::Fleet`] first: the members of a fleet over a modelled [`network::Network`], with a
+//! method for each kind of fault.
 
 pub mod fleet;
 pub mod heartbeats;
@@ -13,5 +14,5 @@
 pub mod quota;
 pub mod seeds;
 
-/// A point in simulated time or a span of it, in whole milliseconds.
+/// A point in simulated time or a duration, in whole milliseconds.
 pub type Time = u64;
--- a/crates/simulation/src/model.rs
+++ b/crates/simulation/src/model.rs
@@ -1,8 +1,8 @@
-//! [`Scope`]: the quota as a model for `stateright`. It runs the transition functions that run in
-//! service, in every order of faults up to a bound.
+//! Model checking of the quota with `stateright`: [`QuotaModel`] runs the transition functions that
+//! run in service, in every order of faults up to a bound.
 //!
-//! Three founders share a quota, from the moment on at which all have their leases. Messages arrive
-//! at once unless a fault loses, holds or duplicates them.
+//! Three founders share a quota. The exploration begins when all have their leases. Messages arrive
+//! at once unless a fault loses, holds back or duplicates them.
 
 mod state;
 mod transitions;
@@ -16,11 +16,11 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The bounds of an exploration.
+/// The quota of three processes, and the bounds of its exploration.
 #[derive(Clone, Debug)]
 pub struct QuotaModel {
     settings: Settings,
-    /// How fast each clock runs, in thousandths.
+    /// The rate of each host's clock, in thousandths of the simulated time.
     clock_rates: [u64; HOSTS],
     max_faults: usize,
     max_ticks: u64,
@@ -31,7 +31,8 @@
 pub struct PropertyViolation {
     /// The name of the property.
     pub property: &'static str,
-    /// The actions that lead to its violation; none if it should hold at some time and never does.
+    /// The actions that lead to the violation; none if the property should hold in some state and
+    /// holds in no state.
     pub actions: Option<Vec<Action>>,
 }
 
@@ -47,17 +48,17 @@
 /// The result of an exploration.
 #[derive(Clone, Debug)]
 pub struct Exploration {
-    /// States that were visited.
+    /// The number of states that were visited, with repetitions.
     pub states: usize,
-    /// How many of them differ.
+    /// The number of different states that were visited.
     pub unique_states: usize,
     /// The properties that do not hold.
     pub violations: Vec<PropertyViolation>,
 }
 
 impl QuotaModel {
-    /// At most `max_faults` faults within `max_ticks` ticks, with clocks that run at these rates,
-    /// in thousandths.
+    /// Creates a model with at most `max_faults` faults within `max_ticks` ticks. The clocks run at
+    /// these rates, in thousandths of the simulated time.
     pub fn new(max_faults: usize, max_ticks: u64, clock_rates: [u64; HOSTS]) -> QuotaModel {
         let settings = Settings {
             heartbeat_period: Duration::from_millis(100),
@@ -70,7 +71,7 @@
         QuotaModel { settings, clock_rates, max_faults, max_ticks }
     }
 
-    /// Explores every state within the bounds. Ends with the first violation.
+    /// Explores every state within the bounds, or ends with the first violation.
     pub fn explore(&self, threads: usize) -> Exploration {
         let checker = self.clone().checker().threads(threads).spawn_bfs().join();
         let mut discoveries = checker.discoveries();
@@ -78,7 +79,7 @@
         for property in self.properties() {
             let path = discoveries.remove(property.name);
             let is_example = matches!(property.expectation, Expectation::Sometimes);
-            // An example of a property that sometimes holds, a counterexample of any other.
+            // The path is an example of a `sometimes` property, a counterexample of any other.
             if path.is_some() != is_example {
                 let actions = path.map(stateright::Path::into_actions);
                 violations.push(PropertyViolation { property: property.name, actions });
@@ -87,7 +88,7 @@
         Exploration { states: checker.state_count(), unique_states: checker.unique_state_count(), violations }
     }
 
-    /// What the clock of a host shows.
+    /// Returns the time that the clock of a host shows.
     fn clock(&self, state: &State, host: usize) -> Timestamp {
         Timestamp::from_millis(state.now * self.clock_rates[host] / 1000)
     }
@@ -107,14 +108,14 @@
         state.hosts[host].is_some() && self.usable_parts(state, host) == minimum
     }
 
-    /// Whether all have equal parts of the leased total.
+    /// Whether all hosts have equal parts of the leasable total.
     fn all_have_equal_leases(&self, state: &State) -> bool {
         let equal = self.settings.guaranteed_minimum() + LEASABLE_PARTS / HOSTS as Parts;
         (0..HOSTS).all(|host| self.usable_parts(state, host) == equal)
     }
 }
 
-/// The properties that must hold in every state.
+/// Returns the properties that must hold in every state.
 fn safety_properties() -> Vec<Property<QuotaModel>> {
     vec![
         Property::always("quotas add up to one at the most", |model: &QuotaModel, state: &State| {
@@ -129,7 +130,8 @@
     ]
 }
 
-/// The states that must be reached, as evidence that the exploration covers them.
+/// Returns the properties that must hold in some state, as evidence that the exploration covers
+/// such states.
 fn reachable_properties() -> Vec<Property<QuotaModel>> {
     vec![
         Property::sometimes("the view changes", |_, state: &State| {
--- a/crates/simulation/src/model/state.rs
+++ b/crates/simulation/src/model/state.rs
@@ -1,11 +1,11 @@
-//! [`State`] of the model, and the [`Action`]s that are possible in it.
+//! The [`State`] of the model, and the [`Action`]s that are possible in a state.
 
 use crate::Time;
 use pinetrail_quota::{Message, Process, QuotaLeases};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// How many hosts the model has.
+/// The number of hosts in the model.
 pub(super) const HOSTS: usize = 3;
 
 pub(super) fn host_address(host: usize) -> SocketAddr {
@@ -15,37 +15,37 @@
 /// One direction between two hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Link {
-    /// Where they come from.
+    /// The host that sends the messages.
     pub from: usize,
-    /// Where they go.
+    /// The host that receives the messages.
     pub to: usize,
 }
 
-/// What happens to the next message on a link.
+/// A fault of the next message on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MessageFault {
-    /// It is lost.
+    /// The message is lost.
     Lost,
-    /// It is held back until [`Action::Release`].
+    /// The message is held back until [`Action::Release`].
     Held,
-    /// It arrives twice.
+    /// The message arrives twice.
     Duplicated,
 }
 
-/// What may happen next.
+/// A transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Time passes.
+    /// Time passes by one tick.
     Tick,
-    /// The next message on a link is to fail.
+    /// The next message on a link gets a fault.
     FailMessage(Link, MessageFault),
-    /// Nothing passes from and to a host.
+    /// All links from and to a host are cut.
     Isolate(usize),
-    /// Nothing passes on a link.
+    /// A link is cut.
     Cut(Link),
-    /// All links work again.
+    /// All cuts end.
     Heal,
-    /// What was held back arrives.
+    /// The messages that were held back arrive.
     Release,
     /// The process on a host crashes.
     Crash(usize),
@@ -55,14 +55,14 @@
     Pause(usize),
     /// The process on a host resumes.
     Resume(usize),
-    /// Every process believes that this host is dead: the view changes.
+    /// Every process believes that the process on a host is dead, so that the view changes.
     BelieveDead(usize),
-    /// Every process believes that it is alive again.
+    /// Every process believes that the process on a host is alive again.
     BelieveAlive(usize),
 }
 
 impl Action {
-    /// Whether it counts as one of the faults that are bounded.
+    /// Whether the action counts as one of the faults, whose number is bounded.
     pub(super) fn is_fault(self) -> bool {
         match self {
             Action::FailMessage(..)
@@ -81,19 +81,19 @@
     }
 }
 
-/// A message that has not arrived.
+/// A message that has not arrived at its host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Delivery {
     pub(super) to: usize,
     pub(super) message: Message,
 }
 
-/// The state of the whole model at a moment.
+/// The state of all hosts and of the network between them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) now: Time,
     pub(super) hosts: Vec<Option<QuotaLeases>>,
-    /// How often a process was started on each host.
+    /// The number of processes that were started on each host so far.
     pub(super) starts: Vec<u64>,
     pub(super) paused: BTreeSet<usize>,
     pub(super) believed_dead: BTreeSet<usize>,
@@ -107,7 +107,7 @@
 }
 
 impl State {
-    /// Nothing runs.
+    /// Creates a state in which no process runs.
     pub(super) fn empty(now: Time) -> State {
         State {
             now,
@@ -128,7 +128,7 @@
         Process { address: host_address(host), start: self.starts[host] }
     }
 
-    /// Passes the list of processes that are believed to be alive to every process.
+    /// Gives every process the list of processes that are believed to be alive.
     pub(super) fn update_live_processes(&mut self) {
         let is_alive = |host: &usize| self.hosts[*host].is_some() && !self.believed_dead.contains(host);
         let alive: Vec<Process> = (0..HOSTS).filter(is_alive).map(|host| self.process(host)).collect();
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The ends of faults that are possible.
+    /// Adds the actions that end a fault of this state.
     pub(super) fn recoveries(&self, actions: &mut Vec<Action>) {
         if !self.cuts.is_empty() {
             actions.push(Action::Heal);
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The faults that are possible.
+    /// Adds the faults that are possible in this state.
     pub(super) fn possible_faults(&self, actions: &mut Vec<Action>) {
         for host in 0..HOSTS {
             if self.hosts[host].is_some() {
--- a/crates/simulation/src/model/transitions.rs
+++ b/crates/simulation/src/model/transitions.rs
@@ -1,4 +1,4 @@
-//! What each action does to the state of the model.
+//! The transitions of the model: the effect of each action on the state.
 
 use super::state::{host_address, HOSTS};
 use super::{Action, Delivery, Link, MessageFault, QuotaModel, State};
@@ -6,15 +6,15 @@
 use pinetrail_quota::{Output, QuotaLeases};
 use std::collections::VecDeque;
 
-/// How much time passes in a tick.
+/// The time that passes in a tick, in ms.
 const TICK_MS: Time = 100;
-/// Ticks from the start of the fleet until all have their leases.
+/// The number of ticks from the start of the fleet until all processes have their leases.
 const TICKS_TO_SETTLE: usize = 60;
-/// Ticks within which all must have their leases after the last fault.
+/// The number of ticks after the last fault within which all processes must have equal leases.
 const TICKS_TO_RECOVER: usize = 100;
 
 impl QuotaModel {
-    /// The state after an action.
+    /// Returns the state after an action.
     pub(super) fn after(&self, state: &State, action: Action) -> State {
         let mut next = state.clone();
         next.faults += usize::from(action.is_fault());
@@ -53,7 +53,7 @@
         next
     }
 
-    /// The fleet once all have their leases.
+    /// Returns the state in which all processes have their first leases.
     pub(super) fn settled_state(&self) -> State {
         let mut state = State::empty(10_000);
         for host in 0..HOSTS {
@@ -66,7 +66,7 @@
         state
     }
 
-    /// Whether all have equal leases some time after the last fault.
+    /// Whether all processes get equal leases within the time for recovery, if all faults end now.
     pub(super) fn recovers(&self, state: &State) -> bool {
         let mut state = state.clone();
         state.cuts.clear();
@@ -108,7 +108,8 @@
         state.update_live_processes();
     }
 
-    /// Resumes a process. Its timeouts come before the messages that have arrived.
+    /// Resumes the process on a host, which handles its timeouts before the messages that have
+    /// arrived.
     fn resume(&self, state: &mut State, host: usize) {
         state.paused.remove(&host);
         self.handle_timeout(state, host);
@@ -132,7 +133,7 @@
         self.deliver(state, queue);
     }
 
-    /// Delivers messages, and those that are sent in response.
+    /// Delivers messages, and the messages that are sent in response.
     fn deliver(&self, state: &mut State, mut queue: VecDeque<Delivery>) {
         while let Some(delivery) = queue.pop_front() {
             let to = delivery.to;
@@ -150,7 +151,7 @@
     }
 }
 
-/// Queues the messages that a host sends, subject to the faults of their links.
+/// Queues the messages that a host sends, except those that a cut or a message fault stops.
 fn send(state: &mut State, from: usize, outputs: Vec<Output>, queue: &mut VecDeque<Delivery>) {
     for output in outputs {
         let Output::Send(address, message) = output else { continue };
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,24 +1,24 @@
-//! A network for datagrams: [`Network`] decides which are lost, how long the others take, and which
-//! directions are cut.
+//! A model of a network for datagrams: [`Network`] decides which datagrams are lost, how long the
+//! others take, and which directions are cut.
 
 use crate::Time;
 use rand::rngs::StdRng;
 use rand::RngExt;
 use std::collections::BTreeSet;
 
-/// A network between hosts that have numbers. Shares are from 0 to 1.
+/// A network between hosts that are identified by numbers. Shares are from 0 to 1.
 #[derive(Debug)]
 pub struct Network {
-    /// The share of datagrams that is lost.
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    /// The share of the others that arrives twice.
+    /// The share of the other datagrams that arrive twice.
     pub duplication: f64,
-    /// The share of which one byte arrives damaged.
+    /// The share of arriving copies in which one byte is damaged.
     pub corruption: f64,
-    /// How long a datagram takes, at least and at most, in ms. Delays differ, so that datagrams are
-    /// reordered.
+    /// The shortest and the longest delay of a datagram, in ms. Delays differ, so that datagrams
+    /// are reordered.
     pub delay: (Time, Time),
-    /// Directions that are cut, from one host to another.
+    /// The directions that are cut, each from one host to another.
     cuts: BTreeSet<(usize, usize)>,
 }
 
@@ -29,12 +29,12 @@
 }
 
 impl Network {
-    /// Cuts the direction from one host to another; the other direction is as it was.
+    /// Cuts the direction from one host to another. The opposite direction is not affected.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cuts.insert((from, to));
     }
 
-    /// Partitions the network: nothing passes between hosts of different sides.
+    /// Partitions the network, so that nothing passes between hosts of different sides.
     pub fn partition(&mut self, sides: &[&[usize]]) {
         for (index, side) in sides.iter().enumerate() {
             for (_, other_side) in sides.iter().enumerate().filter(|(other, _)| *other != index) {
@@ -57,8 +57,8 @@
         self.cuts.contains(&(from, to))
     }
 
-    /// The copies of a datagram of `length` bytes that arrive: how long each takes, in ms, and the
-    /// index of its damaged byte, if one is damaged.
+    /// Transmits a datagram of `length` bytes. Returns for each copy that arrives its delay, in ms,
+    /// and the index of its damaged byte, if one is damaged.
     pub fn transmit(
         &self,
         rng: &mut StdRng,
--- a/crates/simulation/src/origin.rs
+++ b/crates/simulation/src/origin.rs
@@ -1,14 +1,14 @@
-//! [`Origin`]: a model of an origin with a capacity of concurrent calls. Beyond it each call takes
-//! longer, and at twice the capacity the origin is down for a while.
+//! A model of an origin with a capacity of concurrent calls: [`Origin`]. Beyond the capacity each
+//! call takes longer, and at twice the capacity the origin goes down for a while.
 
 use std::collections::VecDeque;
 
 /// A simulated time or duration, in ms.
 type Time = u64;
 
-/// At this multiple of its capacity an origin goes down.
+/// The load at which an origin goes down, as a multiple of its capacity.
 const OUTAGE_LOAD: f64 = 2.0;
-/// Beyond the capacity a call takes longer by this power of the load.
+/// The power of the load by which a call takes longer beyond the capacity.
 const OVERLOAD_EXPONENT: i32 = 2;
 
 /// A call in flight.
@@ -18,27 +18,27 @@
     ends_at: Time,
 }
 
-/// The origin.
+/// An origin that slows down under overload, and goes down under a greater overload.
 #[derive(Clone, Debug)]
 pub struct Origin {
-    /// Concurrent calls that it serves in their usual time.
+    /// The number of concurrent calls that the origin serves in their usual time.
     pub capacity: usize,
-    /// How long a call takes within the capacity, in ms.
+    /// The duration of a call within the capacity, in ms.
     pub call_duration: Time,
-    /// How long it is down after an overload, in ms.
+    /// The duration of an outage, in ms.
     pub outage_duration: Time,
-    /// In the order in which they began.
+    /// The calls in flight, in the order in which they began.
     calls: VecDeque<Call>,
     /// When the last outage ends.
     up_at: Time,
-    /// How often it went down.
+    /// The number of outages so far.
     pub outages: u64,
-    /// The most calls that it had at once.
+    /// The largest number of calls that were in flight at once.
     pub max_calls: usize,
 }
 
 impl Origin {
-    /// An origin without calls.
+    /// Creates an origin without calls. Durations are in ms.
     pub fn new(capacity: usize, call_duration: Time, outage_duration: Time) -> Origin {
         Origin {
             capacity,
@@ -51,13 +51,13 @@
         }
     }
 
-    /// How many calls are in flight.
+    /// Returns the number of calls in flight.
     pub fn calls_in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// Begins a call. Returns the callers of the calls that fail: this one while the origin is
-    /// down, and all if it goes down.
+    /// Begins a call. Returns the callers of the calls that fail: this caller while the origin is
+    /// down, and all callers if the origin goes down.
     pub fn begin_call(&mut self, now: Time, caller: usize) -> Vec<usize> {
         if now < self.up_at {
             return vec![caller];
@@ -74,7 +74,7 @@
         self.calls.drain(..).map(|call| call.caller).collect()
     }
 
-    /// Takes the calls that have ended by now; returns their callers.
+    /// Removes the calls that have ended by now, and returns their callers.
     pub fn take_ended(&mut self, now: Time) -> Vec<usize> {
         let has_ended = |call: &Call| call.ends_at <= now;
         let (ended, in_flight): (VecDeque<Call>, VecDeque<Call>) = self.calls.drain(..).partition(has_ended);
--- a/crates/simulation/src/policy_consensus/disk.rs
+++ b/crates/simulation/src/policy_consensus/disk.rs
@@ -6,27 +6,27 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// A disk that outlives the crashes of its host. Clones are the same disk.
+/// A disk whose contents survive the crashes of its host. Clones share one disk.
 #[derive(Clone)]
 pub(super) struct SimulatedDisk {
-    /// Guards what is stored.
+    /// The stored bytes, and their lock.
     bytes: Arc<Mutex<Option<Vec<u8>>>>,
-    /// Guards whether it has room.
+    /// Whether the disk has room, and the lock of this state.
     space: Arc<Mutex<DiskSpace>>,
 }
 
 impl SimulatedDisk {
-    /// An empty disk.
+    /// Creates an empty disk with room.
     pub(super) fn new() -> SimulatedDisk {
         SimulatedDisk { bytes: Arc::default(), space: Arc::new(Mutex::new(DiskSpace::Free)) }
     }
 
-    /// From now on it has room or not.
+    /// Sets whether the disk has room from now on.
     pub(super) fn set_space(&self, space: DiskSpace) {
         *lock(&self.space) = space;
     }
 
-    /// Loses what is stored.
+    /// Erases what is stored.
     pub(super) fn erase(&self) {
         *lock(&self.bytes) = None;
     }
--- a/crates/simulation/src/policy_consensus/environment.rs
+++ b/crates/simulation/src/policy_consensus/environment.rs
@@ -14,27 +14,28 @@
     pub(super) text: String,
 }
 
-/// The name of a host in the simulation.
+/// Returns the name of a host in the simulation.
 pub(super) fn host_name(host: usize) -> String {
     format!("n{host}")
 }
 
-/// The state that all hosts of a run share with the part that injects faults.
+/// The state that all hosts of a run share with the fleet that injects faults.
 #[derive(Clone)]
 pub(super) struct Environment {
-    /// How many hosts are voters, from the first one on.
+    /// The number of voters, which are the first hosts.
     pub(super) voters: u8,
     pub(super) checker: RunChecker,
+    /// The disks of the hosts, in the order of the hosts.
     pub(super) disks: Vec<SimulatedDisk>,
-    /// Guards which process runs where, by host.
+    /// The running processes by host, and their lock.
     pub(super) running: Arc<Mutex<BTreeMap<usize, Peer>>>,
-    /// Guards the changes that are not proposed yet, by host.
+    /// The changes that are not proposed yet, by host, and their lock.
     pub(super) proposals: Arc<Mutex<Vec<Vec<Proposal>>>>,
     pub(super) seed: u64,
 }
 
 impl Environment {
-    /// The environment of a plan, in which no host has started.
+    /// Creates the environment of a plan, in which no host has started.
     pub(super) fn new(plan: &Plan) -> Environment {
         Environment {
             voters: plan.voters as u8,
--- a/crates/simulation/src/policy_consensus/fleet.rs
+++ b/crates/simulation/src/policy_consensus/fleet.rs
@@ -1,4 +1,5 @@
-//! All simulated hosts, from outside: adds them to the simulation, and injects faults.
+//! The control of all simulated hosts from outside: [`SimulatedFleet`] adds them to the simulation,
+//! and injects faults.
 
 use super::environment::{host_name, Environment, Proposal};
 use super::host;
@@ -11,7 +12,7 @@
 use std::time::Duration;
 use turmoil::Sim;
 
-/// All hosts.
+/// All hosts of a run, and their environment.
 pub(super) struct SimulatedFleet {
     environment: Environment,
     proposal_count: u32,
@@ -20,19 +21,19 @@
 }
 
 impl SimulatedFleet {
-    /// The hosts of a plan, which are all up.
+    /// Creates the hosts of a plan, which are all up.
     pub(super) fn new(plan: &Plan) -> SimulatedFleet {
         let environment = Environment::new(plan);
         SimulatedFleet { environment, proposal_count: 0, is_up: vec![true; plan.hosts] }
     }
 
-    /// Adds a host to the simulation, which starts it now and after each crash.
+    /// Adds a host to the simulation, which starts the host now and again after each crash.
     pub(super) fn add_host(&self, sim: &mut Sim<'_>, host: usize) {
         let environment = self.environment.clone();
         sim.host(host_name(host), move || host::run(environment.clone(), host));
     }
 
-    /// Does what a fault says.
+    /// Injects a fault.
     pub(super) fn inject(&mut self, sim: &mut Sim<'_>, fault: &Fault, now_ms: u64, rng: &mut StdRng) {
         self.environment.checker.log(format!("{now_ms} {fault:?}"));
         match fault {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Checks what was observed.
+    /// Checks what was observed in the run of a plan.
     pub(super) fn check(self, plan: Plan) -> Run {
         self.environment.checker.check(plan)
     }
@@ -108,7 +109,7 @@
         lock(&self.environment.proposals)[host].push(Proposal { id, text });
     }
 
-    /// All pairs of hosts.
+    /// Returns all pairs of hosts.
     fn pairs(&self) -> impl Iterator<Item = (usize, usize)> {
         let hosts = self.is_up.len();
         (0..hosts).flat_map(move |a| (a + 1..hosts).map(move |b| (a, b)))
--- a/crates/simulation/src/policy_consensus/host.rs
+++ b/crates/simulation/src/policy_consensus/host.rs
@@ -1,5 +1,5 @@
-//! One simulated host: the node of the policy's consensus, and around it what a proxy has:
-//! operators who propose changes, and clients that send requests all the time. Read [`run`] first.
+//! A simulated host: a node of the policy consensus, operators who propose changes to it, and
+//! clients that keep sending requests. Read [`run`] first.
 
 use super::environment::{host_name, Environment, Proposal};
 use super::network::SimulatedNetwork;
@@ -20,19 +20,20 @@
 const CLUSTER: &str = "f";
 const PORT: u16 = 7947;
 const ANY_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
-/// Clients send a request to each host so often.
+/// The interval at which clients send a request to each host.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(4);
-/// How often a host looks which others are up, in ms.
+/// The interval at which a host updates the list of its running peers, in ms.
 const PEERS_INTERVAL_MS: u64 = 50;
-/// How often a host whose disk is full tries to become a voter.
+/// The interval at which a host whose disk is full tries to become a voter.
 const VOTER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// How long requests wait for a change to be committed.
+/// The longest time for which requests wait for a change to be committed.
 const CHANGE_WAIT: Duration = Duration::from_millis(150);
 const RETRY_AFTER: Duration = Duration::from_millis(500);
-/// How long an operator waits for the answer to a proposal.
+/// The longest time for which an operator waits for the answer to a proposal.
 const PROPOSAL_TIME_LIMIT: Duration = Duration::from_millis(800);
 
-/// The durations of simulated fleets: shorter than usual, so that more happens.
+/// Returns the durations of the consensus, which are shorter than in service, so that more happens
+/// within a run.
 fn timing() -> Timing {
     Timing {
         lease_duration: Duration::from_millis(800),
@@ -52,7 +53,7 @@
     }
 }
 
-/// Runs a host until it crashes or the simulation ends.
+/// Runs a host until the host crashes or the simulation ends.
 pub(super) async fn run(environment: Environment, host: usize) -> turmoil::Result {
     let running = Host::start(environment, host).await?;
     let mut next_peers_ms = 0;
@@ -68,7 +69,7 @@
     }
 }
 
-/// A host that is up.
+/// A host that is up, and the components that run on it.
 struct Host {
     number: usize,
     environment: Environment,
@@ -92,8 +93,8 @@
         Ok(host)
     }
 
-    /// Becomes a voter if it is one of the first hosts. A disk that is full from the start does not
-    /// allow it.
+    /// Makes the node a voter if the host is one of the first hosts. While the disk is full, the
+    /// node cannot become a voter, and tries again.
     async fn become_voter(&self) {
         let voter = VoterId(self.number as u8);
         if voter.0 >= self.environment.voters {
@@ -101,12 +102,13 @@
         }
         let disk = &self.environment.disks[self.number];
         while let Err(error) = self.node.become_voter(voter, Box::new(disk.clone())) {
-            self.proxy.log(&format!("not a voter yet: {error}"));
+            self.proxy.log(&format!("cannot become a voter, trying again: {error}"));
             sleep(VOTER_RETRY_INTERVAL).await;
         }
     }
 
-    /// Of two hosts the one with the lower number connects.
+    /// Connects to the running hosts with higher numbers: of two hosts, the one with the lower
+    /// number connects.
     fn connect_to_peers(&self) {
         let running = lock(&self.environment.running).clone();
         let higher = running.into_iter().filter(|(other, _)| *other > self.number);
@@ -121,7 +123,7 @@
         let host = self.number;
         let node = Arc::clone(&self.node);
         let checker = self.environment.checker.clone();
-        // Ends by itself after `PROPOSAL_TIME_LIMIT` at the latest, or with a crash of the host.
+        // The task ends after `PROPOSAL_TIME_LIMIT` at the latest, or when the host crashes.
         tokio::spawn(async move {
             let base_version = node.status().active_version;
             let answer = node.propose(&id, base_version, &text, PROPOSAL_TIME_LIMIT).await;
@@ -129,9 +131,9 @@
         });
     }
 
-    /// A client sends a request, which the host admits or not.
+    /// Sends a request of a client, and records whether the host admits it.
     fn send_request(&self) {
-        // As in the dispatcher: the lease is examined while the active version is locked.
+        // As in the dispatcher, the lease is examined while the active version is locked.
         let active_version = self.proxy.active_version();
         let admission = self.node.admission_lease().admission(*active_version, Instant::now());
         if admission == Admission::Admit {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Reports the status that operators would see to the checker.
+    /// Reports to the checker the status that operators would see.
     fn report(&self) {
         let checker = &self.environment.checker;
         let status = self.node.status();
@@ -151,7 +153,8 @@
         };
         checker.record_status(self.number, host_status);
         for id in checker.changes_without_outcome() {
-            // Only what this host knows by itself: asking others takes a while.
+            // Only outcomes that this host knows by itself are reported, as asking others takes a
+            // while.
             if let Some(outcome) = self.node.change_outcome(&id) {
                 checker.record_outcome(&id, outcome);
             }
@@ -181,7 +184,7 @@
         voters,
         timing: timing(),
         lease_expiry_mode,
-        initial_policy: "the first rules".to_owned(),
+        initial_policy: "initial policy".to_owned(),
         seed,
     };
     ConsensusNode::new(settings, CLUSTER, transport, proxy, lease)
--- a/crates/simulation/src/policy_consensus/mod.rs
+++ b/crates/simulation/src/policy_consensus/mod.rs
@@ -1,9 +1,9 @@
-//! The tasks of the policy's consensus, as they run in service, on simulated hosts, network and
-//! time (`turmoil`): crashes, partitions and slow connections from a seed, which replays them. Read
-//! [`play`] first.
+//! Runs the tasks of the policy consensus, as they run in service, on simulated hosts, network and
+//! time (`turmoil`). Crashes, partitions and slow connections are drawn from a seed, so that a run
+//! can be replayed. Read [`play`] first.
 //!
-//! A run is checked by which requests are admitted where and when, not by the state that the code
-//! reports of itself.
+//! The check of a run rests on which requests are admitted where and when, not on the state that
+//! the code reports of itself.
 
 mod disk;
 mod environment;
@@ -26,22 +26,22 @@
 use shared::as_millis;
 use std::time::Duration;
 
-/// One step of simulated time; all events within a step happen at the same moment.
+/// The step of simulated time. All events within a step happen at the same moment.
 const TICK: Duration = Duration::from_millis(2);
-/// Limit of the simulated time after the end of a plan, in ms.
+/// The time for which the simulation may go on after the end of a plan, in ms.
 const SPARE_TIME_MS: u64 = 10_000;
-/// Capacity of a simulated connection, in segments.
+/// The capacity of a simulated connection, in segments.
 const TCP_CAPACITY_SEGMENTS: usize = 4096;
-/// Separates the seed of the proposed policies from that of the network.
+/// The mask that makes the seed of the proposed policies differ from that of the network.
 const POLICY_SEED_MASK: u64 = 0x5eed;
 
-/// Plays the plan of a seed.
+/// Simulates the plan that a seed determines.
 #[must_use]
 pub fn play_seed(seed: u64) -> Run {
     play(Plan::from_seed(seed))
 }
 
-/// Plays a plan.
+/// Simulates a plan, and checks what was observed.
 #[must_use]
 pub fn play(plan: Plan) -> Run {
     let mut fleet = SimulatedFleet::new(&plan);
--- a/crates/simulation/src/policy_consensus/network.rs
+++ b/crates/simulation/src/policy_consensus/network.rs
@@ -1,11 +1,11 @@
-//! The simulated network.
+//! The network of the peer transport on simulated connections: [`SimulatedNetwork`].
 
 use pinetrail_peer_transport::Network;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use turmoil::net::{TcpListener, TcpStream};
 
-/// Connections between simulated hosts.
+/// The TCP connections of `turmoil` between simulated hosts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SimulatedNetwork;
 
--- a/crates/simulation/src/policy_consensus/plan.rs
+++ b/crates/simulation/src/policy_consensus/plan.rs
@@ -1,53 +1,53 @@
-//! What happens to a fleet in a run. Read [`Plan`] first.
+//! The size of a fleet and the faults that happen to it in a run. Read [`Plan`] first.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Something that happens to a fleet.
+/// An event that the simulation injects into a fleet: a fault, the end of a fault, or a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A host crashes.
     Crash(usize),
     /// A host that crashed starts again.
     Start {
-        /// The host.
+        /// The number of the host.
         host: usize,
-        /// Whether it still has what its disk had.
+        /// Whether the disk still has what the host stored.
         disk: DiskAtStart,
     },
     /// Nothing passes between these hosts and the others.
     Partition(Vec<usize>),
-    /// Nothing passes in one direction.
+    /// Nothing passes from one host to another.
     PartitionOneWay {
-        /// Messages of this host are lost
+        /// The host whose messages are lost.
         from: usize,
-        /// on their way to this one.
+        /// The host that does not get the messages.
         to: usize,
     },
-    /// All connections work again.
+    /// All partitions end.
     Heal,
     /// The connections of a host become slow.
     Slow {
-        /// The host.
+        /// The number of the host.
         host: usize,
-        /// How long a message takes at most, in ms.
+        /// The longest latency of a message, in ms.
         latency_ms: u64,
     },
     /// A change is proposed at a host.
     Propose(usize),
     /// A change is proposed that one host rejects.
     ProposeRejected {
-        /// The host at which it is proposed.
+        /// The host at which the change is proposed.
         host: usize,
-        /// The host that rejects it.
+        /// The host that rejects the change.
         rejected_by: usize,
     },
     /// The disk of a host becomes full, or has room again.
     SetDisk {
-        /// The host.
+        /// The number of the host.
         host: usize,
-        /// Whether its disk has room.
+        /// Whether the disk has room.
         space: DiskSpace,
     },
 }
@@ -55,60 +55,61 @@
 /// Whether a disk has room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskSpace {
-    /// It takes nothing more.
+    /// The disk is full, so that each write fails.
     Full,
-    /// It has room.
+    /// The disk has room.
     Free,
 }
 
 /// What a host finds on its disk when it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskAtStart {
-    /// What it stored last.
+    /// The disk has what the host stored last.
     Kept,
-    /// Nothing.
+    /// The disk has lost everything.
     Lost,
 }
 
 /// A fault and its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledFault {
-    /// When it happens, in ms of simulated time.
+    /// When the fault happens, in ms of simulated time.
     pub at_ms: u64,
-    /// What happens.
+    /// The fault that happens.
     pub fault: Fault,
 }
 
-/// All that happens in a run.
+/// The inputs of a run: the seed, the size of the fleet, the latencies and the faults. Equal plans
+/// give equal runs.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Seeds the run, and replays it.
+    /// The seed of the random numbers of the run.
     pub seed: u64,
     /// The number of hosts.
     pub hosts: usize,
-    /// How many of them are voters, from the first one on.
+    /// The number of voters, which are the first hosts.
     pub voters: usize,
-    /// How long a message takes at least.
+    /// The shortest latency of a message.
     pub min_latency: Duration,
-    /// How long a message takes at most.
+    /// The longest latency of a message.
     pub max_latency: Duration,
-    /// The faults by their times.
+    /// The faults, in the order of time.
     pub faults: Vec<ScheduledFault>,
-    /// When the run ends, in ms. For a while before that there are no faults.
+    /// When the run ends, in ms. The faults end some time before, so that the fleet can recover.
     pub end_ms: u64,
 }
 
-/// When the fleet has begun, in ms: there are no faults before.
+/// The time from which faults happen, in ms. The fleet has started by then.
 const FAULTS_BEGIN_MS: u64 = 3_000;
-/// No fault begins later, in ms.
+/// The time after which no more random faults are drawn, in ms.
 const FAULTS_END_MS: u64 = 14_000;
-/// When everything is repaired, in ms.
+/// The time at which all faults are repaired, in ms.
 const REPAIR_MS: u64 = FAULTS_END_MS + 900;
-/// How long a fleet has to recover, in ms.
+/// The time from the end of faults to the end of the run, in which a fleet must recover, in ms.
 const RECOVERY_TIME_MS: u64 = 12_000;
 
 impl Plan {
-    /// A plan without faults.
+    /// Creates a plan without faults.
     #[must_use]
     pub fn without_faults(seed: u64, hosts: usize, voters: usize) -> Plan {
         Plan {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// This plan with one more fault.
+    /// Adds a fault to the plan.
     #[must_use]
     pub fn with_fault(mut self, at_ms: u64, fault: Fault) -> Plan {
         self.faults.push(ScheduledFault { at_ms, fault });
@@ -130,7 +131,7 @@
         self
     }
 
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     #[must_use]
     pub fn from_seed(seed: u64) -> Plan {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -154,7 +155,8 @@
 fn random_faults(rng: &mut StdRng, hosts: usize, voters: usize) -> Vec<ScheduledFault> {
     let mut faults = Vec::new();
     let mut at_ms = FAULTS_BEGIN_MS;
-    // Of several voters only one ever loses its disk: a majority that does has lost the state.
+    // With three or more voters only one of them ever loses its disk, with fewer voters none does,
+    // because a majority that loses its disks has lost the state.
     let disk_loss_host = Some(rng.random_range(0..voters)).filter(|_| voters > 2);
     while at_ms < FAULTS_END_MS {
         at_ms += rng.random_range(20..900);
@@ -165,7 +167,7 @@
     faults
 }
 
-/// A fault at this host. `disk_loser` is the one host that may lose its disk.
+/// Draws a fault at a host. `disk_loss_host` is the only host that may lose its disk.
 fn random_fault(rng: &mut StdRng, host: usize, hosts: usize, disk_loss_host: Option<usize>) -> Fault {
     match rng.random_range(0..20) {
         0..=5 => Fault::Propose(host),
@@ -187,7 +189,8 @@
     }
 }
 
-/// What ends all faults: at the end of a run every host is up, connected and has a disk with room.
+/// Returns what ends all faults: after the repairs every host is up and connected, and its disk has
+/// room.
 fn repairs(hosts: usize) -> Vec<ScheduledFault> {
     let mut repairs = vec![Fault::Heal];
     for host in 0..hosts {
--- a/crates/simulation/src/policy_consensus/policies.rs
+++ b/crates/simulation/src/policy_consensus/policies.rs
@@ -1,14 +1,14 @@
-//! The policies that operators propose in a run.
+//! The texts of the policies that operators propose in a run.
 
-/// Prefix of a policy that one host rejects; the number of that host follows.
-const REJECTED_AT: &str = "bad at ";
+/// The prefix of a policy that one host rejects. The number of that host follows.
+const REJECTED_AT: &str = "rejected at ";
 
-/// The text of a policy that every host can make active.
+/// Returns the text of a policy that every host accepts.
 pub(super) fn valid_policy(unique: u32) -> String {
-    format!("rules {unique}")
+    format!("policy {unique}")
 }
 
-/// The text of a policy that this host rejects.
+/// Returns the text of a policy that this host rejects.
 pub(super) fn rejected_policy(host: usize, unique: u32) -> String {
     format!("{REJECTED_AT}{host} {unique}")
 }
--- a/crates/simulation/src/policy_consensus/proxy.rs
+++ b/crates/simulation/src/policy_consensus/proxy.rs
@@ -1,4 +1,4 @@
-//! The simulated proxy of a host: which version is active there.
+//! The simulated proxy of a host, which has the active version: [`SimulatedProxy`].
 
 use super::policies::is_rejected_at;
 use super::run_checker::RunChecker;
@@ -6,21 +6,21 @@
 use pinetrail_policy_consensus::{PolicyApplier, PolicyRejected};
 use std::sync::{Mutex, MutexGuard};
 
-/// The proxy of a host.
+/// The proxy of a host, which validates and applies policies.
 pub(super) struct SimulatedProxy {
     host: usize,
-    /// Guards the active version; held while a request is admitted under it.
+    /// The active version. Its lock is held while a request is admitted under this version.
     active_version: Mutex<u64>,
     checker: RunChecker,
 }
 
 impl SimulatedProxy {
-    /// A proxy without an active version.
+    /// Creates a proxy without an active version.
     pub(super) fn new(host: usize, checker: RunChecker) -> SimulatedProxy {
         SimulatedProxy { host, active_version: Mutex::new(0), checker }
     }
 
-    /// The active version, which does not change while the guard lives.
+    /// Returns the active version, which does not change while the guard lives.
     pub(super) fn active_version(&self) -> MutexGuard<'_, u64> {
         lock(&self.active_version)
     }
@@ -29,7 +29,7 @@
 impl PolicyApplier for SimulatedProxy {
     fn validate(&self, text: &str) -> Result<(), PolicyRejected> {
         if is_rejected_at(text, self.host) {
-            return Err(PolicyRejected::new("it does not suit"));
+            return Err(PolicyRejected::new("the plan makes this host reject the policy"));
         }
         Ok(())
     }
--- a/crates/simulation/src/policy_consensus/run.rs
+++ b/crates/simulation/src/policy_consensus/run.rs
@@ -2,54 +2,55 @@
 
 use super::plan::Plan;
 
-/// How a run ended.
+/// The result of a run, and the plan of the run.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// What was played.
+    /// The plan that was simulated.
     pub plan: Plan,
-    /// What is wrong, if anything.
+    /// Whether the run keeps the invariants, or the first violation.
     pub verdict: Verdict,
-    /// How the changes finished.
+    /// The numbers of changes by how they finished.
     pub outcomes: OutcomeCounts,
-    /// Of each committed change, the time from its proposal until the first request was admitted
-    /// under it, in ms.
+    /// For each committed change, the time from its proposal until the first request was admitted
+    /// under its version, in ms.
     pub commit_latencies_ms: Vec<u64>,
-    /// The longest time for which a host that was up admitted nothing, in ms.
+    /// The longest time for which a host that was up admitted no request, in ms.
     pub longest_gap_ms: u64,
-    /// What was logged, in its order; the same for the same seed.
+    /// The lines that were logged, in the order of time. Equal seeds give equal logs.
     pub log: Vec<String>,
 }
 
-/// Numbers of changes by how they finished.
+/// The numbers of changes by how they finished.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Their version became active.
+    /// Changes whose version became active.
     pub committed: u32,
-    /// A host rejected them.
+    /// Changes that a host rejected.
     pub rejected: u32,
-    /// They took too long.
+    /// Changes that were abandoned because they took too long.
     pub abandoned: u32,
-    /// No host knows how they finished.
+    /// Changes whose outcome no host knows.
     pub unknown: u32,
 }
 
 /// A request that was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// The host.
+    /// The host that admitted the request.
     pub host: usize,
-    /// When, in ms of simulated time: one clock for all hosts.
+    /// When the request was admitted, in ms of simulated time, which is one clock for all hosts.
     pub at_ms: u64,
-    /// Under which version.
+    /// The policy version under which the request was admitted.
     pub version: u64,
 }
 
-/// What is wrong with a run.
+/// Whether a run keeps the invariants, or how it violates them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing.
+    /// The run keeps all invariants.
     Passed,
-    /// A request was admitted under a version after one was under a later version.
+    /// A request was admitted under a version after another request was admitted under a later
+    /// version.
     Overlap {
         /// The last request under the earlier version.
         last_of_earlier: Admitted,
@@ -58,24 +59,23 @@
     },
     /// Two hosts had different policies under one version number.
     ConflictingTexts {
-        /// That version.
+        /// The version with two policies.
         version: u64,
     },
-    /// A change was reported to have finished in two ways, or one that was not committed became
-    /// active.
+    /// Two outcomes were reported of one change, or a change that was not committed became active.
     ConflictingOutcomes {
-        /// The id of that change.
+        /// The id of the change.
         change_id: String,
     },
-    /// Although all was well for long enough, this host does not admit, or not under the latest
+    /// At the end of the time for recovery a host does not admit requests, or not under the latest
     /// version.
     Stuck {
-        /// That host.
+        /// The number of the host.
         host: usize,
     },
-    /// A change is open for ever.
+    /// At the end of the time for recovery a change is still open.
     NeverFinished {
-        /// The id of that change.
+        /// The id of the change.
         change_id: String,
     },
 }
--- a/crates/simulation/src/policy_consensus/run_checker.rs
+++ b/crates/simulation/src/policy_consensus/run_checker.rs
@@ -1,6 +1,6 @@
-//! What was observed in a run, and what is wrong with it. Read [`Verdict`] first.
+//! Records what is observed in a run, and checks it. Read [`Verdict`] first.
 //!
-//! It knows what is promised to operators and nothing of the code.
+//! The checker knows what is promised to operators, and nothing of the code that is checked.
 
 use super::plan::Plan;
 use super::policies::is_rejected_at;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// What a host reported last.
+/// The status of a host that operators would see.
 #[derive(Clone, Debug)]
 pub(super) struct HostStatus {
     pub(super) version: u64,
@@ -18,7 +18,7 @@
     pub(super) open_change: Option<String>,
 }
 
-/// A change that was proposed.
+/// A change that was proposed, and the time of its proposal.
 struct ProposedChange {
     text: String,
     at_ms: u64,
@@ -32,14 +32,15 @@
     last_admitted: BTreeMap<u64, Admitted>,
     /// The text of each version that became active.
     texts: BTreeMap<u64, String>,
-    /// A version that had two texts.
+    /// A version that became active with two texts, if there is one.
     version_with_two_texts: Option<u64>,
-    /// Changes by their ids.
+    /// The proposed changes by their ids.
     proposed: BTreeMap<String, ProposedChange>,
+    /// The known outcomes by the ids of their changes.
     outcomes: BTreeMap<String, Outcome>,
-    /// A change that finished in two ways.
+    /// A change of which two outcomes were reported, if there is one.
     change_with_two_outcomes: Option<String>,
-    /// What each host reported last.
+    /// The status that each host that is up reported last.
     statuses: BTreeMap<usize, HostStatus>,
     /// When each host that is up admitted its last request, in ms.
     last_admission_ms: BTreeMap<usize, u64>,
@@ -50,7 +51,7 @@
 /// Collects what is observed in a run, and checks it. Clones share their observations.
 #[derive(Clone, Default)]
 pub(super) struct RunChecker {
-    /// Guards what was observed.
+    /// What was observed so far, and its lock.
     observations: Arc<Mutex<Observations>>,
 }
 
@@ -60,7 +61,7 @@
         lock(&self.observations).log.push(line);
     }
 
-    /// A version became active at a host.
+    /// Records the text of a version that became active at a host.
     pub(super) fn record_text(&self, version: u64, text: &str) {
         let mut observations = lock(&self.observations);
         let known = observations.texts.entry(version).or_insert_with(|| text.to_owned());
@@ -69,20 +70,20 @@
         }
     }
 
-    /// A change is to be proposed.
+    /// Records a change that is about to be proposed.
     pub(super) fn record_proposal(&self, id: &str, text: &str, now_ms: u64) {
         let change = ProposedChange { text: text.to_owned(), at_ms: now_ms };
         lock(&self.observations).proposed.insert(id.to_owned(), change);
     }
 
-    /// The changes of which it is not known how they finished.
+    /// Returns the ids of the changes whose outcome is not known.
     pub(super) fn changes_without_outcome(&self) -> Vec<String> {
         let observations = lock(&self.observations);
         let ids = observations.proposed.keys();
         ids.filter(|id| !observations.outcomes.contains_key(*id)).cloned().collect()
     }
 
-    /// A host reports how a change finished.
+    /// Records the outcome of a change, as a host reports it.
     pub(super) fn record_outcome(&self, id: &str, outcome: Outcome) {
         let mut observations = lock(&self.observations);
         let known = *observations.outcomes.entry(id.to_owned()).or_insert(outcome);
@@ -91,19 +92,19 @@
         }
     }
 
-    /// A host reports its status.
+    /// Records the status that a host reports.
     pub(super) fn record_status(&self, host: usize, status: HostStatus) {
         lock(&self.observations).statuses.insert(host, status);
     }
 
-    /// A host crashed.
+    /// Removes the status and the last admission of a host that crashed.
     pub(super) fn forget_host(&self, host: usize) {
         let mut observations = lock(&self.observations);
         observations.last_admission_ms.remove(&host);
         observations.statuses.remove(&host);
     }
 
-    /// A request was admitted.
+    /// Records a request that was admitted.
     pub(super) fn record_admitted(&self, admitted: Admitted) {
         let mut observations = lock(&self.observations);
         observations.first_admitted.entry(admitted.version).or_insert(admitted);
@@ -134,7 +135,8 @@
         checks.into_iter().flatten().next().unwrap_or(Verdict::Passed)
     }
 
-    /// Two texts of one version, or two outcomes of one change.
+    /// Finds a version with two texts, a change with two outcomes, or an active change that was not
+    /// committed.
     fn conflict(&self) -> Option<Verdict> {
         if let Some(version) = self.version_with_two_texts {
             return Some(Verdict::ConflictingTexts { version });
@@ -152,7 +154,7 @@
         None
     }
 
-    /// A request under a version after one under a later version.
+    /// Finds a request that was admitted under a version after another was under a later version.
     fn overlap(&self) -> Option<Verdict> {
         for (version, last) in &self.last_admitted {
             let later_versions = self.first_admitted.range(version + 1..).map(|(_, first)| first);
@@ -164,7 +166,7 @@
         None
     }
 
-    /// A host that has not come to rest under the latest version.
+    /// Finds a host with an open change, or one that is not steady under the latest version.
     fn unfinished(&self, plan: &Plan) -> Option<Verdict> {
         let latest_version = self.statuses.values().map(|status| status.version).max().unwrap_or_default();
         for host in 0..plan.hosts {
@@ -175,8 +177,8 @@
                 return Some(Verdict::NeverFinished { change_id: change_id.clone() });
             }
             let is_settled = status.is_steady && status.version == latest_version;
-            // A host that was away when it could have rejected a version takes no clients, and says
-            // why.
+            // A host that was down or cut off when it could have rejected a version admits no
+            // requests, and reports why.
             let is_excluded = !status.is_steady
                 && status.version < latest_version
                 && self.is_version_rejected_at(latest_version, host);
@@ -187,7 +189,7 @@
         None
     }
 
-    /// Whether a host cannot make this version active.
+    /// Whether a host rejects the policy of a version.
     fn is_version_rejected_at(&self, version: u64, host: usize) -> bool {
         self.texts.get(&version).is_some_and(|text| is_rejected_at(text, host))
     }
@@ -202,8 +204,8 @@
         }
     }
 
-    /// Of each change that became active, the time from its proposal until the first request under
-    /// it.
+    /// Returns for each change that became active the time from its proposal until the first
+    /// request was admitted under its version, in ms.
     fn commit_latencies_ms(&self) -> Vec<u64> {
         let latency = |change: &ProposedChange| {
             let (version, _) = self.texts.iter().find(|(_, text)| **text == change.text)?;
--- a/crates/simulation/src/quota.rs
+++ b/crates/simulation/src/quota.rs
@@ -1,5 +1,6 @@
-//! [`QuotaSimulation`]: processes with a quota in simulated time. Each has a clock of its own; the
-//! network between them loses, duplicates and delays. It records the most that they use together.
+//! Processes that share a quota, in simulated time: [`QuotaSimulation`]. Each process has a clock
+//! of its own, and the network between them loses, duplicates and delays messages. The simulation
+//! records the most parts that all processes use together.
 
 use crate::network::Network;
 use crate::Time;
@@ -10,54 +11,54 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A clock that runs at a rate of its own.
+/// The clock of a process, which runs at a rate of its own.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// What it shows when the process starts, in ms.
+    /// The time that the clock shows when the process starts, in ms.
     pub shown_at_start: Time,
-    /// How fast it runs, in thousandths of the simulated time.
+    /// The rate of the clock, in thousandths of the simulated time.
     pub rate: u64,
     /// When the process starts, in simulated ms.
     started_at: Time,
 }
 
 impl Clock {
-    /// A clock for a process that starts when the simulation begins.
+    /// Creates a clock for a process that starts when the simulation begins.
     pub fn new(shown_at_start: Time, rate: u64) -> Clock {
         Clock { shown_at_start, rate, started_at: 0 }
     }
 
-    /// What it shows at a simulated time.
+    /// Returns the time that the clock shows at a simulated time.
     pub fn shown_at(&self, time: Time) -> Timestamp {
         Timestamp::from_millis(self.shown_at_start + (time - self.started_at) * self.rate / 1000)
     }
 
-    /// The first simulated time at which it shows this.
+    /// Returns the first simulated time at which the clock shows a time.
     fn time_when(&self, shown: Timestamp) -> Time {
         let elapsed = shown.as_millis().saturating_sub(self.shown_at_start);
         self.started_at + (elapsed * 1000).div_ceil(self.rate)
     }
 }
 
-/// Calls that began under an earlier quota.
+/// The calls that began under an earlier quota, and may still run.
 struct EarlierCalls {
     parts: Parts,
-    /// Until when they may run.
+    /// When the last of the calls ends at the latest, in simulated ms.
     end_at: Time,
 }
 
 struct Host {
-    /// What runs on it.
+    /// The leases of the process that runs on the host, if one runs.
     leases: Option<QuotaLeases>,
     is_paused: bool,
-    /// Messages in the socket of a paused process.
+    /// The messages in the socket of a paused process.
     inbox: Vec<Message>,
     clock: Clock,
-    /// How often a process was started on it.
+    /// The number of processes that were started on the host so far.
     starts: u64,
-    /// The serial number of the wake-up that counts; earlier ones are outdated.
+    /// The serial number of the latest wake-up. Earlier wake-ups are ignored.
     wake_up: u64,
-    /// The parts that its process could use when last looked at.
+    /// The parts that the process could use when the usage was last recorded.
     usable_parts: Parts,
     earlier_calls: Vec<EarlierCalls>,
 }
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Records the parts that its process may use now. If they are fewer than before, calls that
-    /// began under the larger quota still run.
+    /// Records the parts that the process may use now. If they are fewer than before, the calls
+    /// that began under the larger quota still run.
     fn update_usable_parts(&mut self, now: Time, longest_call: Time) {
         let shown = self.clock.shown_at(now);
         let parts = self.leases.as_ref().map_or(0, |leases| leases.usable_parts(shown));
@@ -103,48 +104,50 @@
     WakeUp { host: usize, number: u64 },
 }
 
-/// An event that a process reported.
+/// An event that a process reported, with its time and host.
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedEvent {
-    /// When, in simulated ms.
+    /// When the process reported the event, in simulated ms.
     pub at: Time,
-    /// On which host the process runs.
+    /// The number of the host on which the process runs.
     pub host: usize,
-    /// The event.
+    /// The reported event.
     pub event: QuotaEvent,
 }
 
-/// The hosts, the network between them, and the time. Equal seeds and calls give equal runs.
+/// A simulated fleet with a quota: the hosts, the network between them, and the time. Equal seeds
+/// and calls give equal runs.
 pub struct QuotaSimulation {
     /// The settings of processes that start from now on.
     pub settings: Settings,
-    /// The network.
+    /// The network between the hosts.
     pub network: Network,
     hosts: Vec<Host>,
     now: Time,
-    /// Scheduled events by time, and by a serial number that keeps the order of scheduling.
+    /// The scheduled events by time, and by a serial number that keeps the order of scheduling.
     queue: BTreeMap<(Time, u64), Event>,
     scheduled: u64,
-    /// Random numbers, for the network and for the caller.
+    /// The source of random numbers for the network and for the caller.
     pub rng: StdRng,
-    /// The events that processes reported, in order.
+    /// The events that processes reported, in the order of time.
     pub observed: Vec<ObservedEvent>,
-    /// The most parts that were in use at once, calls that began under earlier quotas included.
+    /// The largest number of parts that were in use at once, including those of calls that began
+    /// under earlier quotas.
     pub max_parts_in_use: Parts,
-    /// The most processes that believed to be the leader at once.
+    /// The largest number of processes that believed to be the leader at once.
     pub max_leaders: usize,
-    /// Messages sent.
+    /// The number of messages that were sent.
     pub messages_sent: u64,
 }
 
-/// The address of a host.
+/// Returns the address of a host by its number.
 pub fn host_address(host: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (host >> 8) as u8, host as u8], 7946))
 }
 
 impl QuotaSimulation {
-    /// Hosts on which nothing runs, the first of which are the founders, in a fleet of at most
-    /// `size` processes.
+    /// Creates a simulation of hosts on which nothing runs. The first `founders` hosts are the
+    /// founders of a fleet of at most `size` processes.
     pub fn new(hosts: usize, founders: usize, size: usize, seed: u64) -> QuotaSimulation {
         QuotaSimulation {
             settings: Settings::with_defaults((0..founders).map(host_address).collect(), size),
@@ -161,22 +164,22 @@
         }
     }
 
-    /// The simulated time, in ms.
+    /// Returns the simulated time, in ms.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Gives a host another clock, for processes that start from now on.
+    /// Sets the clock of the processes that start on a host from now on.
     pub fn set_clock(&mut self, host: usize, clock: Clock) {
         self.hosts[host].clock = clock;
     }
 
-    /// The process that runs on a host, or ran there last.
+    /// Returns the process that runs on a host, or ran there last.
     pub fn process(&self, host: usize) -> Process {
         Process { address: host_address(host), start: self.hosts[host].starts }
     }
 
-    /// Starts a process on a host, in place of the one that runs there.
+    /// Starts a process on a host, in place of the process that runs there.
     ///
     /// # Panics
     ///
@@ -194,7 +197,7 @@
         self.act(host, |_, _, _| {});
     }
 
-    /// Kills the process on a host. Its calls run on.
+    /// Kills the process on a host. The calls of the process still run to their end.
     pub fn kill(&mut self, host: usize) {
         let end_at = self.now + whole_millis(self.settings.max_attempt_duration);
         let this = &mut self.hosts[host];
@@ -206,7 +209,7 @@
         this.inbox.clear();
     }
 
-    /// Announces to the process on a host that it ends soon. The caller kills it.
+    /// Begins the shutdown of the process on a host. The caller kills the process later.
     pub fn begin_shutdown(&mut self, host: usize) {
         if let Some(leases) = &mut self.hosts[host].leases {
             leases.begin_shutdown();
@@ -218,7 +221,8 @@
         self.hosts[host].is_paused = true;
     }
 
-    /// Resumes the process on a host. Its timeouts come before the messages that have arrived.
+    /// Resumes the process on a host, which handles its timeouts before the messages that have
+    /// arrived.
     pub fn resume(&mut self, host: usize) {
         self.hosts[host].is_paused = false;
         self.act(host, QuotaLeases::handle_timeout);
@@ -237,19 +241,19 @@
         self.hosts[host].is_paused
     }
 
-    /// The parts that the process on a host holds by lease now; 0 if none runs.
+    /// Returns the parts that the process on a host holds by lease now; 0 if no process runs there.
     pub fn leased_parts(&self, host: usize) -> Parts {
         let shown = self.hosts[host].clock.shown_at(self.now);
         self.hosts[host].leases.as_ref().map_or(0, |leases| leases.lease().parts_at(shown))
     }
 
-    /// The parts that the process on a host may use now; 0 if none runs.
+    /// Returns the parts that the process on a host may use now; 0 if no process runs there.
     pub fn usable_parts(&self, host: usize) -> Parts {
         let shown = self.hosts[host].clock.shown_at(self.now);
         self.hosts[host].leases.as_ref().map_or(0, |leases| leases.usable_parts(shown))
     }
 
-    /// Whether the process on a host believes that it is the leader now.
+    /// Whether the process on a host believes to be the leader now.
     pub fn is_leader(&self, host: usize) -> bool {
         self.hosts[host].is_leader(self.now)
     }
@@ -261,7 +265,7 @@
         }
     }
 
-    /// Sets the running processes as live at every process.
+    /// Tells every process that exactly the running processes are alive.
     pub fn update_all_live_processes(&mut self) {
         let running = (0..self.hosts.len()).filter(|host| self.is_running(*host));
         let running: Vec<Process> = running.map(|host| self.process(host)).collect();
@@ -270,7 +274,7 @@
         }
     }
 
-    /// Lets time pass, in ms.
+    /// Runs the simulation for a duration, in ms.
     pub fn run(&mut self, duration: Time) {
         let end = self.now + duration;
         while let Some(first) = self.queue.first_entry().filter(|first| first.key().0 <= end) {
@@ -328,15 +332,15 @@
         }
     }
 
-    /// Schedules an event; returns its serial number.
+    /// Schedules an event, and returns its serial number.
     fn schedule(&mut self, at: Time, event: impl FnOnce(u64) -> Event) -> u64 {
         self.scheduled += 1;
         self.queue.insert((at, self.scheduled), event(self.scheduled));
         self.scheduled
     }
 
-    /// Adds up the parts that all processes use. The parts that a paused process would use after it
-    /// resumes count too.
+    /// Updates the largest numbers of parts in use and of leaders. The parts that a paused process
+    /// would use after it resumes count too.
     fn record_usage(&mut self) {
         let now = self.now;
         for host in &mut self.hosts {
--- a/crates/simulation/src/seeds.rs
+++ b/crates/simulation/src/seeds.rs
@@ -1,4 +1,4 @@
-//! [`play`]: a quota under faults that are drawn from a seed, and the properties that must hold.
+//! Checks the properties of the quota under faults that are drawn from a seed. Read [`play`] first.
 
 use crate::quota::{Clock, QuotaSimulation};
 use crate::Time;
@@ -8,42 +8,46 @@
 
 const HOSTS: usize = 5;
 const FAULTS_PER_SEED: usize = 25;
-/// Time within which all processes must have equal leases after the last fault.
+/// The time within which all processes must have equal leases after the last fault, in ms.
 const RECOVERY_TIME_MS: Time = 40_000;
 
 /// A property that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Violation {
     /// More than the total was in use, or there were two leaders at once.
-    #[error("{parts_in_use} of {TOTAL_PARTS} in use, {leaders} leaders at {at} ms")]
+    #[error("{parts_in_use} parts of {TOTAL_PARTS} in use, {leaders} leaders, found at {at} ms")]
     Unsafe {
-        /// The most parts in use at once.
+        /// The largest number of parts in use at once.
         parts_in_use: Parts,
-        /// The most leaders at once.
+        /// The largest number of leaders at once.
         leaders: usize,
-        /// When it was noticed, in simulated ms.
+        /// When the violation was found, in simulated ms.
         at: Time,
     },
-    /// The leases did not become equal once the faults had ended, or too much was in use until
-    /// then.
-    #[error("in the end {leases:?} instead of {expected} for each; most in use {parts_in_use}")]
+    /// The leases did not become equal after the faults had ended, or more than the total was in
+    /// use during the recovery.
+    #[error(
+        "leases after the recovery {leases:?}, expected {expected} parts for each host; \
+         at most {parts_in_use} parts of {TOTAL_PARTS} in use"
+    )]
     NotRecovered {
         /// The leased parts of each host.
         leases: Vec<Parts>,
-        /// What each should hold.
+        /// The parts that each host should have leased.
         expected: Parts,
-        /// The most parts in use at once.
+        /// The largest number of parts in use at once.
         parts_in_use: Parts,
     },
 }
 
-/// Plays five processes and 25 faults.
+/// Simulates five processes under 25 faults from a seed, and checks three properties: the parts
+/// that all processes use together, including those of calls that began earlier, never exceed the
+/// total; there are never two leaders; and all processes get equal leases after the faults have
+/// ended.
 ///
 /// # Errors
 ///
-/// The first [`Violation`]: what all may use together, with what calls that began earlier still
-/// use, must never exceed the total; there must never be two leaders; and once the faults have
-/// ended all processes must have equal leases.
+/// Returns the first [`Violation`] of these properties.
 pub fn play(seed: u64) -> Result<(), Violation> {
     let mut simulation = start_fleet(seed);
     for _ in 0..FAULTS_PER_SEED {
@@ -81,7 +85,8 @@
     simulation
 }
 
-/// Draws a fault, or the end of one. The numbers of the arms are part of what a seed means.
+/// Draws a fault, or the end of a fault. The numbers of the match arms must not change, because
+/// they determine the faults of a seed.
 fn inject_fault(simulation: &mut QuotaSimulation) {
     let host = simulation.rng.random_range(0..HOSTS);
     match simulation.rng.random_range(0..11) {
@@ -113,7 +118,8 @@
     }
 }
 
-/// Cuts the fleet in two. Each side may notice at once; `host` draws whether it does.
+/// Partitions the fleet into two sides. If `host`, which is random, is even, each side believes at
+/// once that only its own processes are alive.
 fn partition(simulation: &mut QuotaSimulation, host: usize) {
     let sides = simulation.rng.random_range(1..31u32);
     let side = |bit: u32| -> Vec<usize> { (0..HOSTS).filter(|host| (sides >> host) & 1 == bit).collect() };
@@ -131,7 +137,7 @@
     }
 }
 
-/// Gives a process a random view of which processes are alive.
+/// Gives a process a random list of the processes that are alive.
 fn set_random_live_processes(simulation: &mut QuotaSimulation, host: usize) {
     let believed = simulation.rng.random_range(0..32u32);
     let alive = (0..HOSTS).filter(|one| (believed >> one) & 1 == 1);
