--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -113,7 +113,7 @@
         /// The number of the attempt.
         attempt: u64,
         /// How the attempt ended.
-        outcome: AttemptOutcome,
+        end: AttemptEnd,
     },
 }
 
@@ -139,7 +139,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AttemptOutcome {
+pub enum AttemptEnd {
     /// The backend served the attempt, with this value or receipt.
     Served(String),
     /// The backend does not hold the key, so that nothing ran.
@@ -188,7 +188,7 @@
     Idempotent,
     /// A request may be sent any number of times to one group of backends within the deduplication
     /// window, because the group drops repeats during that time.
-    IdempotencyKey,
+    Keyed,
     /// A request may run at most once.
     NotIdempotent,
 }
--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -21,7 +21,7 @@
 mod violation;
 
 pub use history::{
-    AttemptOutcome, Class, DeduplicationScope, History, HistoryEvent, Idempotency, Limits, Node, NodeState,
+    AttemptEnd, Class, DeduplicationScope, History, HistoryEvent, Idempotency, Limits, Node, NodeState,
     ProxyEnd, ResponseOutcome, Time,
 };
 pub use policies::{check_policies, PolicyDecision};
--- a/crates/history-checker/src/quota/tests.rs
+++ b/crates/history-checker/src/quota/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::history::AttemptOutcome;
+use crate::history::AttemptEnd;
 
 fn quota_stated(at: Time, proxy: &str, fraction: f64) -> (Time, HistoryEvent) {
     (at, HistoryEvent::QuotaStated { proxy: proxy.into(), fraction, longest_attempt: 1000.0 })
@@ -38,7 +38,7 @@
         (at, received)
     };
     let bound = (0.0, HistoryEvent::AttemptLimitSet { address: "n".into(), limit: 2 });
-    let closed = (2.5, HistoryEvent::AttemptEnded { attempt: 1, outcome: AttemptOutcome::Missed });
+    let closed = (2.5, HistoryEvent::AttemptEnded { attempt: 1, end: AttemptEnd::Missed });
     assert_eq!(reasons(vec![bound.clone(), received(1), received(2), closed, received(3)]), []);
     assert_eq!(reasons(vec![bound, received(1), received(2), received(3)]), [Reason::AttemptLimitExceeded]);
 }
--- a/crates/history-checker/src/repetition.rs
+++ b/crates/history-checker/src/repetition.rs
@@ -93,7 +93,7 @@
         match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => false,
-            Idempotency::IdempotencyKey => {
+            Idempotency::Keyed => {
                 let is_in_window = at - ran.began_at <= class.window + self.clock_error;
                 class.scope == DeduplicationScope::All && is_in_window
             }
@@ -108,11 +108,9 @@
         match class.idempotency {
             Idempotency::Idempotent => None,
             Idempotency::NotIdempotent => Some(Reason::RepeatedEffect),
-            Idempotency::IdempotencyKey if !self.share_a_group(ran, attempt) => Some(Reason::OutsideScope),
-            Idempotency::IdempotencyKey if elapsed > class.window + self.clock_error => {
-                Some(Reason::OutsideWindow)
-            }
-            Idempotency::IdempotencyKey => None,
+            Idempotency::Keyed if !self.share_a_group(ran, attempt) => Some(Reason::OutsideScope),
+            Idempotency::Keyed if elapsed > class.window + self.clock_error => Some(Reason::OutsideWindow),
+            Idempotency::Keyed => None,
         }
     }
 
--- a/crates/history-checker/src/request_index.rs
+++ b/crates/history-checker/src/request_index.rs
@@ -1,7 +1,7 @@
 //! Indexes the requests of a history, each with its attempts and responses. Read [`RequestIndex`]
 //! first.
 
-use crate::history::{AttemptOutcome, Class, History, HistoryEvent, Limits, ProxyEnd, ResponseOutcome, Time};
+use crate::history::{AttemptEnd, Class, History, HistoryEvent, Limits, ProxyEnd, ResponseOutcome, Time};
 use crate::violation::CheckError;
 use std::collections::BTreeMap;
 
@@ -45,20 +45,20 @@
     /// When the first byte of the attempt arrived at the backend.
     pub began_at: Time,
     /// When and how the attempt ended; none if it is in flight at the end of the history.
-    pub end: Option<AttemptEnd<'a>>,
+    pub end: Option<ObservedEnd<'a>>,
 }
 
 /// When and how an attempt ended.
-pub(crate) struct AttemptEnd<'a> {
+pub(crate) struct ObservedEnd<'a> {
     pub at: Time,
-    pub outcome: &'a AttemptOutcome,
+    pub end: &'a AttemptEnd,
 }
 
 impl Attempt<'_> {
     /// Whether the request may have run by this attempt, given the events up to a time.
     pub(crate) fn may_have_run(&self, at: Time) -> bool {
-        let Some(AttemptEnd { at: ended_at, outcome }) = &self.end else { return true };
-        let did_not_run = matches!(outcome, AttemptOutcome::Missed | AttemptOutcome::Rejected);
+        let Some(ObservedEnd { at: ended_at, end }) = &self.end else { return true };
+        let did_not_run = matches!(end, AttemptEnd::Missed | AttemptEnd::Rejected);
         *ended_at > at || !did_not_run
     }
 }
@@ -148,7 +148,7 @@
                     return Err(CheckError::DuplicateId(when.event));
                 }
             }
-            HistoryEvent::AttemptEnded { attempt, outcome } => self.attempt_ended(when, *attempt, outcome)?,
+            HistoryEvent::AttemptEnded { attempt, end } => self.attempt_ended(when, *attempt, end)?,
             HistoryEvent::EndpointsListed { .. }
             | HistoryEvent::BackendStarted { .. }
             | HistoryEvent::QuotaStated { .. }
@@ -217,13 +217,13 @@
         &mut self,
         when: Occurrence,
         attempt: u64,
-        outcome: &'a AttemptOutcome,
+        end: &'a AttemptEnd,
     ) -> Result<(), CheckError> {
         let position = self.positions.get(&attempt).ok_or(CheckError::UnknownSubject(when.event))?;
         let Some(AttemptPosition { request, number }) = *position else { return Ok(()) };
         let request = self.index.requests.get_mut(request);
         if let Some(attempt) = request.and_then(|request| request.attempts.get_mut(number)) {
-            attempt.end.get_or_insert(AttemptEnd { at: when.at, outcome });
+            attempt.end.get_or_insert(ObservedEnd { at: when.at, end });
         }
         Ok(())
     }
--- a/crates/history-checker/src/responses.rs
+++ b/crates/history-checker/src/responses.rs
@@ -1,7 +1,7 @@
 //! Checks the rule that each request has exactly one final response, in time, with a value that a
 //! backend gave. Read [`check`] first.
 
-use crate::history::{AttemptOutcome, History, ResponseOutcome, Time};
+use crate::history::{AttemptEnd, History, ResponseOutcome, Time};
 use crate::request_index::{Request, RequestIndex, Response};
 use crate::violation::{CheckError, Reason, Violation};
 
@@ -107,7 +107,7 @@
 fn is_from_backend(request: &Request, outcome: &ResponseOutcome) -> bool {
     let ResponseOutcome::Served(value) = outcome else { return true };
     request.attempts.iter().any(|attempt| {
-        let outcome = attempt.end.as_ref().map(|end| end.outcome);
-        matches!(outcome, Some(AttemptOutcome::Served(given)) if given == value)
+        let end = attempt.end.as_ref().map(|end| end.end);
+        matches!(end, Some(AttemptEnd::Served(given)) if given == value)
     })
 }
--- a/crates/test-harness/src/recorder.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -5,7 +5,7 @@
 mod from_json;
 
 use pinetrail_history_checker::{
-    check, check_quota, AttemptOutcome, History, HistoryEvent, ProxyEnd, ResponseOutcome, Time, Violation,
+    check, check_quota, AttemptEnd, History, HistoryEvent, ProxyEnd, ResponseOutcome, Time, Violation,
 };
 use serde_json::Value;
 use std::sync::{Arc, Mutex};
@@ -162,8 +162,8 @@
     /// # Panics
     /// If the head of an HTTP response has no end.
     pub fn record_backend_response(&self, attempt: u64, text: Option<&str>) {
-        let end = text.map_or(AttemptOutcome::Broken, end_of_attempt);
-        self.record(HistoryEvent::AttemptEnded { attempt, outcome: end });
+        let end = text.map_or(AttemptEnd::Broken, end_of_attempt);
+        self.record(HistoryEvent::AttemptEnded { attempt, end });
     }
 
     /// Records the quota that a process reports, as a share from 0 to 1. An attempt of the process
@@ -215,19 +215,19 @@
 }
 
 /// Returns how an attempt ends whose backend sends this response.
-fn end_of_attempt(text: &str) -> AttemptOutcome {
+fn end_of_attempt(text: &str) -> AttemptEnd {
     if text.starts_with("VA ") {
-        AttemptOutcome::Served(text.lines().nth(1).unwrap_or_default().to_owned())
+        AttemptEnd::Served(text.lines().nth(1).unwrap_or_default().to_owned())
     } else if text.starts_with("EN ") {
-        AttemptOutcome::Missed
+        AttemptEnd::Missed
     } else if text.starts_with("SERVER_ERROR busy") {
-        AttemptOutcome::Rejected
+        AttemptEnd::Rejected
     } else if text.starts_with("HTTP/1.1 200") {
-        AttemptOutcome::Served(text.split_once("\r\n\r\n").unwrap().1.to_owned())
+        AttemptEnd::Served(text.split_once("\r\n\r\n").unwrap().1.to_owned())
     } else if text.contains("X-Turned-Away: 1") {
-        AttemptOutcome::Rejected
+        AttemptEnd::Rejected
     } else {
-        AttemptOutcome::Failed
+        AttemptEnd::Failed
     }
 }
 
--- a/crates/test-harness/src/recorder/from_json.rs
+++ b/crates/test-harness/src/recorder/from_json.rs
@@ -51,7 +51,7 @@
     Class {
         idempotency: match text("Semantics") {
             "safe" => Idempotency::Idempotent,
-            "keyed" => Idempotency::IdempotencyKey,
+            "keyed" => Idempotency::Keyed,
             _ => Idempotency::NotIdempotent,
         },
         scope: match text("DedupScope") {
--- a/tests/common/edited_history.rs
+++ b/tests/common/edited_history.rs
@@ -1,9 +1,7 @@
 //! Histories of short simulations, and edits of them: one event added, removed, moved or repeated.
 
 use super::fleet::{simulate, Fault};
-use pinetrail_history_checker::{
-    check, AttemptOutcome, History, HistoryEvent, Reason, ResponseOutcome, Time,
-};
+use pinetrail_history_checker::{check, AttemptEnd, History, HistoryEvent, Reason, ResponseOutcome, Time};
 
 /// Asserts that the checker finds no violation.
 pub(crate) fn assert_accepted(history: &History) {
@@ -52,7 +50,7 @@
             .collect();
         let [(received, attempt)] = calls[..] else { return None };
         let ended = events().position(
-            |(_, (_, event))| matches!(event, HistoryEvent::AttemptEnded { attempt: of, outcome: AttemptOutcome::Served(_) } if *of == attempt),
+            |(_, (_, event))| matches!(event, HistoryEvent::AttemptEnded { attempt: of, end: AttemptEnd::Served(_) } if *of == attempt),
         )?;
         let answered = events().position(|(_, (_, event))| {
             matches!(event, HistoryEvent::ResponseReceived { request, outcome: ResponseOutcome::Served(_) } if request == id)
@@ -89,7 +87,7 @@
         panic!()
     };
     let (address, attempt) = (address.to_owned(), 1 << 40);
-    let ended = HistoryEvent::AttemptEnded { attempt, outcome: AttemptOutcome::Failed };
+    let ended = HistoryEvent::AttemptEnded { attempt, end: AttemptEnd::Failed };
     with_event(
         &with_event(
             history,
--- a/tests/common/recorded_events.rs
+++ b/tests/common/recorded_events.rs
@@ -5,7 +5,7 @@
 use pinetrail::interface::{EndpointInfo, EndpointState, Outcome};
 use pinetrail_history_checker as checker;
 use pinetrail_history_checker::{
-    AttemptOutcome, Class, DeduplicationScope, History, HistoryEvent, Idempotency, Limits, Node,
+    AttemptEnd, Class, DeduplicationScope, History, HistoryEvent, Idempotency, Limits, Node,
 };
 
 /// Recorder of events in the order in which they happen. An attempt whose connection fails is not
@@ -51,14 +51,14 @@
         let (index, received) = &mut self.attempts[attempt as usize];
         let end = match outcome {
             Outcome::ConnectFailed | Outcome::Moot => return *received = None,
-            Outcome::Ok => AttemptOutcome::Served(value.to_owned()),
-            Outcome::Miss => AttemptOutcome::Missed,
-            Outcome::Full => AttemptOutcome::Rejected,
-            Outcome::Error => AttemptOutcome::Failed,
-            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => AttemptOutcome::Broken,
+            Outcome::Ok => AttemptEnd::Served(value.to_owned()),
+            Outcome::Miss => AttemptEnd::Missed,
+            Outcome::Full => AttemptEnd::Rejected,
+            Outcome::Error => AttemptEnd::Failed,
+            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => AttemptEnd::Broken,
         };
         self.events[*index] = received.take();
-        self.record(at, HistoryEvent::AttemptEnded { attempt, outcome: end });
+        self.record(at, HistoryEvent::AttemptEnded { attempt, end });
     }
 
     pub(crate) fn record_list(
@@ -119,9 +119,9 @@
     let figure = |group: &str, name: &str| settings[group][name].as_f64().unwrap();
     let effects = [
         (Idempotency::Idempotent, DeduplicationScope::All),
-        (Idempotency::IdempotencyKey, DeduplicationScope::All),
-        (Idempotency::IdempotencyKey, DeduplicationScope::Zone),
-        (Idempotency::IdempotencyKey, DeduplicationScope::Cell),
+        (Idempotency::Keyed, DeduplicationScope::All),
+        (Idempotency::Keyed, DeduplicationScope::Zone),
+        (Idempotency::Keyed, DeduplicationScope::Cell),
         (Idempotency::NotIdempotent, DeduplicationScope::All),
     ];
     let window = settings["Grades"][0]["RepeatWindow"].as_f64().unwrap();
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -8,7 +8,7 @@
 use common::fleet::{random_script, simulate};
 use common::recorded_events::figures;
 use pinetrail_history_checker::{
-    check, AttemptOutcome, CheckError, History, HistoryEvent, ProxyEnd, Reason, ResponseOutcome, Time,
+    check, AttemptEnd, CheckError, History, HistoryEvent, ProxyEnd, Reason, ResponseOutcome, Time,
 };
 
 const DURATION_MS: Time = 6000.0;
@@ -193,9 +193,7 @@
         let mut rejected = history.clone();
         let HistoryEvent::AttemptReceived { attempt, .. } = rejected.events[received].1 else { panic!() };
         rejected.events.iter_mut().for_each(|event| match &mut event.1 {
-            HistoryEvent::AttemptEnded { attempt: of, outcome: end } if *of == attempt => {
-                *end = AttemptOutcome::Rejected
-            }
+            HistoryEvent::AttemptEnded { attempt: of, end } if *of == attempt => *end = AttemptEnd::Rejected,
             HistoryEvent::ResponseReceived { request, outcome: answer } if *request == id => {
                 *answer = ResponseOutcome::Rejected
             }
