--- a/crates/simulation/src/model.rs
+++ b/crates/simulation/src/model.rs
@@ -40,7 +40,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.actions {
             Some(actions) => write!(formatter, "{}: {actions:?}", self.property),
-            None => write!(formatter, "{}: never", self.property),
+            None => write!(formatter, "{}: holds in no state", self.property),
         }
     }
 }
@@ -124,7 +124,7 @@
         Property::always("one leader at the most", |model: &QuotaModel, state: &State| {
             (0..HOSTS).filter(|host| model.is_leader(state, *host)).count() <= 1
         }),
-        Property::always("all have equal leases once faults end", |model: &QuotaModel, state: &State| {
+        Property::always("leases are equal after the faults end", |model: &QuotaModel, state: &State| {
             state.ticks < model.max_ticks || model.recovers(state)
         }),
     ]
@@ -137,11 +137,11 @@
         Property::sometimes("the view changes", |_, state: &State| {
             state.hosts.iter().flatten().any(|leases| leases.view_number() > 2)
         }),
-        Property::sometimes("one has more than a third", |model: &QuotaModel, state: &State| {
+        Property::sometimes("a host has more than an equal quota", |model: &QuotaModel, state: &State| {
             let third = model.settings.guaranteed_minimum() + LEASABLE_PARTS / 3;
             (0..HOSTS).any(|host| model.usable_parts(state, host) > third)
         }),
-        Property::sometimes("one has only its guaranteed minimum", |model: &QuotaModel, state: &State| {
+        Property::sometimes("a host has only its guaranteed minimum", |model: &QuotaModel, state: &State| {
             (0..HOSTS).any(|host| model.has_only_minimum(state, host))
         }),
     ]
--- a/crates/simulation/src/policy_consensus/run.rs
+++ b/crates/simulation/src/policy_consensus/run.rs
@@ -67,13 +67,13 @@
         /// The id of the change.
         change_id: String,
     },
-    /// At the end of the time for recovery a host does not admit requests, or not under the latest
-    /// version.
+    /// Although faults have been absent for long enough, a host does not admit requests, or not
+    /// under the latest version.
     Stuck {
         /// The number of the host.
         host: usize,
     },
-    /// At the end of the time for recovery a change is still open.
+    /// Although faults have been absent for long enough, a change is still open.
     NeverFinished {
         /// The id of the change.
         change_id: String,
