--- a/crates/simulation/src/fleet/members.rs
+++ b/crates/simulation/src/fleet/members.rs
@@ -88,7 +88,7 @@
         hosts.iter().all(|host| self.member(*host).is_some_and(agrees))
     }
 
-    /// Returns the side of a partition that a host believes to be on.
+    /// Returns the side of a partition that a host believes itself to be on.
     pub fn side(&self, host: usize) -> Option<PartitionSide> {
         self.member(host).map(Membership::side)
     }
--- a/crates/simulation/src/quota.rs
+++ b/crates/simulation/src/quota.rs
@@ -134,7 +134,7 @@
     /// The largest number of parts that were in use at once, including those of calls that began
     /// under earlier quotas.
     pub max_parts_in_use: Parts,
-    /// The largest number of processes that believed to be the leader at once.
+    /// The largest number of processes that believed themselves to be the leader at once.
     pub max_leaders: usize,
     /// The number of messages that were sent.
     pub messages_sent: u64,
@@ -253,7 +253,7 @@
         self.hosts[host].leases.as_ref().map_or(0, |leases| leases.usable_parts(shown))
     }
 
-    /// Whether the process on a host believes to be the leader now.
+    /// Whether the process on a host believes itself to be the leader now.
     pub fn is_leader(&self, host: usize) -> bool {
         self.hosts[host].is_leader(self.now)
     }
