--- a/crates/history-checker/src/draining.rs
+++ b/crates/history-checker/src/draining.rs
@@ -41,9 +41,9 @@
             HistoryEvent::ConfigActivated { proxy, limits: Limits { drain_grace, .. } } => {
                 proxies.entry(proxy).or_default().drain_grace = *drain_grace;
             }
-            HistoryEvent::EndpointsListed { proxy, is_complete, nodes } => {
+            HistoryEvent::EndpointsListed { proxy, is_full, nodes } => {
                 let list = proxies.entry(proxy).or_default();
-                if *is_complete {
+                if *is_full {
                     list.mark_absent_as_gone(*at, event, nodes);
                 }
                 list.update(*at, event, nodes);
@@ -68,7 +68,7 @@
 }
 
 impl<'a> NodeList<'a> {
-    /// Marks as gone the nodes that are not in a complete list.
+    /// Marks as gone the nodes that are not in a full list.
     fn mark_absent_as_gone(&mut self, at: Time, event: usize, nodes: &[Node]) {
         for (name, listed) in &mut self.nodes {
             let is_absent = !nodes.iter().any(|node| node.name == *name);
--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -29,8 +29,9 @@
     EndpointsListed {
         /// The name of the proxy.
         proxy: String,
-        /// Whether the list is complete, so that a node that is not in it has left.
-        is_complete: bool,
+        /// Whether the list is the full list, so that a node that is not in it has left. Otherwise
+        /// the list may have only the nodes that changed.
+        is_full: bool,
         /// The nodes in the list.
         nodes: Vec<Node>,
     },
--- a/crates/test-harness/src/recorder.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -89,8 +89,8 @@
         let Ok(list) = serde_json::from_str::<Value>(list) else { return };
         let entries = list["instances"].as_array().into_iter().flatten();
         let nodes = entries.map(|entry| from_json::node(entry, self.start_unix_ms)).collect();
-        let is_complete = list["reset"].as_bool().unwrap_or(false);
-        self.record(HistoryEvent::EndpointsListed { proxy: PROXY.into(), is_complete, nodes });
+        let is_full = list["reset"].as_bool().unwrap_or(false);
+        self.record(HistoryEvent::EndpointsListed { proxy: PROXY.into(), is_full, nodes });
     }
 
     /// Records that a client is about to send a command.
--- a/tests/common/edited_history.rs
+++ b/tests/common/edited_history.rs
@@ -112,10 +112,9 @@
     let end = history.events[answered].0 + 2000.0;
     let mut history = with_event_moved(&history, answered, end);
     let end = end + 5000.0;
-    history.events.push((
-        end,
-        HistoryEvent::EndpointsListed { proxy: "p0".into(), is_complete: false, nodes: Vec::new() },
-    ));
+    history
+        .events
+        .push((end, HistoryEvent::EndpointsListed { proxy: "p0".into(), is_full: false, nodes: Vec::new() }));
     assert_accepted(&history);
     let answered = history.events.iter().position(
         |event| matches!(&event.1, HistoryEvent::ResponseReceived { request, .. } if *request == id),
--- a/tests/common/recorded_events.rs
+++ b/tests/common/recorded_events.rs
@@ -65,11 +65,11 @@
         &mut self,
         at: Milliseconds,
         proxy: &str,
-        is_complete: bool,
+        is_full: bool,
         members: &[EndpointInfo],
     ) {
         let nodes = members.iter().map(node).collect();
-        self.record(at, HistoryEvent::EndpointsListed { proxy: proxy.to_owned(), is_complete, nodes });
+        self.record(at, HistoryEvent::EndpointsListed { proxy: proxy.to_owned(), is_full, nodes });
     }
 
     pub(crate) fn record_response(
--- a/tests/node_histories.rs
+++ b/tests/node_histories.rs
@@ -39,11 +39,7 @@
     for (state, reason) in [(NodeState::Draining, Reason::Draining), (NodeState::Gone, Reason::Gone)] {
         let with_state_listed = |at| {
             let nodes = vec![Node { state, ..node.clone() }];
-            with_event(
-                &one_request,
-                at,
-                HistoryEvent::EndpointsListed { proxy: proxy.clone(), is_complete: false, nodes },
-            )
+            with_event(&one_request, at, HistoryEvent::EndpointsListed { proxy: proxy.clone(), is_full: false, nodes })
         };
         assert_accepted(&with_state_listed(first - limit));
         assert_violation(&with_state_listed(first - limit - 0.001), reason, &address);
@@ -54,19 +50,16 @@
             first - 1.0,
             HistoryEvent::EndpointsListed {
                 proxy: proxy.clone(),
-                is_complete: false,
+                is_full: false,
                 nodes: vec![Node { state, ..node.clone() }],
             },
         );
         assert_violation(&listed_twice, reason, &address);
-        let ready_again = HistoryEvent::EndpointsListed {
-            proxy: proxy.clone(),
-            is_complete: false,
-            nodes: vec![node.clone()],
-        };
+        let ready_again =
+            HistoryEvent::EndpointsListed { proxy: proxy.clone(), is_full: false, nodes: vec![node.clone()] };
         assert_accepted(&with_event(&with_state_listed(first - limit - 0.001), first - 1.0, ready_again));
     }
-    let absent = HistoryEvent::EndpointsListed { proxy: proxy.clone(), is_complete: true, nodes: Vec::new() };
+    let absent = HistoryEvent::EndpointsListed { proxy: proxy.clone(), is_full: true, nodes: Vec::new() };
     assert_violation(&with_event(&one_request, first - limit - 0.001, absent), Reason::Gone, &address);
     let mut never_listed = one_request;
     never_listed.events.iter_mut().for_each(|event| {
