--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -11,19 +11,19 @@
     /// The timers by due time and serial number. The serial number keeps timers with the same due
     /// time in the order in which they were set.
     pending: BTreeMap<(Timestamp, u64), T>,
-    set_count: u64,
+    last_serial: u64,
 }
 
 impl<T> Timers<T> {
     /// Creates an empty set of timers.
     pub(crate) fn new() -> Timers<T> {
-        Timers { pending: BTreeMap::new(), set_count: 0 }
+        Timers { pending: BTreeMap::new(), last_serial: 0 }
     }
 
     /// Sets a timer that is due at this time.
     pub(crate) fn set(&mut self, at: Timestamp, timer: T) {
-        self.set_count += 1;
-        self.pending.insert((at, self.set_count), timer);
+        self.last_serial += 1;
+        self.pending.insert((at, self.last_serial), timer);
     }
 
     /// Returns when the first timer is due; `None` if no timer is set.
--- a/crates/membership/tests/hard_cases/pauses.rs
+++ b/crates/membership/tests/hard_cases/pauses.rs
@@ -13,7 +13,7 @@
 }
 
 /// Returns the first event by which the paused member reported another member in this state.
-fn believed_by_paused(fleet: &Fleet<Membership>, state: MemberState) -> Option<&ObservedEvent> {
+fn reported_by_paused(fleet: &Fleet<Membership>, state: MemberState) -> Option<&ObservedEvent> {
     let is_match = |event: &&ObservedEvent| event.host == PAUSED && event.is_about(state);
     fleet.observed.iter().find(is_match)
 }
@@ -54,7 +54,7 @@
             observed.host == PAUSED && matches!(observed.event, MembershipEvent::Paused(_))
         };
         assert!(fleet.observed.iter().any(notices_pause));
-        assert_eq!(believed_by_paused(&fleet, MemberState::Failed), None, "seed {seed}");
+        assert_eq!(reported_by_paused(&fleet, MemberState::Failed), None, "seed {seed}");
     }
 }
 
@@ -70,7 +70,7 @@
         fleet.resume(PAUSED);
         fleet.run(1_500);
         assert_eq!(
-            believed_by_paused(&fleet, MemberState::Suspect),
+            reported_by_paused(&fleet, MemberState::Suspect),
             None,
             "paused after {after} steps of 7 ms"
         );
@@ -99,7 +99,7 @@
         fleet.observed.clear();
         fleet.resume(PAUSED);
         fleet.run(4_000);
-        assert_eq!(believed_by_paused(&fleet, MemberState::Failed), None, "paused after {after} ms");
+        assert_eq!(reported_by_paused(&fleet, MemberState::Failed), None, "paused after {after} ms");
     }
     assert!(pauses > 50, "only {pauses} pauses before the end of the suspicion");
 }
