--- a/crates/codec/src/http/head.rs
+++ b/crates/codec/src/http/head.rs
@@ -19,7 +19,7 @@
 const NO_CONTENT: u16 = 204;
 const NOT_MODIFIED: u16 = 304;
 
-/// How the body of a response ends.
+/// The framing of the body of a response, which determines its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
     /// The body ends after this many bytes.
@@ -36,7 +36,7 @@
 pub struct Head {
     /// The status of the response.
     pub status: u16,
-    /// How the body of the response ends.
+    /// The framing of the body of the response.
     pub body: Body,
     /// Whether the server rejected the request before it ran (`X-Turned-Away: 1`).
     pub is_rejected: bool,
@@ -87,7 +87,7 @@
     Some(StrippedHead { head, removed })
 }
 
-/// The headers that decide how a body ends.
+/// The headers that determine the end of a body.
 #[derive(Default)]
 struct FramingHeaders {
     length: Option<usize>,
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Returns how the body of a response with this status ends.
+    /// Returns the framing of the body of a response with this status.
     ///
     /// Decides: the end of a body, or that the response is rejected as malformed.
     /// Inputs: the status, the content length in bytes, and whether the body is chunked.
--- a/crates/codec/src/http/mod.rs
+++ b/crates/codec/src/http/mod.rs
@@ -1,5 +1,5 @@
 //! Encodes HTTP/1.1 requests to the origin and to discovery, and parses the responses. Read
-//! [`parse_head`] first; [`Body`] says how the body after a head ends.
+//! [`parse_head`] first; [`Body`] determines the end of the body after a head.
 
 mod chunked;
 mod head;
@@ -19,7 +19,7 @@
 /// The maximum number of headers in a head, and of trailers.
 const MAX_HEADERS: usize = 64;
 
-/// What is wrong with a response. The text is logged when a watch of discovery ends.
+/// The reason why a response is malformed. The text is logged when a watch of discovery ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
     /// The bytes are not the head of a response, or the head is too large.
@@ -35,7 +35,7 @@
     #[error("the response has both a Content-Length and a Transfer-Encoding")]
     LengthAndChunks,
     /// Too many interim responses precede the final response.
-    #[error("too many interim (1xx) responses precede the final response")]
+    #[error("no final response follows {} interim (1xx) responses", head::MAX_INTERIM_RESPONSES)]
     TooManyInterimResponses,
     /// The data of a chunk is not followed by a line end.
     #[error("the data of a chunk is not followed by a line end")]
--- a/crates/codec/src/http/tests.rs
+++ b/crates/codec/src/http/tests.rs
@@ -1,4 +1,4 @@
-//! Tests which heads of HTTP responses are accepted, and how bodies end.
+//! Tests which heads of HTTP responses are accepted, and where bodies end.
 
 use super::head::MAX_INTERIM_RESPONSES;
 use super::*;
--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -17,7 +17,8 @@
 /// rejected as malformed, each would be fetched again without success.
 pub const MAX_STREAMED_VALUE_BYTES: usize = 4 * 1024 * 1024;
 
-/// The message at the beginning of a buffer, or why the buffer does not begin with a message.
+/// The message at the beginning of a buffer, or the reason why the buffer does not begin with a
+/// message.
 pub type ParseResult<T, E> = Result<Parsed<T>, ParseError<E>>;
 
 /// A complete message at the beginning of a buffer.
@@ -29,7 +30,7 @@
     pub length: usize,
 }
 
-/// Why the buffer does not begin with a complete message.
+/// The reason why a buffer does not begin with a complete message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError<E> {
     /// The buffer has only the beginning of a message, so that more bytes are needed.
@@ -38,7 +39,7 @@
     /// The buffer begins with bytes that are not a valid message, whatever follows them.
     #[error("{error}")]
     Malformed {
-        /// What is wrong with the message.
+        /// The reason why the message is malformed.
         error: E,
         /// The number of bytes to skip to the next message; `None` if the position of the next
         /// message is unknown, so that the connection must be closed.
--- a/crates/codec/src/memcache/backend.rs
+++ b/crates/codec/src/memcache/backend.rs
@@ -7,7 +7,7 @@
 
 /// The texts with which a cache node's response may begin.
 const RESPONSE_PREFIXES: [&str; 6] = ["VA ", "HD ", "EN ", "SERVER_ERROR ", "CLIENT_ERROR ", "ERROR\r\n"];
-/// The error if the bytes are not a response or the response belongs to another request. The
+/// The error for bytes that are not a response, or are the response to another request. The
 /// connection must then be closed.
 const UNEXPECTED_RESPONSE: ParseError<MemcacheError> =
     ParseError::Malformed { error: MemcacheError::UnexpectedResponse, skip: None };
@@ -92,7 +92,8 @@
     flags.clone().filter_map(|flag| flag.strip_prefix('O')).eq(std::iter::once(opaque))
 }
 
-/// Parses what follows `VA`, which is the length and the flags on the line, and then the value.
+/// Parses the rest of a response that begins with `VA`: the length and the flags on the line, then
+/// the value.
 fn parse_value(
     bytes: &[u8],
     mut tokens: Split<char>,
--- a/crates/codec/src/memcache/command.rs
+++ b/crates/codec/src/memcache/command.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Parses what follows `ms`, which is the key, the length and the flags on the line, and then the
+/// Parses the rest of the command `ms`: the key, the length and the flags on the line, then the
 /// value.
 fn parse_write<'a>(
     bytes: &[u8],
--- a/crates/codec/src/memcache/mod.rs
+++ b/crates/codec/src/memcache/mod.rs
@@ -23,7 +23,7 @@
 /// The maximum number of digits of a length. A longer text is rejected without parsing.
 const MAX_LENGTH_DIGITS: usize = 9;
 
-/// What is wrong with a message. Clients receive the text unchanged.
+/// The reason why a message is malformed. Clients receive the text unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MemcacheError {
     /// The line is longer than [`MAX_LINE_BYTES`].
@@ -35,7 +35,7 @@
     /// The value is not followed by `\r\n`.
     #[error("CLIENT_ERROR bad data chunk")]
     BadDataBlock,
-    /// The value's length is missing, or not a number.
+    /// The length of the value is missing, or not a number.
     #[error("CLIENT_ERROR bad data length")]
     BadDataLength,
     /// The value is longer than [`MAX_VALUE_BYTES`](super::MAX_VALUE_BYTES).
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// Names the first field that is not valid.
+/// The error names the first field that is not valid.
 pub(super) fn check_settings(
     settings: &Settings,
     classes: &[String],
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 ///
-/// Names the field if its value is too low.
+/// The error names the field if its value is too low.
 pub(super) fn check_memory(limits: &Limits) -> Result<(), ConfigError> {
     if limits.memory_mb < MIN_MEMORY_MB {
         return Err(ConfigError::invalid_value("limits.memory_mb", limits.memory_mb, "at least 16"));
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 ///
-/// Names the field and how many sockets are needed, if its value is too low.
+/// The error names the field and the number of sockets that are needed, if its value is too low.
 pub(super) fn check_sockets(
     limits: &Limits,
     admin: Option<&SocketAddr>,
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 ///
-/// Names the first entry and field that are not valid.
+/// The error names the first entry and field that are not valid.
 pub(super) fn check_cached_endpoints(
     list: &Catalog,
     names: &Names,
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,10 +1,10 @@
-//! Defines why a configuration is rejected: [`ConfigError`], with [`FleetConfigError`] and
+//! Defines the errors of rejected configurations: [`ConfigError`], with [`FleetConfigError`] and
 //! [`PolicyConfigError`] for the objects `fleet` and `fleet.policy`. Operators read the texts at a
 //! start or a reload.
 
 use thiserror::Error;
 
-/// Why a configuration is rejected.
+/// The reason why a configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The environment variable that names the file is not set.
@@ -15,7 +15,7 @@
     Read {
         /// The path of the file.
         path: String,
-        /// Why the file cannot be read.
+        /// The reason why the file cannot be read.
         source: std::io::Error,
     },
     /// The file is not JSON.
@@ -26,7 +26,7 @@
     Deserialize {
         /// The keys that lead to the value.
         path: String,
-        /// Why the value cannot be deserialized.
+        /// The reason why the value cannot be deserialized.
         source: serde_json::Error,
     },
     /// A newer configuration leaves out a key of the active one.
@@ -80,7 +80,7 @@
     }
 }
 
-/// Why the object `fleet` is rejected.
+/// The reason why the object `fleet` is rejected.
 #[derive(Debug, Error)]
 pub enum FleetConfigError {
     /// The settings of membership are not valid.
@@ -103,7 +103,7 @@
     /// Attempts may run for longer than quota is reserved for them.
     #[error("call_ms {call_ms} is below the longest GiveUp, {longest_ms}")]
     AttemptsOutliveLease {
-        /// How long quota stays reserved for attempts after the end of its lease, in ms.
+        /// The time for which quota stays reserved for attempts after the end of its lease, in ms.
         call_ms: u64,
         /// The longest `GiveUp` of a class, in ms.
         longest_ms: f64,
@@ -113,7 +113,7 @@
     Policy(#[from] PolicyConfigError),
 }
 
-/// Why the object `fleet.policy` is rejected.
+/// The reason why the object `fleet.policy` is rejected.
 #[derive(Debug, Error)]
 pub enum PolicyConfigError {
     /// The key `fleet.founders`, which lists the voters, is missing.
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -60,7 +60,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Connecting {
-    /// How long connecting to a backend may take, in ms.
+    /// The maximum time for connecting to a backend, in ms.
     #[serde(default = "default_connect_timeout_ms", rename = "ConnectTimeout")]
     pub connect_timeout_ms: f64,
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -79,11 +79,11 @@
 }
 
 impl FleetConfig {
-    /// Parses and checks the object for the proxy of this name.
+    /// Parses and checks the object `fleet` for the proxy with this name.
     ///
     /// # Errors
     ///
-    /// Names the first value that is not valid.
+    /// The error names the first value that is not valid.
     pub(super) fn from_file(mut file: FleetFile, proxy_name: &str) -> Result<FleetConfig, ConfigError> {
         let founders = file.founders.take();
         let quota = founders.map(|founders| QuotaConfig::from_file(&file, founders)).transpose()?;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -38,7 +38,7 @@
 /// The configuration, parsed and checked.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This proxy's name.
+    /// The name of this proxy.
     pub name: String,
     /// The address at which the proxy accepts clients.
     pub listen: SocketAddr,
@@ -58,7 +58,7 @@
     pub settings: Settings,
     /// The names of classes, tenants, kinds and zones that the protocols use.
     pub names: Names,
-    /// How long connecting to a backend may take.
+    /// The maximum time for connecting to a backend.
     pub connect_timeout: Duration,
     /// The JSON of the file.
     json: serde_json::Value,
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// Names what cannot be read or is not valid.
+    /// The error names the variable, the file or the value that cannot be read or is not valid.
     pub fn from_env() -> Result<Config, ConfigError> {
         let path = std::env::var("LB_CONFIG").map_err(|_| ConfigError::PathNotSet)?;
         let text = std::fs::read(&path).map_err(|source| ConfigError::Read { path, source })?;
@@ -80,11 +80,12 @@
         Config::from_json(&text, admin)
     }
 
-    /// Parses the object; `admin`, if any, overrides the address in it.
+    /// Parses the JSON object of a configuration file; `admin`, if any, overrides the address in
+    /// that object.
     ///
     /// # Errors
     ///
-    /// Names the first value that is not valid.
+    /// The error names the first value that is not valid.
     pub fn from_json(text: &[u8], admin: Option<String>) -> Result<Config, ConfigError> {
         let json: serde_json::Value = serde_json::from_slice(text)?;
         let file: ConfigFile = serde_path_to_error::deserialize(&json)?;
--- a/crates/config/src/parsed_settings.rs
+++ b/crates/config/src/parsed_settings.rs
@@ -17,7 +17,7 @@
     pub settings: Settings,
     /// The names of the classes, tenants, kinds and zones in the object.
     pub names: Names,
-    /// How long connecting to a backend may take.
+    /// The maximum time for connecting to a backend.
     pub connect_timeout: Duration,
 }
 
@@ -28,11 +28,11 @@
 const MS_PER_SECOND: f64 = 1_000.0;
 
 impl ParsedSettings {
-    /// Parses and checks the object.
+    /// Parses and checks an object.
     ///
     /// # Errors
     ///
-    /// Names the first value that is not valid, by its path below the object.
+    /// The error names the first value that is not valid, by its path below the object.
     pub fn parse(json: &Value) -> Result<ParsedSettings, ConfigError> {
         let proxy: ProxySettings = serde_path_to_error::deserialize(json)?;
         let settings: Settings = serde_path_to_error::deserialize(json)?;
@@ -59,8 +59,8 @@
     ///
     /// # Errors
     ///
-    /// Names the first value that is not valid, or the first key of the active object that is
-    /// missing.
+    /// The error names the first value that is not valid, or the first key of the active object
+    /// that is missing.
     pub fn parse_after(json: &Value, active: &Value) -> Result<ParsedSettings, ConfigError> {
         if let Some(key) = first_missing_key(active, json) {
             return Err(ConfigError::MissingKey(key));
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The valid keys of the object.
+/// The valid keys of the object `fleet.policy`.
 const POLICY_KEYS: [&str; 14] = [
     "bind",
     "advertise",
@@ -30,7 +30,8 @@
 ];
 /// The default of the longest time, in ms, that a request waits while a change is decided.
 const DEFAULT_CHANGE_WAIT_MS: u64 = 150;
-/// The maximum, in ms, that may be configured for that time.
+/// The maximum that may be configured for the time, in ms, that a request waits while a change is
+/// decided.
 const MAX_CHANGE_WAIT_MS: u64 = 1_000;
 /// The default time without an admission lease, in ms, after which a warning is logged.
 const DEFAULT_CATCH_UP_WARNING_MS: u64 = 10_000;
@@ -102,12 +103,12 @@
         CONNECTIONS_PER_PEER * self.max_peers + BASE_DESCRIPTORS
     }
 
-    /// Parses and checks the object for a proxy of a fleet of `size`, whose fleet address is
-    /// `advertised`.
+    /// Parses and checks the object `fleet.policy` for a proxy of a fleet of `size`, whose fleet
+    /// address is `advertised`.
     ///
     /// # Errors
     ///
-    /// Names the first value that is not valid.
+    /// The error names the first value that is not valid.
     pub(super) fn from_json(
         json: Value,
         founders: Option<&[SocketAddr]>,
@@ -149,7 +150,7 @@
     }
 }
 
-/// Parses the object, and rejects unknown keys.
+/// Parses the object `fleet.policy`, and rejects unknown keys.
 fn parse_file(json: Value) -> Result<PolicyFile, PolicyConfigError> {
     if let Some(object) = json.as_object() {
         if let Some(key) = object.keys().find(|key| !POLICY_KEYS.contains(&key.as_str())) {
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -7,7 +7,7 @@
 use super::Config;
 
 impl Config {
-    /// Reads the file again.
+    /// Reads the configuration file again.
     ///
     /// # Errors
     ///
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 ///
-/// Names the field if its value is not an IP address and port.
+/// The error names the field if its value is not an IP address and port.
 pub(super) fn parse_address(field: &'static str, value: String) -> Result<SocketAddr, ConfigError> {
     value.parse().map_err(|_| ConfigError::invalid_value(field, value, "an IP address and port"))
 }
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// Names the field if one of its values is not an IP address and port.
+/// The error names the field if one of its values is not an IP address and port.
 pub(super) fn parse_addresses(
     field: &'static str,
     addresses: Vec<String>,
--- a/crates/connection-limits/src/connection_table.rs
+++ b/crates/connection-limits/src/connection_table.rs
@@ -23,7 +23,7 @@
 /// the connection has entered another phase.
 pub type PhaseNumber = u32;
 
-/// What a connection is doing.
+/// The phase of a connection, by the state of its commands and responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The client has connected and sent nothing.
@@ -43,7 +43,7 @@
     Closing,
 }
 
-/// Why a connection is ordered to close.
+/// The reason for an order to close a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseOrderReason {
     /// The connection was in its phase for longer than any connection may be.
@@ -66,18 +66,18 @@
     pub phase_number: PhaseNumber,
     /// The phase to which the order applies.
     pub phase: Phase,
-    /// Why the connection is to be closed.
+    /// The reason for the order.
     pub reason: CloseOrderReason,
 }
 
-/// How long connections of each kind may be idle at the present pressure.
+/// The maximum idle time of connections of each kind at the present pressure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IdleLimits {
-    /// The limit of connections that have sent nothing.
+    /// The maximum time for which a connection may stay open without sending anything.
     pub silent: Duration,
-    /// The limit of idle connections that have sent one request.
+    /// The maximum idle time of connections that have sent one request.
     pub after_one_request: Duration,
-    /// The limit of idle connections that have sent several requests.
+    /// The maximum idle time of connections that have sent several requests.
     pub after_several_requests: Duration,
 }
 
@@ -98,7 +98,7 @@
     pub closing: usize,
     /// The share of the capacity that is used or soon will be.
     pub pressure: f64,
-    /// How long connections may be idle at this pressure.
+    /// The maximum idle times at this pressure.
     pub idle_limits: IdleLimits,
 }
 
@@ -118,7 +118,8 @@
     ///
     /// Invariant: an entry is in the queue that its field `queue` names, and in no other queue.
     queues: [BTreeSet<(Timestamp, ConnectionId)>; QUEUE_COUNT],
-    /// When each connection that has a life table reaches the next interval of the table.
+    /// The connections that have a life table, by the time at which each of them reaches the next
+    /// interval of the table.
     interval_ends: BTreeSet<(Timestamp, ConnectionId)>,
     /// The life tables, indexed by [`ReuseKind`].
     life_tables: [ReuseEstimator; REUSE_KIND_COUNT],
@@ -147,8 +148,8 @@
     }
 
     /// Records that the server accepts no more connections. The pressure is 0 from now on, so that
-    /// limits are generous again: no new connection needs the capacity, and a client whose
-    /// connection was closed could not connect to this server again.
+    /// no limit is lowered: no new connection needs the capacity, and a client whose connection was
+    /// closed could not connect to this server again.
     pub fn stop_accepting(&mut self) {
         self.accepts = false;
     }
--- a/crates/connection-limits/src/connection_table/entry.rs
+++ b/crates/connection-limits/src/connection_table/entry.rs
@@ -1,4 +1,4 @@
-//! The record of one connection: [`Entry`].
+//! Defines [`Entry`], the record of one connection.
 
 use super::{Phase, PhaseNumber, Timestamp};
 
@@ -17,8 +17,8 @@
     UsedOnce,
     /// Connections that are idle after several requests.
     UsedAgain,
-    /// A sample of idle and silent connections, which have the generous limit so that the life
-    /// tables can learn from them.
+    /// A sample of idle and silent connections, whose limits the life tables do not lower, so that
+    /// the life tables can learn from them.
     Sample,
 }
 
@@ -76,8 +76,8 @@
     /// Enters a phase. The entry must not be in a queue.
     ///
     /// Invariant: the time for the first command counts from the arrival of the connection. If each
-    /// byte restarted that time, a client could hold a connection indefinitely by sending a byte
-    /// now and then.
+    /// byte restarted that time, a client could hold a connection indefinitely by sending one byte
+    /// at a time.
     pub(super) fn enter(&mut self, now: Timestamp, phase: Phase) {
         self.phase_number = self.phase_number.wrapping_add(1);
         self.phase = phase;
--- a/crates/connection-limits/src/connection_table/eviction.rs
+++ b/crates/connection-limits/src/connection_table/eviction.rs
@@ -64,8 +64,8 @@
         orders
     }
 
-    /// Orders connections to close that have been in their phase for longer than any connection may
-    /// be.
+    /// Orders the closing of connections that have been in their phase for longer than any
+    /// connection may be.
     ///
     /// Decides: which connections are [`CloseOrderReason::Overdue`].
     /// Inputs: ages in the phase and the timeouts of the phases (ms), the pressure (share of the
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Orders overdue silent connections of the sample to close. They have the same time limit as
-    /// other silent connections.
+    /// Orders the closing of overdue silent connections of the sample, which have the same time
+    /// limit as other silent connections.
     fn order_overdue_in_sample(&mut self, now: Timestamp, orders: &mut Vec<CloseOrder>) {
         let limit = self.limits.command_timeout;
         let is_silent =
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Orders silent and idle connections to close at the age from which on few connections of
-    /// their kind are used again.
+    /// Orders the closing of silent and idle connections at the age from which on few connections
+    /// of their kind are used again.
     ///
     /// Decides: which connections are [`CloseOrderReason::UnlikelyToReturn`].
     /// Inputs: ages in the phase (ms), the pressure (share of the capacity), and the limit of each
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Orders the oldest connections to close in phases with more connections than their budget.
+    /// Orders the closing of the oldest connections in phases with more connections than their
+    /// budget.
     ///
     /// Decides: which connections are [`CloseOrderReason::OverBudget`].
     /// Inputs: the number of connections in each phase, the budget of a phase (connections), ages
@@ -168,7 +169,7 @@
         least.map(|candidate| candidate.id)
     }
 
-    /// Orders the connections of a queue that have reached this age to close.
+    /// Orders the closing of the connections of a queue that have reached this age.
     fn order_older(
         &mut self,
         now: Timestamp,
@@ -182,7 +183,8 @@
         }
     }
 
-    /// Orders the oldest connection of a queue to close, if it has reached this age.
+    /// Orders the closing of the oldest connection of a queue, if that connection has reached this
+    /// age.
     fn order_oldest(
         &mut self,
         now: Timestamp,
@@ -197,8 +199,8 @@
         self.order_close(id, reason)
     }
 
-    /// Orders a connection to close, and removes it from its queue so that it is not ordered to
-    /// close again in the same phase.
+    /// Orders the closing of a connection, and removes the connection from its queue so that it is
+    /// not ordered to close again in the same phase.
     fn order_close(&mut self, id: ConnectionId, reason: CloseOrderReason) -> Option<CloseOrder> {
         self.dequeue(id);
         let entry = self.entries.get_mut(&id)?;
--- a/crates/connection-limits/src/connection_table/life_tables.rs
+++ b/crates/connection-limits/src/connection_table/life_tables.rs
@@ -47,7 +47,7 @@
         life_table.reuse_probability(entry.interval, self.limits.idle_timeout)
     }
 
-    /// Returns how long a connection of a kind may be idle at this pressure.
+    /// Returns the maximum idle time of connections of a kind at this pressure.
     ///
     /// Decides: the age at which a silent or idle connection of this kind is closed under pressure.
     /// Inputs: the pressure (share of the capacity), the kind's life table (probabilities by age),
--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -5,9 +5,10 @@
 
 /// The half-life, in ms, of the peak number of descriptors that backends needed.
 const PEAK_HALF_LIFE_MS: f64 = 5_000.0;
-/// The multiple of their recent peak that backends keep.
+/// The multiple of the recent peak number of backend descriptors that is kept for backends.
 const BACKEND_HEADROOM_FACTOR: f64 = 1.2;
-/// The number of descriptors that backends keep in addition to that multiple.
+/// The number of descriptors that are kept for backends in addition to [`BACKEND_HEADROOM_FACTOR`]
+/// times the recent peak.
 const BACKEND_SPARE_DESCRIPTORS: usize = 8;
 /// The minimum reserve of each side, in descriptors.
 const MIN_RESERVE_DESCRIPTORS: usize = 1;
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -8,10 +8,10 @@
 //! backends.
 //!
 //! How long a connection may stay open depends on its [`Phase`] and on the pressure, which is the
-//! share of the capacity that is used or soon will be. At low pressure every limit is generous. As
-//! the pressure rises, idle connections are closed at the age from which on few connections of
-//! their kind sent another request ([`ReuseEstimator`]), and each phase in which the server waits
-//! for the client has a budget.
+//! share of the capacity that is used or soon will be. At low pressure no limit is lowered. As the
+//! pressure rises, idle connections are closed at the age from which on few connections of their
+//! kind sent another request ([`ReuseEstimator`]), and each phase in which the server waits for the
+//! client has a budget.
 
 mod connection_table;
 mod descriptor_budget;
--- a/crates/connection-limits/src/limits.rs
+++ b/crates/connection-limits/src/limits.rs
@@ -10,16 +10,16 @@
 /// or soon will be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// How long the first complete command may take from the connection's arrival on, and each
-    /// later one from its first byte on.
+    /// The maximum time until a command is complete: from the arrival of the connection for the
+    /// first command, and from its first byte for each later command.
     pub command_timeout: Duration,
-    /// How long any connection may be idle, from a pressure of one half on.
+    /// The maximum idle time of any connection at a pressure of one half or more.
     pub idle_timeout: Duration,
-    /// How long any connection may be idle below a pressure of one half.
+    /// The maximum idle time of any connection below a pressure of one half.
     pub idle_timeout_at_low_pressure: Duration,
     /// The time within which the client must read a part of a response.
     pub unread_response_timeout: Duration,
-    /// How long input is discarded after the error that ends a connection.
+    /// The maximum time for which input is discarded after the error that ends a connection.
     pub linger_timeout: Duration,
     /// The time, from a connection's arrival, for which a connection that has sent nothing yet
     /// stays open at any pressure.
@@ -47,9 +47,9 @@
     /// The time for which the growth of the number of connections is estimated. The estimate is
     /// part of the pressure.
     pub growth_horizon: Duration,
-    /// The sampling interval: one idle connection in this many keeps the generous timeout, within
-    /// [`Limits::phase_budget_share`]. Without this sample the table could no longer learn which
-    /// connections would have been used again.
+    /// The sampling interval: the life tables do not lower the limit of one idle connection in this
+    /// many, within [`Limits::phase_budget_share`]. Without this sample the table could no longer
+    /// learn which connections would have been used again.
     pub sample_one_in: u64,
 }
 
@@ -84,7 +84,7 @@
         self.required_reuse_probability * position.clamp(0.0, 1.0)
     }
 
-    /// Returns how long any connection may be idle at this pressure.
+    /// Returns the maximum idle time of any connection at this pressure.
     pub fn idle_timeout_at(&self, pressure: f64) -> Duration {
         if pressure < SHORT_IDLE_TIMEOUT_FROM_PRESSURE {
             self.idle_timeout_at_low_pressure
--- a/crates/connection-limits/tests/crowds/crowd.rs
+++ b/crates/connection-limits/tests/crowds/crowd.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a client does with its connection.
+/// The behavior of a client on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Behavior {
     /// Connects and sends nothing.
@@ -38,7 +38,7 @@
     pub(crate) honest: BTreeSet<ConnectionId>,
     /// The number of honest clients that tried to connect since the counts were last reset.
     pub(crate) attempted: usize,
-    /// The number of those honest clients that were rejected.
+    /// The number of honest clients that were rejected since the counts were last reset.
     pub(crate) rejected: usize,
     /// The number of connections that the server closed although their client would have sent
     /// another request.
@@ -63,7 +63,7 @@
     Duration::from_millis(ms)
 }
 
-/// What happens on a connection.
+/// An action of a client on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Action {
     SendByte,
@@ -136,7 +136,7 @@
     }
 
     pub(crate) fn close(&mut self, id: ConnectionId, reason: CloseOrderReason) {
-        let behavior = self.behaviors.remove(&id).expect("closed once");
+        let behavior = self.behaviors.remove(&id).expect("a connection is closed only once");
         let held = self.now().saturating_duration_since(self.arrived_at[&id]);
         let longest = self.longest_held.entry(behavior).or_default();
         *longest = held.max(*longest);
@@ -152,7 +152,7 @@
         Timestamp::from_millis(self.now_ms)
     }
 
-    /// Simulates this time. Clients connect at the given rates, which are in connections per
+    /// Simulates a duration, in which clients connect at the given rates, in connections per
     /// second.
     pub(crate) fn run(&mut self, duration: Duration, rates: &[(Behavior, u64)]) {
         let until = self.now() + duration;
--- a/crates/connection-limits/tests/crowds/main.rs
+++ b/crates/connection-limits/tests/crowds/main.rs
@@ -148,7 +148,7 @@
     assert_eq!(run(), run());
 }
 
-/// What a server stops doing.
+/// The activity that a server stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stop {
     Nothing,
@@ -173,17 +173,17 @@
     assert_eq!(closed_after(Stop::Accepting), 0);
 }
 
-/// How the recorded clients were served. Rejections are per 1000 honest clients.
+/// The results of serving the recorded clients. Rejections are per 1000 honest clients.
 #[derive(Debug)]
 struct Figures {
     descriptors: usize,
     /// The rejections in the first 3 s.
     rejected_at_first: usize,
-    /// The rejections in the 20 s after that.
+    /// The rejections in the 20 s after the first 3 s.
     rejected_later: usize,
     /// The number of open connections at the end.
     open_connections: usize,
-    /// The idle limit after one request at the end.
+    /// The maximum idle time after one request, at the end.
     limit_after_one_request: Duration,
 }
 
@@ -207,14 +207,14 @@
             limit_after_one_request: counts.idle_limits.after_one_request,
         }
     });
-    for of in &figures {
+    for run in &figures {
         println!(
             "{} descriptors: rejected of 1000 {} and {}, {} connections, limit {} ms",
-            of.descriptors,
-            of.rejected_at_first,
-            of.rejected_later,
-            of.open_connections,
-            of.limit_after_one_request.as_millis()
+            run.descriptors,
+            run.rejected_at_first,
+            run.rejected_later,
+            run.open_connections,
+            run.limit_after_one_request.as_millis()
         );
     }
     let is_served = |figures: &Figures| figures.rejected_at_first <= 350 && figures.rejected_later <= 5;
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -49,7 +49,7 @@
     /// The latency objective. A response within this time earns the full priority weight.
     #[serde(rename = "Aim")]
     pub latency_objective: TimeSpan,
-    /// How long a client waits across all its attempts; 0 if not stated.
+    /// The time for which a client waits, across all its attempts; 0 if not stated.
     #[serde(rename = "GiveUp", default)]
     pub client_timeout: TimeSpan,
     /// Whether a request may run more than once.
@@ -58,7 +58,7 @@
     /// The group of backends that drops repeats.
     #[serde(rename = "DedupScope", default = "cell_scope")]
     pub deduplication_scope: DeduplicationScope,
-    /// How long backends drop repeats of a request.
+    /// The time for which backends drop repeats of a request.
     #[serde(rename = "RepeatWindow", default)]
     pub deduplication_window: TimeSpan,
     /// The weight of a request relative to requests of other classes.
@@ -103,8 +103,8 @@
     /// stays above this multiple for `overload_time`.
     #[serde(rename = "FallMultiple")]
     pub overload_multiple: f64,
-    /// How long an overload lasts until the backend fails. The value must be above 0, but no
-    /// decision uses it.
+    /// The time for which an overload lasts until the backend fails. The value must be above 0, but
+    /// no decision uses it.
     #[serde(rename = "TipAfter")]
     pub overload_time: TimeSpan,
     /// The longest interval at which the endpoint list is polled without a subscription; 0 if the
@@ -142,7 +142,7 @@
     /// The number of proxies that share the cache nodes.
     #[serde(rename = "GroupSize")]
     pub group_size: u32,
-    /// This proxy's number among the proxies that share the cache nodes.
+    /// The number of this proxy among the proxies that share the cache nodes.
     #[serde(rename = "MyNumber", default)]
     pub my_number: u32,
     /// The classes of requests.
@@ -160,7 +160,7 @@
     /// The kinds of backends.
     #[serde(rename = "FamilyInfo", default)]
     pub backend_kinds: BackendKinds,
-    /// How discovery delivers the endpoint list; `ask` if the list must be polled.
+    /// The way in which discovery delivers the endpoint list; `ask` if the list must be polled.
     #[serde(rename = "Discovery", default)]
     pub discovery: String,
     /// The index of this proxy's zone.
@@ -180,13 +180,14 @@
     ///
     /// # Errors
     ///
-    /// Names the key that is missing, or the value that has a wrong type and its position.
+    /// The error names the key that is missing, or the value that has a wrong type and its
+    /// position.
     pub fn from_json(text: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(text)
     }
 
-    /// Returns how long a connection to a backend may be idle before it is closed. The result is
-    /// limited to a range that a clock can represent.
+    /// Returns the idle time after which a connection to a backend is closed. The result is limited
+    /// to a range that a clock can represent.
     #[inline]
     pub fn idle_connection_timeout(&self) -> Duration {
         let configured_ms = self.limits.idle_connection_timeout.as_ms();
