--- a/crates/quota/src/leader_term.rs
+++ b/crates/quota/src/leader_term.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Whether this process is the leader now.
+    /// Returns whether this process is the leader now.
     pub(crate) fn is_leading(&self, now: Timestamp) -> bool {
         matches!(self.phase, Phase::Leading { .. }) && now < self.valid_until
     }
@@ -127,7 +127,7 @@
         (now + settings.vote_duration).saturating_duration_since(self.valid_until)
     }
 
-    /// Whether the term has lost the votes of a quorum after it had them.
+    /// Returns whether the term had the votes of a quorum and has lost them.
     pub(crate) fn has_expired(&self, now: Timestamp) -> bool {
         self.phase != Phase::RequestingVotes && now >= self.valid_until
     }
@@ -165,7 +165,7 @@
         self.advance_phase(now, voter, settings);
     }
 
-    /// Records a granted vote, and what the voter has accepted.
+    /// Records a granted vote, and the view that the voter has accepted.
     fn record_vote(&mut self, response: &VoteResponse, settings: &Settings) {
         let expires_at = self.votes.entry(response.from).or_default();
         *expires_at = (*expires_at).max(response.request_sent_at.local_timestamp() + settings.vote_duration);
--- a/crates/quota/src/leader_term/quorum.rs
+++ b/crates/quota/src/leader_term/quorum.rs
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Whether the vote of this process counts.
+    /// Returns whether the vote of a process counts.
     pub(super) fn is_voter(&self, process: &Process, settings: &Settings) -> bool {
         match &self.view {
             Some(view) => view.is_voter(process),
--- a/crates/quota/src/quota_leases.rs
+++ b/crates/quota/src/quota_leases.rs
@@ -16,8 +16,8 @@
 use pinetrail_clock::Timestamp;
 use std::collections::BTreeSet;
 
-/// The state of the quota at one process: its vote, its term and its lease. Timestamps are of its
-/// own clock.
+/// The state of the quota at one process: its vote, its term and its lease. Timestamps are of the
+/// clock of that process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaLeases {
     settings: Settings,
@@ -89,7 +89,7 @@
         self.voter.view_number()
     }
 
-    /// Whether this process is the leader now.
+    /// Returns whether this process is the leader now.
     pub fn is_leader(&self, now: Timestamp) -> bool {
         self.term.as_ref().is_some_and(|term| term.is_leading(now))
     }
@@ -107,8 +107,9 @@
         }
     }
 
-    /// Sets the processes that are believed to be alive. Wrong beliefs may delay elections
-    /// and view changes, but never let the quotas exceed the whole of the limits.
+    /// Sets the processes that count as alive. If failed processes are among them, or live ones are
+    /// missing, elections and view changes may be delayed, but the quotas never exceed the whole of
+    /// the limits.
     pub fn set_live_processes(&mut self, alive: impl IntoIterator<Item = Process>) {
         let others = alive.into_iter().filter(|process| process.address != self.local.address);
         self.live_processes = others.collect();
@@ -120,8 +121,8 @@
         self.voter.leaving = true;
     }
 
-    /// Does what is due by now: expires the lease and the term, sends vote requests, and starts or
-    /// ends a candidacy.
+    /// Handles all that is due by now: expires the lease and the term, sends vote requests, and
+    /// starts or ends a candidacy.
     pub fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.expire(now, out);
         if now < self.next_election_step {
--- a/crates/quota/src/quota_leases/election.rs
+++ b/crates/quota/src/quota_leases/election.rs
@@ -12,14 +12,15 @@
 const CANDIDACY_TIMEOUT_HEARTBEATS: u32 = 4;
 /// The number of lease durations without a leader after which a view may have lost its quorum.
 const VIEW_LOSS_TIMEOUT_LEASES: u32 = 2;
-/// An odd number whose bits are mixed well (2^64 divided by the golden ratio).
+/// The multiplier of a hash: 2^64 divided by the golden ratio, an odd number whose bits are mixed
+/// well.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The upper half of a hash, whose bits are mixed best.
+/// The shift that leaves the upper half of a hash, whose bits are mixed best.
 const HASH_SHIFT_BITS: u32 = 32;
 
 impl QuotaLeases {
-    /// Makes this process a candidate, unless the election time is not reached, another candidate
-    /// has its vote, or the process is not eligible.
+    /// Makes this process a candidate if the election time is reached, no other candidate has its
+    /// vote, and the process is eligible.
     pub(super) fn start_election_if_due(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let election_time = self.election_time(self.voter.last_leader_contact.max(self.started_at));
         let next_heartbeat = now + self.settings.heartbeat_period;
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Returns the time at which this process becomes a candidate without a contact with a leader
-    /// after `since`.
+    /// Returns the time at which this process becomes a candidate if it has no contact with a
+    /// leader after `since`.
     ///
     /// Decides: the start of the next election at this process.
     /// Inputs: the last contact with a leader or the end of the last election (own clock); its rank
@@ -93,8 +94,8 @@
         self.live_processes.iter().any(|process| process.address == *address)
     }
 
-    /// Whether a candidate has waited for votes for [`CANDIDACY_TIMEOUT_HEARTBEATS`] without a
-    /// quorum.
+    /// Returns whether a candidate has waited for votes for [`CANDIDACY_TIMEOUT_HEARTBEATS`]
+    /// without a quorum.
     pub(super) fn has_candidacy_timed_out(&self, term: &LeaderTerm, now: Timestamp) -> bool {
         let time_to_wait = self.settings.heartbeat_period * CANDIDACY_TIMEOUT_HEARTBEATS;
         term.phase == Phase::RequestingVotes && now >= term.started_at + time_to_wait
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -28,7 +28,8 @@
 const SKEW_RANGE_PERCENT: RangeInclusive<u64> = 0..=50;
 const GROWTH_STEPS_RANGE: RangeInclusive<u64> = 1..=100;
 
-/// The addition that covers fractions of a millisecond, which [`Settings::with_skew`] drops.
+/// The addition, in ms, that covers fractions of a millisecond, which [`Settings::with_skew`]
+/// drops.
 const ROUNDING_ALLOWANCE_MS: u64 = 1;
 /// The number of founders from which a quorum has at least two voters.
 const MIN_FOUNDERS_FOR_TWO_VOTERS: usize = 3;
@@ -59,14 +60,14 @@
 /// The reasons why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// There are too few or too many founders, or they are not sorted, or one is listed twice.
-    /// Golden tests record the error text, in which "seats" are the addresses of founders.
+    /// The founders are too few or too many, are not sorted, or one of them is listed twice. Golden
+    /// tests record the error text, in which "seats" are the addresses of founders.
     #[error("founders: {count} seats, 1 to {MAX_FOUNDERS} expected, each once")]
     InvalidFounders {
         /// The number of founders.
         count: usize,
     },
-    /// There are more founders than processes.
+    /// The maximum number of processes is below the number of founders.
     #[error("size {size} is below the number of founders, {founders}")]
     SizeBelowFounders {
         /// The maximum number of processes that run at the same time.
@@ -77,7 +78,7 @@
     /// A number is outside its range.
     #[error("{setting} {value} is not {least} to {most}")]
     OutOfRange {
-        /// The name of the setting.
+        /// The key of the setting in the configuration, or its name if no key sets it.
         setting: &'static str,
         /// The value of the setting; in milliseconds if it is a duration.
         value: u64,
@@ -123,12 +124,12 @@
         let vote_ms = whole_millis(self.vote_duration);
         let lease_ms = whole_millis(self.lease_duration);
         let attempt_ms = whole_millis(self.max_attempt_duration);
-        check_range("period", heartbeat_ms, HEARTBEAT_PERIOD_RANGE_MS)?;
-        check_range("vote", vote_ms, heartbeat_ms * MIN_HEARTBEATS_PER_VOTE..=MAX_VOTE_DURATION_MS)?;
-        check_range("lease", lease_ms, vote_ms..=MAX_LEASE_DURATION_MS)?;
-        check_range("calls", attempt_ms, ATTEMPT_DURATION_RANGE_MS)?;
-        check_range("skew", self.skew_percent, SKEW_RANGE_PERCENT)?;
-        check_range("steps", self.growth_steps, GROWTH_STEPS_RANGE)
+        check_range("ask_ms", heartbeat_ms, HEARTBEAT_PERIOD_RANGE_MS)?;
+        check_range("vote_ms", vote_ms, heartbeat_ms * MIN_HEARTBEATS_PER_VOTE..=MAX_VOTE_DURATION_MS)?;
+        check_range("lease_ms", lease_ms, vote_ms..=MAX_LEASE_DURATION_MS)?;
+        check_range("call_ms", attempt_ms, ATTEMPT_DURATION_RANGE_MS)?;
+        check_range("skew_percent", self.skew_percent, SKEW_RANGE_PERCENT)?;
+        check_range("growth_steps", self.growth_steps, GROWTH_STEPS_RANGE)
     }
 
     /// Returns a digest of the settings that must be the same at every process.
@@ -162,13 +163,13 @@
         Duration::from_millis(millis + skew_ms + ROUNDING_ALLOWANCE_MS)
     }
 
-    /// Returns how long parts may be in use after they were leased: the duration of the lease and
-    /// of an attempt that begins at its end, with the clock skew.
+    /// Returns the maximum time for which parts may be in use after they were leased: the duration
+    /// of the lease and of an attempt that begins at its end, with the clock skew.
     pub(crate) fn max_use_duration(&self) -> Duration {
         self.with_skew(self.lease_duration + self.max_attempt_duration)
     }
 
-    /// Whether an address is that of a founder.
+    /// Returns whether an address is that of a founder.
     pub(crate) fn is_founder(&self, address: &SocketAddr) -> bool {
         self.founders.binary_search(address).is_ok()
     }
--- a/crates/quota/src/view.rs
+++ b/crates/quota/src/view.rs
@@ -36,7 +36,7 @@
 }
 
 impl View {
-    /// Whether a process is a voter of this view.
+    /// Returns whether a process is a voter of this view.
     pub fn is_voter(&self, process: &Process) -> bool {
         self.voters.binary_search(process).is_ok()
     }
--- a/crates/quota/src/voter.rs
+++ b/crates/quota/src/voter.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether this process is a voter of the view that it knows.
+    /// Returns whether this process is a voter of the view that it knows.
     pub(crate) fn is_voter(&self) -> bool {
         self.view.as_ref().is_some_and(|view| view.is_voter(&self.local))
     }
@@ -67,7 +67,7 @@
         self.view.as_ref().map_or(0, |view| view.number)
     }
 
-    /// Whether this process may vote for itself, since no other candidate has its vote.
+    /// Returns whether this process may vote for itself: no other candidate has its vote.
     pub(crate) fn can_vote_for_itself(&self, now: Timestamp) -> bool {
         !self.vote.is_held_by_other(&self.local, now)
     }
@@ -80,7 +80,7 @@
         self.vote = self.vote.withdrawn_from(&self.local);
     }
 
-    /// Adopts a decided view if that is later than the known view and not void.
+    /// Adopts a decided view if the view is later than the known one and not void.
     pub(crate) fn adopt(&mut self, view: &View) {
         self.observe(view.ballot, view.number);
         let is_later = self.view.as_ref().is_none_or(|known| view.ballot > known.ballot);
--- a/crates/quota/src/voter/vote.rs
+++ b/crates/quota/src/voter/vote.rs
@@ -30,7 +30,7 @@
         Vote::Cast { candidate, expires_at: now + settings.with_skew(settings.vote_duration) }
     }
 
-    /// Whether another candidate than `candidate` has the vote now.
+    /// Returns whether another candidate than `candidate` has the vote now.
     pub(super) fn is_held_by_other(self, candidate: &Process, now: Timestamp) -> bool {
         match self {
             Vote::NotCast => false,
@@ -39,7 +39,7 @@
     }
 
     /// Returns the vote after its withdrawal from `candidate`; unchanged if another candidate has
-    /// it.
+    /// the vote.
     pub(super) fn withdrawn_from(self, candidate: &Process) -> Vote {
         match self {
             Vote::Cast { candidate: holder, .. } if holder == *candidate => Vote::NotCast,
