--- a/crates/drift/src/alarm.rs
+++ b/crates/drift/src/alarm.rs
@@ -26,7 +26,7 @@
     Raised,
 }
 
-/// Whether a process drifts or recovers, and since when.
+/// The trend of a process: drift or recovery, with its beginning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Trend {
     /// The process was seen neither drifting nor recovering.
@@ -34,12 +34,12 @@
     Undetermined,
     /// The process drifts.
     Drifting {
-        /// When the drift began.
+        /// The time at which the drift began.
         since: Timestamp,
     },
     /// The process has the approved policy active, or had it when its state was last certain.
     Recovering {
-        /// When the recovery began.
+        /// The time at which the recovery began.
         since: Timestamp,
     },
 }
--- a/crates/drift/src/alarm/tests.rs
+++ b/crates/drift/src/alarm/tests.rs
@@ -5,7 +5,7 @@
     BTreeMap::from([("Orgs".to_owned(), digest)])
 }
 
-/// One process that reports every 100 ms, and a leader that raises each alarm that is due.
+/// A process that reports every 100 ms, and a leader that raises each alarm that is due.
 struct Fixture {
     detector: DriftDetector,
     alarms: Alarms,
--- a/crates/drift/src/detector.rs
+++ b/crates/drift/src/detector.rs
@@ -6,7 +6,7 @@
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 
-/// How the active policy of a process compares with the approved one.
+/// The state of a process by the comparison of its active policy with the approved one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DriftState {
     /// The process has the approved policy active.
@@ -59,13 +59,13 @@
 pub struct TrackedProcess {
     /// The process.
     pub process: ProcessKey,
-    /// How its active policy compares with the approved one.
+    /// The drift state of the process.
     pub state: DriftState,
-    /// Since when the process is in this state.
+    /// The time since which the process has been in this state.
     pub state_since: Timestamp,
     /// The last report of the process.
     pub report: Report,
-    /// When the last report arrived.
+    /// The time at which the last report arrived.
     pub last_report_at: Timestamp,
     /// The names of the parts that differ from the approved policy, in order.
     pub differing_parts: Vec<String>,
@@ -77,7 +77,8 @@
     last_report_at: Timestamp,
     state: DriftState,
     state_since: Timestamp,
-    /// Since when the process reports a later version than the approved one; `None` if it does not.
+    /// The time since which the process has reported a later version than the approved one; `None`
+    /// if it does not.
     ahead_since: Option<Timestamp>,
 }
 
@@ -86,7 +87,7 @@
 pub struct DriftDetector {
     timing: Timing,
     approved: ApprovedPolicy,
-    /// When the approved version last changed.
+    /// The time at which the approved version last changed.
     approved_at: Timestamp,
     processes: BTreeMap<ProcessKey, ProcessRecord>,
 }
--- a/crates/drift/src/report.rs
+++ b/crates/drift/src/report.rs
@@ -9,13 +9,13 @@
 /// The digest of each part of a policy, by the name of the part.
 pub type PartDigests = BTreeMap<String, u64>;
 
-/// Identifies a process. The name alone does not identify it, since a restarted process has the
-/// same name.
+/// The identity of a process. The name alone does not identify a process, since a restarted process
+/// has the same name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProcessKey {
     /// The name of the proxy that the process belongs to.
     pub name: String,
-    /// When the process started, in Unix microseconds.
+    /// The start of the process, in Unix microseconds.
     pub start: u64,
 }
 
@@ -38,7 +38,7 @@
 pub struct Report {
     /// The sequence number of the report among the reports of the process.
     pub sequence: u64,
-    /// The version that the process states to have active.
+    /// The version that is active at the process, as stated by the process.
     pub version: u64,
     /// Whether the process admits requests.
     pub status: ProcessStatus,
--- a/crates/membership/src/events.rs
+++ b/crates/membership/src/events.rs
@@ -16,13 +16,13 @@
         /// `None` if the name is new.
         previous: Option<(u64, MemberState)>,
     },
-    /// The record of the member of this name, which had failed or left, was removed.
+    /// The record of the member with this name, which had failed or left, was removed.
     Forgotten(Arc<str>),
     /// The side of a partition that this member is on has changed, or the partition has healed.
     PartitionSide(PartitionSide),
     /// Another process has this member's name.
     NameConflict(NameConflict),
-    /// The other process of this member's name has ended.
+    /// The other process with this member's name has ended.
     NameConflictEnded,
     /// The member at this address rejects this one because the fleet has reached the size that is
     /// configured there, which is this number of members.
--- a/crates/membership/src/golden_tests.rs
+++ b/crates/membership/src/golden_tests.rs
@@ -193,7 +193,7 @@
             in_flight.push((to, bytes(recorded)));
         }
     }
-    assert_eq!(recorded.next(), None, "no less is sent than was recorded");
+    assert_eq!(recorded.next(), None, "every recorded datagram is sent");
     let left = members[1].members().into_iter().find(|entry| &*entry.name == "n1");
     assert_eq!(left.map(|entry| entry.state), Some(MemberState::Left));
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The longest name of a member or a fleet, in bytes.
+/// The maximum length of the name of a member or a fleet, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
 /// The generation with which a member announces that it leaves. No generation of the same process
@@ -18,13 +18,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "RawMemberId")]
 pub struct MemberId {
-    /// The hash of the name. The library looks a member up by comparing this hash with that of
-    /// every member.
+    /// The hash of the name. The library `foca` looks a member up by comparing this hash with that
+    /// of every member.
     #[serde(skip)]
     name_hash: u128,
     /// The name, which a later process may have again.
     pub name: Arc<str>,
-    /// When the process started, in Unix microseconds. Of two processes with one name, the one that
+    /// The start of the process, in Unix microseconds. Of two processes with one name, the one that
     /// started later counts.
     pub start: u64,
     /// The number of times that the process has rejoined after others had declared it failed.
--- a/crates/membership/src/join_admission.rs
+++ b/crates/membership/src/join_admission.rs
@@ -1,5 +1,5 @@
 //! [`JoinAdmission`] decides which processes SWIM may learn of. The codec checks each member that a
-//! datagram names before SWIM gets it. The rule is [`AdmissionState::admit`].
+//! datagram names before SWIM gets the member. The rule is [`AdmissionState::admit`].
 
 use crate::identity::MemberId;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 pub(crate) struct SupersededSender {
     /// The address of the sender.
     pub address: SocketAddr,
-    /// The later process of the name.
+    /// The later process with the same name.
     pub successor: MemberId,
 }
 
@@ -33,11 +33,11 @@
     pub max_members: usize,
     /// The latest process of each admitted name, by the hash of the name.
     pub admitted: BTreeMap<u128, MemberId>,
-    /// Another process of this member's name that a message of SWIM named. The membership takes it
-    /// after each message.
+    /// A process with this member's name that a message of SWIM named. The membership takes the
+    /// value after each message.
     pub conflicting: Option<MemberId>,
-    /// A superseded process that has sent a message of SWIM. The membership takes it after each
-    /// message.
+    /// A superseded process that has sent a message of SWIM. The membership takes the value after
+    /// each message.
     pub superseded: Option<SupersededSender>,
     /// The number of rejections because the fleet has reached its configured size.
     pub rejected_full: u64,
@@ -49,8 +49,8 @@
 
 /// A handle to the admission of members; clones share one state.
 ///
-/// One lock guards the whole state. It is never held while SWIM runs, and never contended, since
-/// one thread at a time drives a member.
+/// One lock guards the whole state. The lock is never held while SWIM runs, and never contended,
+/// since one thread at a time drives a member.
 #[derive(Clone, Debug)]
 pub(crate) struct JoinAdmission(Arc<Mutex<AdmissionState>>);
 
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Records the sender of a datagram if a later process of its name is admitted. This member
-    /// then notifies the sender, since no other process does.
+    /// Records the sender of a datagram if a later process with the same name is admitted. This
+    /// member then notifies the sender, since no other process does.
     pub(crate) fn record_if_superseded(&mut self, sender: &MemberId) {
         let admitted = self.admitted.get(&sender.name_hash());
         if let Some(successor) = admitted.filter(|admitted| admitted.start > sender.start) {
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,5 +1,5 @@
-//! One member of a fleet. [`Membership`] owns the whole state of a member; each module below
-//! handles one concern of it:
+//! Defines one member of a fleet. [`Membership`] owns the whole state of a member; each module
+//! below handles one concern of it:
 //!
 //! - `datagrams`: receiving and sending;
 //! - `discovery`: contacting the configured peers;
@@ -54,13 +54,13 @@
 
 /// The purpose of a timer.
 enum TimerKind {
-    /// Passes a timer that SWIM has set back to SWIM.
+    /// Passes a due timer of SWIM back to SWIM, which has set the timer.
     Swim(foca::Timer<MemberId>),
     /// Contacts the configured peers.
     Discover,
     /// Compares the roster with the state of SWIM.
     Refresh,
-    /// Announces this process to the other one of its name.
+    /// Announces this process to the other process with the same name.
     NameConflict,
     /// Notifies a member that it is suspected.
     NotifySuspect(Suspicion),
@@ -90,7 +90,7 @@
     now: Timestamp,
     /// The configured peers that were never seen as members.
     unseen_peers: Vec<SocketAddr>,
-    /// The counters of this module, and those of a SWIM that was replaced.
+    /// The counters of this module, and the counters of SWIM before it was last replaced.
     counters: MembershipCounters,
 }
 
@@ -141,8 +141,8 @@
         })
     }
 
-    /// Returns when the driver has to call [`Membership::handle_timeout`] at the latest; `None`
-    /// after this member has left.
+    /// Returns the time by which the driver must call [`Membership::handle_timeout`]; `None` after
+    /// this member has left.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         self.timers.next()
     }
--- a/crates/membership/src/membership/discovery.rs
+++ b/crates/membership/src/membership/discovery.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The time after the start of a member during which it also asks a live member for the members
-/// that that one knows, each time that it contacts peers.
+/// The time after the start of a member in which the member, each time that it contacts peers, also
+/// asks a live member for all members that the live member knows.
 const INITIAL_SYNC_PERIOD: Duration = Duration::from_secs(30);
 
 impl Membership {
--- a/crates/membership/src/membership/name_conflict.rs
+++ b/crates/membership/src/membership/name_conflict.rs
@@ -9,28 +9,29 @@
 use pinetrail_clock::Timestamp;
 use std::time::Duration;
 
-/// The interval at which each of the two processes announces itself to the other.
+/// The interval at which each of two processes with one name announces itself to the other.
 const CONFLICT_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1000);
-/// The time after the last message of the other process at which a conflict ends.
+/// The time without a message of the other process after which a name conflict ends.
 const CONFLICT_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// Which process holds this member's name.
+/// The holder of this member's name, and the other process with that name, if there is one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum LocalState {
     /// This process holds the name, and no other process has it.
     SoleHolder,
-    /// This process holds the name, and an earlier process of the name still runs.
+    /// This process holds the name, and an earlier process with the name still runs.
     Superseding {
         /// The earlier process.
         earlier: MemberId,
-        /// When the last message of the earlier process was received.
+        /// The time at which the last message of the earlier process was received.
         last_seen: Timestamp,
     },
-    /// A later process holds the name, and this process is out of the fleet while that one runs.
+    /// A later process holds the name, and this process is out of the fleet while the later one
+    /// runs.
     Superseded {
         /// The later process.
         later: MemberId,
-        /// When the last message of the later process was received.
+        /// The time at which the last message of the later process was received.
         last_seen: Timestamp,
     },
     /// This process does not hold the name because it has left the fleet.
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Decides whether a name conflict has expired, and returns the other process of this name, if
-    /// there is one.
+    /// Decides whether a name conflict has expired, and returns the other process with this name,
+    /// if there is one.
     ///
     /// Inputs: the time now and when the last message of the other process was received (own
     /// clock).
@@ -82,7 +83,7 @@
     }
 }
 
-/// The other process of this member's name.
+/// The other process with this member's name.
 struct OtherProcess {
     id: MemberId,
     /// Whether the process has been silent for [`CONFLICT_TIMEOUT`] and therefore counts as ended.
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Announces this process to the other one of its name, or ends the conflict if that one has
-    /// ended.
+    /// Announces this process to the other process with the same name, or ends the conflict if the
+    /// other process has ended.
     pub(super) fn handle_name_conflict_timer(&mut self, out: &mut Vec<Output>) {
         let Some(other) = self.local_state.other_process(self.now) else { return };
         if !other.has_ended {
@@ -145,7 +146,7 @@
     }
 
     /// Rejoins with a start after that of the later process. Members that knew the later process
-    /// would ignore one with an earlier start.
+    /// would ignore a process with an earlier start.
     fn rejoin_as_successor_of(&mut self, later: &MemberId, out: &mut Vec<Output>) {
         self.local_id = self.local_id.with_start(later.start + 1);
         self.admission.state().local_id = self.local_id.clone();
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,4 +1,4 @@
-//! [`MemberRecord`]: what this member knows about another one; and [`PartitionSide`].
+//! Defines [`MemberRecord`], the record that a member keeps of another one, and [`PartitionSide`].
 
 use pinetrail_clock::Timestamp;
 use std::fmt;
@@ -38,7 +38,7 @@
 pub struct MemberRecord {
     /// The name of the member.
     pub name: Arc<str>,
-    /// When the member's process started, in Unix microseconds. The start distinguishes processes
+    /// The start of the member's process, in Unix microseconds. The start distinguishes processes
     /// with one name.
     pub start: u64,
     /// The address at which the member receives datagrams.
@@ -47,7 +47,8 @@
     pub state: MemberState,
     /// The number of suspicions that the member refuted since it joined or rejoined.
     pub incarnation: u16,
-    /// Since when the member is in this state, by the clock of the member that keeps this record.
+    /// The time since which the member has been in this state, by the clock of the member that
+    /// keeps this record.
     pub since: Timestamp,
 }
 
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -14,7 +14,8 @@
 
 const PROBE_PERIOD_RANGE_MS: RangeInclusive<u64> = 50..=60_000;
 const MIN_PROBE_TIMEOUT_MS: u64 = 10;
-/// The rest of the probe period is left for indirect probes.
+/// The maximum probe timeout, in percent of the probe period. The rest of the period is left for
+/// indirect probes.
 const MAX_PROBE_TIMEOUT_PERCENT_OF_PERIOD: u64 = 80;
 const MAX_SUSPICION_TIMEOUT_MS: u64 = 600_000;
 const GOSSIP_INTERVAL_RANGE_MS: RangeInclusive<u64> = 20..=60_000;
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -65,7 +65,8 @@
 
     /// Handles a timer that is due.
     pub(crate) fn handle_timer(&mut self, timer: Timer<MemberId>) {
-        // The only error reports an interrupted probe, which the library restarts by itself.
+        // The only possible error reports an interrupted probe, which the library restarts by
+        // itself.
         let _ = self.foca.handle_timer(timer, &mut self.output);
     }
 
--- a/crates/membership/src/swim/codec.rs
+++ b/crates/membership/src/swim/codec.rs
@@ -128,8 +128,8 @@
         // update that SWIM must not get.
         let no_effect = foca::Member::alive(admission.local_id.clone());
         if admission.conflicts_with(member.id()) {
-            // This process has superseded an earlier one of its name. A later one is a conflict
-            // unless it has failed or left.
+            // This process has superseded an earlier one with the same name. A later one is a
+            // conflict unless it has failed or left.
             if member.id().start > admission.local_id.start {
                 if member.state() != foca::State::Down {
                     admission.conflicting = Some(member.id().clone());
--- a/crates/membership/src/swim/config.rs
+++ b/crates/membership/src/swim/config.rs
@@ -7,7 +7,7 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// The number of members that are asked to probe one that does not respond.
+/// The number of members that are asked to probe a member that does not respond.
 const INDIRECT_PROBES: usize = 3;
 /// The number of members that get updates in each gossip interval.
 const GOSSIP_FANOUT: usize = 3;
--- a/crates/membership/tests/hard_cases/failure_detection.rs
+++ b/crates/membership/tests/hard_cases/failure_detection.rs
@@ -1,4 +1,5 @@
-//! Which members must be declared failed, and which must not; in simulated time with fixed seeds.
+//! Detection of failures: members that must be declared failed, and members that must not; in
+//! simulated time with fixed seeds.
 
 use crate::{five_members, ALL};
 use pinetrail_membership::{MemberState, Membership, PartitionSide};
--- a/crates/membership/tests/hard_cases/joining.rs
+++ b/crates/membership/tests/hard_cases/joining.rs
@@ -83,6 +83,9 @@
         assert_eq!(fleet.side(0), Some(PartitionSide::Whole), "the fleet has four members now");
         fleet.network.loss = 0.0;
         fleet.start_member(3, 5, &ALL);
-        assert!(fleet.run_until(5_000, |fleet| fleet.all_agree(&ALL)), "seed {seed}: it may join again");
+        assert!(
+            fleet.run_until(5_000, |fleet| fleet.all_agree(&ALL)),
+            "seed {seed}: the member may join again"
+        );
     }
 }
--- a/crates/peer-transport/src/error.rs
+++ b/crates/peer-transport/src/error.rs
@@ -16,7 +16,7 @@
     /// The peer did not accept the connection in time.
     #[error("connecting timed out after {limit:?}")]
     ConnectTimeout {
-        /// [`Timing::handshake_timeout`](crate::Timing::handshake_timeout).
+        /// The timeout, [`Timing::handshake_timeout`](crate::Timing::handshake_timeout).
         limit: Duration,
     },
     /// One of the two processes rejected the handshake.
@@ -31,7 +31,7 @@
     /// The peer sent nothing within the silence timeout.
     #[error("the peer sent nothing for {limit:?}")]
     Silent {
-        /// [`Timing::silence_timeout`](crate::Timing::silence_timeout).
+        /// The timeout, [`Timing::silence_timeout`](crate::Timing::silence_timeout).
         limit: Duration,
     },
     /// A received frame could not be decoded.
@@ -56,7 +56,7 @@
     /// The peer did not send its handshake in time.
     #[error("the peer sent no handshake within {limit:?}")]
     Timeout {
-        /// [`Timing::handshake_timeout`](crate::Timing::handshake_timeout).
+        /// The timeout, [`Timing::handshake_timeout`](crate::Timing::handshake_timeout).
         limit: Duration,
     },
     /// The first frame of the peer is not a handshake.
--- a/crates/peer-transport/src/shared.rs
+++ b/crates/peer-transport/src/shared.rs
@@ -149,7 +149,7 @@
         to_start
     }
 
-    /// Whether a peer is in the list of peers with the same address.
+    /// Returns whether a peer is in the list of peers with the same address.
     pub(crate) fn is_peer(&self, peer: &Peer) -> bool {
         self.state().peers.get(&peer.process) == Some(&peer.address)
     }
--- a/crates/peer-transport/src/transport.rs
+++ b/crates/peer-transport/src/transport.rs
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Returns the connected process that holds a voter id. Of several processes with the same
-    /// voter id it is the one that started last.
+    /// Returns the connected process that holds a voter id; of several processes with the same
+    /// voter id, the one that started last.
     pub fn voter_process(&self, voter_id: u8) -> Option<Process> {
         let connections = self.shared.connections();
         let holders = connections.iter().filter(|connection| connection.voter_id() == Some(voter_id));
@@ -104,7 +104,7 @@
         self.shared.connected_peers()
     }
 
-    /// Whether a connection with a process is established.
+    /// Returns whether a connection with a process is established.
     pub fn is_connected(&self, process: &Process) -> bool {
         self.shared.is_connected(process)
     }
--- a/crates/peer-transport/tests/transport.rs
+++ b/crates/peer-transport/tests/transport.rs
@@ -123,7 +123,7 @@
     from.transport.request(&to.peer.process, body.to_vec(), TEST_TIMEOUT).await
 }
 
-/// One connection serves both directions, whichever process dialled it.
+/// A connection serves both directions, whichever process dialled it.
 #[tokio::test(start_paused = true)]
 async fn either_end_of_a_connection_can_send_requests() {
     let (first, second) = connected_pair().await;
--- a/crates/policy-consensus/src/acceptor.rs
+++ b/crates/policy-consensus/src/acceptor.rs
@@ -1,7 +1,7 @@
 //! The acceptor of one voter: a compare-and-set register, after CASPaxos (Rystsov, 2018). Read
 //! [`Acceptor`] first.
 //!
-//! There is no log and no stable leader: each step takes one round of promises and one round of
+//! CASPaxos has no log and no stable leader: each step takes one round of promises and one round of
 //! votes by a majority of the voters. Each decision comes with the state that must be durable
 //! before the reply is sent. No function here waits.
 
@@ -9,7 +9,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The identity of a voter's storage. A voter that lost its disk gets a new one.
+/// The identity of a voter's storage. A voter that lost its disk gets a storage with a new
+/// identity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorageId(pub u64);
 
@@ -42,7 +43,7 @@
     pub storage_id: StorageId,
     /// Whether the voter takes part in ballots.
     pub voting: VotingStatus,
-    /// The highest ballot promised. Earlier ballots get no promise and no vote.
+    /// The highest ballot that the voter promised. Earlier ballots get no promise and no vote.
     pub promised: Ballot,
     /// The state that the voter accepted last.
     pub accepted: Option<AcceptedState>,
@@ -197,7 +198,7 @@
         AcceptorDecision::once_stored(AcceptorReply::Accepted, next)
     }
 
-    /// Returns whether a voter has registered another storage than the given one.
+    /// Returns whether a voter has registered a storage other than the given one.
     fn is_replaced(&self, voter: VoterId, storage_id: StorageId) -> bool {
         self.durable.storage_ids.get(&voter).is_some_and(|registered| *registered != storage_id)
     }
--- a/crates/policy-consensus/src/change.rs
+++ b/crates/policy-consensus/src/change.rs
@@ -82,7 +82,7 @@
     pub version: u64,
     /// The digest of the policy text of the change.
     pub digest: Digest,
-    /// How the change ended.
+    /// The outcome of the change.
     pub outcome: Outcome,
     /// The reason for the outcome, as shown to the operator.
     pub reason: String,
--- a/crates/policy-consensus/src/lease_table.rs
+++ b/crates/policy-consensus/src/lease_table.rs
@@ -25,7 +25,7 @@
     Rejected(LeaseRejection),
 }
 
-/// Why a voter does not grant a lease.
+/// The reason why a voter does not grant a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseRejection {
     /// A later request of the process has arrived before this one.
@@ -55,7 +55,7 @@
     /// The sequence number of the process's last request.
     sequence: u64,
     lease: HolderLease,
-    /// When the process's last request arrived.
+    /// The time at which the last request of the process arrived.
     last_request: Instant,
     readiness: Option<ChangeReadiness>,
     fails_open: bool,
@@ -105,7 +105,7 @@
 }
 
 impl VoterView<'_> {
-    /// Returns why a lease must not be granted, or `None` if it may be granted.
+    /// Returns the reason why a lease must not be granted, or `None` if the lease may be granted.
     ///
     /// Inputs: the agreed state with its open change, the version that the voter accepted last, and
     /// the version and the readiness of the process.
@@ -213,8 +213,8 @@
         blocking
     }
 
-    /// Returns the processes that may hold a lease now, each with whether it is ready for the
-    /// change.
+    /// Returns the processes that may hold a lease now, and states for each whether it is ready for
+    /// the change.
     #[must_use]
     pub fn holders(&self, now: Instant, change_id: &str) -> Vec<LeaseHolder> {
         let mut holders = Vec::new();
--- a/crates/policy-consensus/src/node/admin.rs
+++ b/crates/policy-consensus/src/node/admin.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a change was not opened.
+/// The reason why a change was not opened.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ProposalError {
     /// This process cannot make the proposed policy active.
--- a/crates/policy-consensus/src/node/apply.rs
+++ b/crates/policy-consensus/src/node/apply.rs
@@ -81,7 +81,8 @@
                 state.active_version = version;
                 state.unusable = None;
                 state.readiness = None;
-                self.applier.log(&format!("version {version} of the policy is active here, {digest}"));
+                self.applier
+                    .log(&format!("version {version} of the policy is active here, with digest {digest}"));
                 true
             }
             Err(rejected) => {
--- a/crates/policy-consensus/src/node/leader_decisions.rs
+++ b/crates/policy-consensus/src/node/leader_decisions.rs
@@ -12,9 +12,9 @@
 /// The open change, as this process observes it.
 pub(super) struct ObservedChange {
     pub(super) change: ChangeSummary,
-    /// When this process first saw the change.
+    /// The time at which this process first saw the change.
     first_seen: Instant,
-    /// When this process first saw the change in its present stage.
+    /// The time at which this process first saw the change in its present stage.
     stage_since: Instant,
     /// The time before which the change does not close: leases blocked its last commit until then.
     pub(super) close_not_before: Instant,
@@ -36,7 +36,7 @@
     }
 }
 
-/// What a voter knows when it decides about the open change.
+/// The facts from which a voter decides the next step of the open change.
 pub(super) struct LeaderView {
     /// The name of a process that rejected the change, and its reason.
     pub(super) rejection: Option<String>,
@@ -105,7 +105,7 @@
 /// ready for the change; [`Timing::readiness_timeout`]; the time.
 /// Reason: a change closes when every lease holder can make it active at once, so that the closing
 /// stage is short. A holder that does not become ready in time loses its lease, so that it cannot
-/// block the change for ever.
+/// block the change indefinitely.
 pub(super) fn next_stage(
     observed: &ObservedChange,
     unready: &[String],
--- a/crates/policy-consensus/src/node/proposer.rs
+++ b/crates/policy-consensus/src/node/proposer.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Why a step failed.
+/// The reason why a step failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub(super) enum StepError {
     /// The requested transition does not follow from the agreed state.
@@ -63,7 +63,7 @@
 /// The state that a ballot puts to the vote.
 struct Proposal {
     state: ReplicatedState,
-    /// Why the state is not the result of the transition that the caller requested.
+    /// The reason why the state is not the result of the transition that the caller requested.
     conflict: Option<Conflict>,
 }
 
--- a/crates/policy-consensus/src/node/state.rs
+++ b/crates/policy-consensus/src/node/state.rs
@@ -60,7 +60,7 @@
     pub(super) source: Option<Process>,
     /// The version that is active at this process.
     pub(super) active_version: u64,
-    /// Why the agreed version is not active at this process.
+    /// The agreed version, if this process cannot make it active.
     pub(super) unusable: Option<UnusableVersion>,
     /// The readiness of this process for the open change.
     pub(super) readiness: Option<ChangeReadiness>,
--- a/crates/policy-consensus/src/node/status.rs
+++ b/crates/policy-consensus/src/node/status.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Whether a process admits requests, and why not otherwise.
+/// Whether a process admits requests, and the reason if it does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConsensusStatus {
     /// The process admits requests under the agreed version.
--- a/crates/policy-consensus/src/policy_applier.rs
+++ b/crates/policy-consensus/src/policy_applier.rs
@@ -3,12 +3,12 @@
 use pinetrail_peer_transport::Process;
 use thiserror::Error;
 
-/// Why a process cannot make a policy active. Displays as the path of the invalid setting and the
-/// reason.
+/// The reason why a process cannot make a policy active. The displayed text is the path of the
+/// invalid setting, with the fault of that setting.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{reason}")]
 pub struct PolicyRejected {
-    /// The path of the invalid setting, and why the setting is invalid.
+    /// The path of the invalid setting, and the reason why the setting is invalid.
     pub reason: String,
 }
 
--- a/crates/policy-consensus/src/replicated_state.rs
+++ b/crates/policy-consensus/src/replicated_state.rs
@@ -2,7 +2,7 @@
 //! outcomes of the last changes. Read [`ReplicatedState`] first.
 //!
 //! Each transition of a change is one function that returns the next state: [`propose`] opens the
-//! change, [`advance`] moves it to another stage, [`finish`] ends it. None of them waits. The
+//! change, [`advance`] moves it to another stage, [`finish`] ends it. No transition waits. The
 //! proposer and the acceptors bring a majority of voters to agree on the result.
 //!
 //! [`propose`]: ReplicatedState::propose
@@ -53,7 +53,7 @@
     pub last_finished: Digest,
 }
 
-/// Why a change cannot be opened.
+/// The reason why a change cannot be opened.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Conflict {
     /// The change is based on a version that is not the active one.
--- a/crates/policy-consensus/src/storage/error.rs
+++ b/crates/policy-consensus/src/storage/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// Why a voter cannot use its state file.
+/// The reason why a voter cannot use its state file.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
     /// The file is incomplete, or its checksum is wrong.
--- a/crates/policy-consensus/src/storage/mod.rs
+++ b/crates/policy-consensus/src/storage/mod.rs
@@ -16,7 +16,7 @@
 
 /// The storage of a voter's state.
 pub trait Storage: Send + 'static {
-    /// Reads the state that was stored last; returns `None` if no state was stored.
+    /// Reads the state that was stored last. Returns `None` if no state was stored.
     ///
     /// # Errors
     ///
