--- a/crates/codec/src/http/mod.rs
+++ b/crates/codec/src/http/mod.rs
@@ -35,7 +35,7 @@
     #[error("the response has both a Content-Length and a Transfer-Encoding")]
     LengthAndChunks,
     /// Too many interim responses precede the final response.
-    #[error("no final response follows {} interim (1xx) responses", head::MAX_INTERIM_RESPONSES)]
+    #[error("too many interim (1xx) responses precede the final response")]
     TooManyInterimResponses,
     /// The data of a chunk is not followed by a line end.
     #[error("the data of a chunk is not followed by a line end")]
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -101,7 +101,7 @@
         least: u64,
     },
     /// Attempts may run for longer than quota is reserved for them.
-    #[error("call_ms {call_ms} is below the longest GiveUp, {longest_ms}")]
+    #[error("call_ms {call_ms} is below the longest GiveUp, {longest_ms} ms")]
     AttemptsOutliveLease {
         /// The time for which quota stays reserved for attempts after the end of its lease, in ms.
         call_ms: u64,
@@ -137,7 +137,7 @@
     #[error(transparent)]
     Timing(#[from] pinetrail_policy_consensus::TimingError),
     /// Requests would wait too long while a change is decided.
-    #[error("hold_ms {wait_ms} is over the limit of {longest_ms}")]
+    #[error("hold_ms {wait_ms} is over the limit of {longest_ms} ms")]
     ChangeWaitTooLong {
         /// The configured wait, in ms.
         wait_ms: u64,
--- a/crates/membership/src/golden_tests.rs
+++ b/crates/membership/src/golden_tests.rs
@@ -187,7 +187,7 @@
             let Output::Send(to, datagram) = output else { continue };
             let to = [address(1), address(2)].iter().position(|address| *address == to);
             let Some(to) = to else { continue };
-            let recorded = recorded.next().expect("no more is sent than was recorded");
+            let recorded = recorded.next().expect("every sent datagram is recorded");
             assert_eq!(hex(&datagram), *recorded, "to n{} at {now_ms} ms", to + 1);
             // The receiver decodes the recorded bytes, not the ones just written.
             in_flight.push((to, bytes(recorded)));
--- a/crates/peer-transport/src/golden_tests.rs
+++ b/crates/peer-transport/src/golden_tests.rs
@@ -113,7 +113,7 @@
 
 impl Recorder {
     fn add(&self, line: String) {
-        self.0.lock().expect("no panic").push(line);
+        self.0.lock().expect("no holder of the lock has panicked").push(line);
     }
 }
 
@@ -157,11 +157,11 @@
     assert_eq!(hex(&handshake), HANDSHAKE_OF_VOTER);
 
     // The peer sends its recorded frames.
-    ours.write_all(&bytes(HANDSHAKE_OF_PEER)).await.expect("written");
-    ours.write_all(&bytes(ONE_WAY)).await.expect("written");
-    ours.shutdown().await.expect("shut down");
-    let end = running.await.expect("no panic");
+    ours.write_all(&bytes(HANDSHAKE_OF_PEER)).await.expect("the peer writes the bytes");
+    ours.write_all(&bytes(ONE_WAY)).await.expect("the peer writes the bytes");
+    ours.shutdown().await.expect("the peer shuts its stream down");
+    let end = running.await.expect("the task of the connection does not panic");
     assert!(matches!(end, ConnectionError::ClosedByPeer), "{end:?}");
-    let events = recorder.0.lock().expect("no panic").clone();
+    let events = recorder.0.lock().expect("no holder of the lock has panicked").clone();
     assert_eq!(events, ["n9 5 is connected with voter id None", "n9 5 says told"]);
 }
--- a/crates/policy-consensus/src/golden_disk_tests.rs
+++ b/crates/policy-consensus/src/golden_disk_tests.rs
@@ -67,14 +67,14 @@
 impl ScratchDirectory {
     fn new(name: &str) -> ScratchDirectory {
         let path = env::temp_dir().join(format!("pinetrail-golden-{name}-{}", process::id()));
-        fs::create_dir_all(&path).expect("a directory");
+        fs::create_dir_all(&path).expect("the directory is created");
         ScratchDirectory(path)
     }
 
     fn files(&self) -> Vec<String> {
         let name = |file: fs::DirEntry| file.file_name().to_string_lossy().into_owned();
-        let files = fs::read_dir(&self.0).expect("a directory");
-        let mut names: Vec<String> = files.map(|file| name(file.expect("a file"))).collect();
+        let files = fs::read_dir(&self.0).expect("the directory is listed");
+        let mut names: Vec<String> = files.map(|file| name(file.expect("the file is listed"))).collect();
         names.sort();
         names
     }
@@ -94,9 +94,9 @@
 #[test]
 fn a_voters_file_has_the_recorded_name_and_bytes() {
     let scratch = ScratchDirectory::new("write");
-    let mut directory = FileStorage::open(scratch.0.clone()).expect("opened");
+    let mut directory = FileStorage::open(scratch.0.clone()).expect("the storage opens");
     for (durable, recorded) in [(full(), FULL), (DurableState::default(), EMPTY)] {
-        save(&mut directory, "gdynia", VOTER, &durable).expect("stored");
+        save(&mut directory, "gdynia", VOTER, &durable).expect("the state is stored");
         let written = fs::read(file_in(&scratch.0)).expect("the state file under its recorded name");
         assert_eq!(hex(&written), recorded, "encoding of {durable:?}");
         assert_eq!(scratch.files(), ["rulebook", "rulebook.lock"]);
@@ -107,9 +107,9 @@
 fn a_voter_reads_the_recorded_file() {
     let scratch = ScratchDirectory::new("read");
     for (durable, recorded) in [(full(), FULL), (DurableState::default(), EMPTY)] {
-        fs::write(file_in(&scratch.0), bytes(recorded)).expect("written");
-        let mut directory = FileStorage::open(scratch.0.clone()).expect("opened");
-        let loaded = load(&mut directory, "gdynia", VOTER).expect("read");
+        fs::write(file_in(&scratch.0), bytes(recorded)).expect("the state file is written");
+        let mut directory = FileStorage::open(scratch.0.clone()).expect("the storage opens");
+        let loaded = load(&mut directory, "gdynia", VOTER).expect("the state file is read");
         assert_eq!(loaded, LoadOutcome::Loaded(Box::new(durable)));
     }
 }
@@ -117,9 +117,9 @@
 #[test]
 fn a_file_that_is_set_aside_has_the_recorded_name() {
     let scratch = ScratchDirectory::new("aside");
-    let mut directory = FileStorage::open(scratch.0.clone()).expect("opened");
-    directory.replace(b"torn").expect("written");
-    let loaded = load(&mut directory, "gdynia", VOTER).expect("read");
+    let mut directory = FileStorage::open(scratch.0.clone()).expect("the storage opens");
+    directory.replace(b"torn").expect("the state file is written");
+    let loaded = load(&mut directory, "gdynia", VOTER).expect("the state file is read");
     let LoadOutcome::SetAside(reason) = loaded else { panic!("not set aside: {loaded:?}") };
     assert_eq!(reason.file_suffix(), "torn");
     let files = scratch.files();
@@ -131,7 +131,7 @@
 fn a_lock_by_the_recorded_name_keeps_others_out() {
     let scratch = ScratchDirectory::new("lock");
     let path = scratch.0.join("rulebook.lock");
-    let lock = fs::File::options().create(true).append(true).open(path).expect("opened");
+    let lock = fs::File::options().create(true).append(true).open(path).expect("the lock file opens");
     lock.try_lock().expect("the lock is free");
     let opened = FileStorage::open(scratch.0.clone());
     assert_eq!(opened.expect_err("the lock is held").kind(), std::io::ErrorKind::WouldBlock);
--- a/tests/fleet/quota.rs
+++ b/tests/fleet/quota.rs
@@ -237,7 +237,7 @@
     fleet.set_config(1, &longer);
     fleet.process(1).signal("HUP");
     fleet.wait_until("the reload is rejected", |fleet| {
-        fleet.timeline.first_match("n1", "call_ms 1000 is below the longest GiveUp, 5000", 0).is_some()
+        fleet.timeline.first_match("n1", "call_ms 1000 is below the longest GiveUp, 5000 ms", 0).is_some()
     });
     assert!(have_equal_quotas(&fleet, &[0, 1, 2], 3));
 }
