--- a/src/logic/balancer/requests.rs
+++ b/src/logic/balancer/requests.rs
@@ -91,7 +91,7 @@
                 self.wait_for_fetch(id, request.key);
             }
             Some(node) => self.start_attempt(id, node, out),
-            None => self.enqueue(id, Stage::QueuedForBackend),
+            None => self.enqueue(id, Stage::QueuedForCacheNode),
         }
     }
 
@@ -191,7 +191,7 @@
             }
         }
         // If a request is queued again, no request of lower weight could be sent either.
-        while let Some(queued) = self.queue.pop_heaviest(Stage::QueuedForBackend) {
+        while let Some(queued) = self.queue.pop_heaviest(Stage::QueuedForCacheNode) {
             self.route(queued.id, out);
             if self.queue.restore_weight(queued) {
                 break;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -11,7 +11,7 @@
     /// An attempt of the request is in flight.
     InFlight,
     /// The request waits for a cache node with capacity.
-    QueuedForBackend,
+    QueuedForCacheNode,
     /// The request waits for another request's fetch of its key.
     WaitingForFetch,
     /// The request waits for capacity at the origin.
@@ -47,7 +47,7 @@
         deadline: Timestamp,
         expected_work: TimeSpan,
     ) -> Self {
-        let stage = Stage::QueuedForBackend;
+        let stage = Stage::QueuedForCacheNode;
         PendingRequest { request, class, limits, deadline, expected_work, stage, attempts: Vec::new() }
     }
 
