--- a/src/logic/concurrency_limit/mod.rs
+++ b/src/logic/concurrency_limit/mod.rs
@@ -32,7 +32,7 @@
 pub(super) enum CapacityDecision {
     /// The backend has capacity for one more attempt.
     Available,
-    /// As many attempts as the limit allows are in flight.
+    /// The number of attempts in flight has reached the limit.
     Full,
     /// The limit was decreased within [`COOLDOWN`] and is close to its minimum.
     CoolingDown,
@@ -63,7 +63,7 @@
 
 /// Decides the initial concurrency limit of this proxy at a new backend, in attempts.
 ///
-/// Inputs: the tier of the backend; how many quotas of this proxy's size make up the whole.
+/// Inputs: the tier of the backend; the divisor from [`ProxyQuota::divisor`].
 /// Reason: the initial limit of all proxies together does not depend on their number.
 pub(super) fn initial_limit(tier: Tier, quota_divisor: f64) -> f64 {
     match tier {
@@ -82,7 +82,7 @@
     limit.max_in_flight <= MIN_LIMIT
 }
 
-/// Returns how many attempts all proxies together may have in flight at a backend of this tier.
+/// Returns the limit on the attempts in flight of all proxies together at a backend of this tier.
 fn fleet_limit(limits: FleetLimits, tier: Tier) -> f64 {
     match tier {
         Tier::Origin => limits.origin,
--- a/src/logic/concurrency_limit/quota.rs
+++ b/src/logic/concurrency_limit/quota.rs
@@ -37,8 +37,8 @@
         self.group_size = group_size;
     }
 
-    /// Decides how many quotas of this proxy's size make up the whole: the reciprocal of the
-    /// fraction that this proxy may use.
+    /// Decides the divisor by which this proxy's part is computed from a fleet-wide limit: the
+    /// reciprocal of the fraction that this proxy may use.
     ///
     /// Inputs: the quota as a fraction of 1, or the number of proxies; the time now.
     /// Reason: the leased part beyond the guaranteed minimum expires without a message, and other
@@ -56,7 +56,7 @@
     /// Decides whether this proxy's quota is small: its part of a node's initial limit is below
     /// [`SET_GROWTH_GAP`].
     ///
-    /// Inputs: the number of quotas that make up the whole; the time now.
+    /// Inputs: the result of [`ProxyQuota::divisor`]; the time now.
     /// Reason: such a proxy, one of more than eight equal ones, never sees a load gap that would
     /// grow an endpoint set, and its concurrency limits have no room to decrease. Instead it
     /// spreads hot keys by their request frequency and sheds requests with a probability.
--- a/src/logic/endpoint_list.rs
+++ b/src/logic/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list: whether an entry describes a new process of a backend, and when the list is
-//! requested again after a failure. Read [`compare`] first.
+//! Endpoint list: decides whether an entry describes a new process of a backend, and when the list
+//! is requested again after a failure. Read [`compare`] first.
 
 use crate::interface::{EndpointInfo, EndpointState};
 use crate::time::TimeSpan;
--- a/src/logic/endpoint_selection/endpoint_set.rs
+++ b/src/logic/endpoint_selection/endpoint_set.rs
@@ -6,7 +6,7 @@
 use crate::state::KeyEntry;
 use crate::time::{TimeSpan, Timestamp};
 
-/// The time without a change after which a set drops a backend. It is the parameter Q of HyLARD.
+/// The time without a change after which a set drops a backend (parameter Q of HyLARD).
 const SHRINK_AFTER: TimeSpan = TimeSpan::from_ms(60_000.0);
 
 /// The inputs of [`choose`].
--- a/src/logic/endpoint_selection/load.rs
+++ b/src/logic/endpoint_selection/load.rs
@@ -52,8 +52,8 @@
 /// proxy's zone.
 ///
 /// Inputs: the cost of crossing zones.
-/// Reason: where crossing zones adds as much load as the gap from which on a set grows, endpoint
-/// selection outside a warm-up stays in its zone as well.
+/// Reason: where crossing zones adds as much load as the gap from which on an endpoint set grows,
+/// endpoint selection outside a warm-up stays in its zone as well.
 pub(in crate::logic) fn stays_in_zone(settings: &Settings) -> bool {
     zone_crossing_load(settings) > SET_GROWTH_GAP - SMALLEST_LOAD_STEP
 }
--- a/src/logic/endpoint_selection/mod.rs
+++ b/src/logic/endpoint_selection/mod.rs
@@ -16,7 +16,7 @@
 use endpoint_set::SetChoice;
 
 /// The load gap, in requests in flight, between the least loaded backend of a set and the least
-/// loaded one of all nodes from which on the set grows. It is the parameter M of HyLARD.
+/// loaded one of all nodes from which on the set grows (parameter M of HyLARD).
 pub(in crate::logic) const SET_GROWTH_GAP: f64 = 4.0;
 /// The fraction of keys that count as large. A large key is served by one backend.
 pub(super) const LARGE_KEY_FRACTION: f64 = 0.16;
@@ -56,7 +56,7 @@
 /// Inputs: the key and its endpoint set; the eligible backends with their loads, in requests in
 /// flight; the order of the backends for the key; whether the origin is full.
 /// Reason: a key that is sent to few backends is found in their caches; a key that is requested
-/// more often than its backends can serve gets additional ones.
+/// more often than its backends can serve gets additional backends.
 /// Source: HyLARD, section 3.3, figure 2.
 pub(super) fn select(inputs: &SelectionInputs) -> Selection {
     let Some(least) = least_loaded(inputs, inputs.eligible) else { return Selection::NoBackend };
--- a/src/logic/endpoint_selection/rendezvous_order.rs
+++ b/src/logic/endpoint_selection/rendezvous_order.rs
@@ -5,8 +5,8 @@
 use crate::rendezvous;
 use crate::state::{BackendTable, KeyTable};
 
-/// The number of candidates for a key's home, as a multiple of the key's fraction of all requests
-/// times the number of backends. It applies to a proxy with a small quota.
+/// The number of candidates for a key's home at a proxy with a small quota, as a multiple of the
+/// key's fraction of all requests times the number of backends.
 const CANDIDATE_MULTIPLE: f64 = 2.0;
 /// The weight of an unknown backend.
 const UNKNOWN_WEIGHT: f64 = 1.0;
--- a/src/logic/give_up.rs
+++ b/src/logic/give_up.rs
@@ -12,7 +12,8 @@
 pub(super) enum GiveUpResponse {
     /// The request is rejected: the client may send it again.
     Reject {
-        /// The time that the client should wait before that; 0 gives no advice.
+        /// The time that the client should wait before it sends the request again; 0 gives no
+        /// advice.
         retry_after: TimeSpan,
     },
     /// The request fails: whether it was executed is unknown.
--- a/src/logic/origin_fetch.rs
+++ b/src/logic/origin_fetch.rs
@@ -4,7 +4,7 @@
 use crate::interface::{BackendId, Key, RequestId};
 use crate::state::FetchTable;
 
-/// What a request does after a miss.
+/// The decision on a request that missed a cache node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MissDecision {
     /// The request fetches the key from the origin.
--- a/src/logic/outlier_ejection.rs
+++ b/src/logic/outlier_ejection.rs
@@ -14,8 +14,8 @@
 const OUTLIER_FAILURE_FRACTION: f64 = 0.5;
 /// The mean interval between trial attempts at an outlier or an ejected backend.
 const TRIAL_INTERVAL: TimeSpan = TimeSpan::from_ms(1000.0);
-/// The range of the random factor on trial intervals and ejections, which keeps the proxies from
-/// acting in step.
+/// The range of the random factor on trial intervals and ejections, which prevents all proxies from
+/// making trials or ending ejections at the same time.
 pub(super) const JITTER_FACTOR: Range<f64> = 0.75..1.25;
 /// The duration of the first ejection of a backend.
 const FIRST_EJECTION: TimeSpan = TimeSpan::from_ms(4000.0);
@@ -45,10 +45,9 @@
 /// Whether outliers and ejected backends are excluded at all, which depends on their number.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ExclusionScope {
-    /// Whether outliers receive no requests but trials.
+    /// Whether outliers receive only trial attempts.
     excludes_outliers: bool,
-    /// Whether ejected backends receive no requests at all, not even trials, until their ejection
-    /// ends.
+    /// Whether ejected backends receive no attempts, not even trials, until their ejection ends.
     excludes_ejected: bool,
 }
 
@@ -102,7 +101,7 @@
     pub(super) now: Timestamp,
     /// A random factor from [`JITTER_FACTOR`].
     pub(super) jitter: f64,
-    /// The duration up to which ejections grow; they are never shorter than [`FIRST_EJECTION`].
+    /// The longest ejection before jitter, unless [`FIRST_EJECTION`] is longer.
     pub(super) max_ejection: TimeSpan,
 }
 
--- a/src/logic/queue.rs
+++ b/src/logic/queue.rs
@@ -10,10 +10,11 @@
 /// The fraction of its latency objective after which a queued request is shed.
 const SHED_OBJECTIVE_FRACTION: f64 = 0.5;
 
-/// Decides how long after its arrival a request is shed if it has no attempt in flight. This is
-/// checked once, at that time.
+/// Decides the time after its arrival at which a request is shed if no attempt of the request is in
+/// flight. The condition is checked once, at that time.
 ///
-/// Inputs: the latency objective of its class and the time until its response is due, in ms.
+/// Inputs: the latency objective of the request's class and the time until the response is due, in
+/// ms.
 /// Reason: a request that has waited for so long will hardly meet its objective, and would take
 /// capacity from other requests that can meet theirs.
 /// Source: load shedding by queueing delay, as in CoDel.
@@ -81,8 +82,8 @@
         Some(heaviest)
     }
 
-    /// Restores the weight of a removed request if it is the one that was queued last. Returns
-    /// whether it is.
+    /// Restores the weight of a removed request if that request has since been queued again as the
+    /// last one. Returns whether it has.
     pub(super) fn restore_weight(&mut self, removed: QueuedRequest) -> bool {
         let Some(queued) = self.0.last_mut().filter(|queued| queued.id == removed.id) else {
             return false;
--- a/src/logic/retry/budget.rs
+++ b/src/logic/retry/budget.rs
@@ -1,4 +1,4 @@
-//! [`RetryBudget`]: limits retries to a fraction of the requests, so that they do not add to an
+//! [`RetryBudget`]: limits retries to a fraction of the requests, so that retries do not add to an
 //! overload.
 
 /// The number of retries that each request deposits.
--- a/src/logic/retry/idempotency.rs
+++ b/src/logic/retry/idempotency.rs
@@ -10,7 +10,7 @@
 use crate::state::{Attempt, BackendTable, PendingRequest};
 use crate::time::TimeSpan;
 
-/// The largest part of a deduplication window that is reserved for the write delay, as a fraction.
+/// The largest fraction of a deduplication window that is reserved for the write delay.
 const MAX_WINDOW_FRACTION_FOR_WRITES: f64 = 0.5;
 
 /// Whether a repeat of a request could apply the request's effect twice, and if not, why.
--- a/src/state/average.rs
+++ b/src/state/average.rs
@@ -6,7 +6,7 @@
 /// The initial value of a quantile, as a multiple of the first sample.
 const QUANTILE_START_MULTIPLE: f64 = 2.0;
 
-/// An exponentially weighted moving average. It starts at 0 by default.
+/// An exponentially weighted moving average, which starts at 0 by default.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MovingAverage(f64);
 
--- a/src/state/key.rs
+++ b/src/state/key.rs
@@ -7,8 +7,8 @@
 
 /// The largest number of keys in the table.
 const MAX_KEYS: usize = 1 << 16;
-/// The number that is added to the count of all requests, so that the fraction of a key stays small
-/// while few requests have been counted.
+/// The number of requests that is added to the count of all requests, so that the fraction of a key
+/// stays small while few requests have been counted.
 const TOTAL_PSEUDOCOUNT: f64 = 2.0;
 
 /// The state of one key.
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -23,9 +23,11 @@
 pub(crate) struct PendingRequest {
     /// The request as it arrived.
     pub(crate) request: Request,
-    /// The class of the request. Like `limits`, it comes from the settings at arrival and does not
-    /// change with later settings.
+    /// The class in the settings at the arrival of the request; later settings do not change the
+    /// class.
     pub(crate) class: Class,
+    /// The deployment's limits in the settings at the arrival of the request; later settings do not
+    /// change them.
     pub(crate) limits: Limits,
     /// The time at which the final response is due; [`Timestamp::NEVER`] once the response has
     /// begun to stream.
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -66,7 +66,7 @@
     pub message: Message,
 }
 
-/// One message of a batch.
+/// A message of a batch to one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     /// A new instance starts.
