--- a/src/net/admin/backend.rs
+++ b/src/net/admin/backend.rs
@@ -12,14 +12,14 @@
     ///
     /// # Errors
     ///
-    /// [`NotReady`] with the reason while the process is not ready.
+    /// Returns [`NotReady`] with the reason while the process is not ready.
     fn readiness(&self) -> Result<(), NotReady>;
 
     /// Returns the fleet as this process sees it, as JSON.
     ///
     /// # Errors
     ///
-    /// [`FleetReportError`] if this process is not an active member of a fleet.
+    /// Returns [`FleetReportError`] if this process is not an active member of a fleet.
     fn fleet_report(&self) -> Result<String, FleetReportError>;
 
     /// Returns this process's part in the fleet's common policy, if there is one.
@@ -29,32 +29,32 @@
     ///
     /// # Errors
     ///
-    /// [`MaintenanceError`] if the node cannot enter maintenance.
+    /// Returns [`MaintenanceError`] if the node cannot enter maintenance.
     fn enter_maintenance(&self, id: &str) -> Result<(), MaintenanceError>;
 
     /// Ends the maintenance of a cache node: requests may be sent to it again.
     ///
     /// # Errors
     ///
-    /// [`MaintenanceError`] if discovery has never listed such a node.
+    /// Returns [`MaintenanceError`] if discovery has never listed such a node.
     fn leave_maintenance(&self, id: &str) -> Result<(), MaintenanceError>;
 
     /// Puts this process in service, or out of it.
     ///
     /// # Errors
     ///
-    /// [`NotServing`] while the process starts or stops.
+    /// Returns [`NotServing`] while the process starts or stops.
     fn set_service(&self, service: ServiceState) -> Result<(), NotServing>;
 
     /// Relays a command to the other process of this proxy, if there is one.
     ///
     /// # Errors
     ///
-    /// [`RelayError`] if the other process has rejected or not confirmed the command.
+    /// Returns [`RelayError`] if the other process has rejected or not confirmed the command.
     fn relay(&self, command: ControlCommand) -> Result<(), RelayError>;
 }
 
-/// Why a process is not ready. Operators read the text.
+/// The reason why a process is not ready. Operators read the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NotReady {
     /// The process is starting or stopping.
@@ -74,7 +74,7 @@
 #[error("this process stops")]
 pub struct NotServing;
 
-/// Why there is no fleet report. Operators read the text.
+/// The reason why there is no fleet report. Operators read the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FleetReportError {
     /// The configuration has no fleet.
--- a/src/net/admin/connection.rs
+++ b/src/net/admin/connection.rs
@@ -44,7 +44,8 @@
     ///
     /// # Errors
     ///
-    /// If the operator closes the connection, or does not read the response in time.
+    /// Returns an error if the operator closes the connection, or does not read the response in
+    /// time.
     pub(super) fn serve(
         &self,
         stream: &DeadlineStream<Stream>,
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// Returns an error if the address cannot be listened on.
     pub fn open(address: SocketAddr) -> io::Result<Arc<AdminServer>> {
         let listener = Listener::new(super::listener::open(address)?)?;
         Ok(Arc::new(AdminServer { listener, connections: Mutex::default() }))
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// The error of the system call.
+    /// Returns the error of the system call.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.address()
     }
@@ -93,10 +93,9 @@
         }
     }
 
-    /// Returns whether one more connection may be open. If not, closes the oldest connection whose
+    /// Decides whether one more connection may be open. If not, closes the oldest connection whose
     /// request is incomplete.
     ///
-    /// Decides: whether a new connection must wait, and which one is closed for it.
     /// Inputs: the number of open connections, and which of them have no complete request.
     /// Reason: idle connections must not block the endpoint, and the oldest has had the most time.
     fn make_room(&self) -> bool {
--- a/src/net/admin/request.rs
+++ b/src/net/admin/request.rs
@@ -43,7 +43,7 @@
     Command(ControlCommand),
 }
 
-/// Why the received bytes are not a valid request. Operators read the text.
+/// The reason why the received bytes are not a valid request. Operators read the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum RequestError {
     /// The request was not complete in time.
@@ -101,7 +101,7 @@
 ///
 /// # Errors
 ///
-/// [`RequestError`] if the bytes are not a valid request.
+/// Returns [`RequestError`] if the bytes are not a valid request.
 pub(super) fn parse(bytes: &[u8]) -> Result<Option<AdminRequest>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut http = httparse::Request::new(&mut headers);
@@ -187,7 +187,7 @@
     percent_decode_str(id).decode_utf8().map(std::borrow::Cow::into_owned).map_err(|_| bad_id())
 }
 
-/// Whether a text that follows a `%` begins with two hexadecimal digits.
+/// Returns whether a text that follows a `%` begins with two hexadecimal digits.
 fn begins_with_escape_digits(text: &str) -> bool {
     text.len() >= ESCAPE_DIGITS && text.bytes().take(ESCAPE_DIGITS).all(|byte| byte.is_ascii_hexdigit())
 }
