--- a/src/net/backend/attempt.rs
+++ b/src/net/backend/attempt.rs
@@ -66,10 +66,9 @@
         }
     }
 
-    /// Returns the outcome of an attempt whose last byte was not written; `None` if the attempt
-    /// continues on another connection.
+    /// Decides the outcome of an attempt whose last byte was not written: not sent, timed out, or
+    /// not connected. Returns `None` if the attempt continues on another connection.
     ///
-    /// Decides: whether the attempt continues, was not sent, timed out, or could not connect.
     /// Inputs: the error, the source of the connection, the deadline on the monotonic clock, and
     /// whether a write is still permitted.
     /// Reason: an idle connection may break although the backend works, so it is no evidence of a
@@ -93,7 +92,7 @@
     ///
     /// # Errors
     ///
-    /// The outcome of the attempt if there is no connection in time.
+    /// Returns the outcome of the attempt if there is no connection in time.
     fn connect(&self, attempt: &AttemptRequest) -> Result<Connection, Outcome> {
         let remaining = attempt.deadline.min(attempt.send_by).saturating_duration_since(Instant::now());
         if remaining.is_zero() {
@@ -249,9 +248,9 @@
     }
 }
 
-/// Returns the outcome of an attempt whose last byte was not written.
+/// Decides whether an attempt whose last byte was not written counts as a timeout or as a failed
+/// connection.
 ///
-/// Decides: whether a failed write is a timeout or a failed connection.
 /// Inputs: the kind of the error.
 /// Reason: a backend that accepts connections but reads nothing is up. If the attempt were reported
 /// as a failed connection, the backend would be ejected at once, and the next attempt would not
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -29,7 +29,7 @@
     _descriptor: BackendDescriptor,
 }
 
-/// Why no connection was opened.
+/// The reason why no connection was opened.
 #[derive(Debug, Error)]
 pub(super) enum ConnectError {
     /// All descriptors are in use, and no connection is idle.
@@ -51,8 +51,9 @@
     connection: Connection,
 }
 
-/// How long a connection stays idle before its next attempt. If a backend sends more bytes than its
-/// response, they arrive within this time and the connection is closed.
+/// The delay between a response on a connection and the next attempt on the same connection. If a
+/// backend sends more bytes than its response, they arrive within the delay, and the connection is
+/// closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReuseDelay {
     /// The last response carried the id of its request, so a duplicate of it cannot be taken for
@@ -116,10 +117,10 @@
         *self.max_idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a usable idle connection to a backend from the pool.
+    /// Takes an idle connection to a backend from the pool: of the usable connections that have
+    /// completed their delay, the one used last, so that surplus connections get old and are
+    /// closed.
     ///
-    /// Decides: which idle connection is reused. Of those that have completed their delay it is the
-    /// one used last, so that surplus connections get old and are closed.
     /// Inputs: the delay of each connection, how long it has been idle, whether it has unread
     /// bytes, and the backend's present address.
     /// Reason: a stale connection loses a request, and one with extra bytes could return the wrong
@@ -145,7 +146,8 @@
     ///
     /// # Errors
     ///
-    /// If no descriptor can be freed, or the connection is not established in time.
+    /// Returns an error if no descriptor can be freed, or the connection is not established in
+    /// time.
     pub(super) fn open(&self, address: &Arc<str>, timeout: Duration) -> Result<Connection, ConnectError> {
         let socket_address: SocketAddr =
             address.parse().map_err(|_| ConnectError::Failed(io::ErrorKind::InvalidInput.into()))?;
--- a/src/net/backend/response.rs
+++ b/src/net/backend/response.rs
@@ -21,7 +21,7 @@
 
 /// The outcome of an attempt and its payload.
 pub(super) struct AttemptResult {
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
     /// The payload, if the backend served the request.
     pub payload: Option<Payload>,
@@ -72,9 +72,8 @@
 }
 
 impl ConnectionReuse {
-    /// Returns whether a connection may be reused after a response.
+    /// Decides whether a connection may be reused after a response, and with which delay.
     ///
-    /// Decides: whether a connection is reused after a response, and with which delay.
     /// Inputs: whether the response carries the id of its request, and whether the connection stays
     /// open.
     /// Reason: a duplicate of a response must not be taken for the response to the next request.
@@ -230,9 +229,9 @@
     }
 }
 
-/// Returns the result of a complete response; `None` if the response is malformed.
+/// Decides the result of an attempt at the origin from the complete response. Returns `None` if the
+/// response is malformed.
 ///
-/// Decides: the outcome of an attempt at the origin.
 /// Inputs: the HTTP status, the body, and whether the request was a write.
 /// Reason: only a marked rejection guarantees that the request never ran.
 /// Source: RFC 9110, section 15.
