--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -51,9 +51,8 @@
         }
     }
 
-    /// Updates the limit of client connections; returns whether one more can be accepted.
+    /// Updates the limit of client connections, and decides whether one more can be accepted.
     ///
-    /// Decides: whether one more client connection can be accepted.
     /// Inputs: the open client connections, and the descriptor budget.
     /// Reason: clients and backends share the descriptors of the process.
     /// Source: docs/connection-limits.md.
--- a/src/net/client/connection/close.rs
+++ b/src/net/client/connection/close.rs
@@ -44,9 +44,9 @@
         Progress::Continues
     }
 
-    /// Applies a close order.
+    /// Applies a close order: decides whether the connection closes at once, closes after an error
+    /// response, or stays open.
     ///
-    /// Decides: whether a connection closes at once, closes after an error response, or stays open.
     /// Inputs: the reason of the order, the connection's phase and state, and its unread input.
     /// Reason: a reset would lose a command that arrives during the close, so unread input is read
     /// first.
@@ -89,11 +89,10 @@
         });
     }
 
-    /// Returns whether the connection is due to close because clients are directed to other
-    /// proxies.
+    /// Decides whether the connection is due to close because clients are directed to other
+    /// proxies. An idle connection is due after a response since the schedule began, or at its time
+    /// in the schedule; a partial command keeps the connection open for a while.
     ///
-    /// Decides: whether the connection closes now if it is idle: after a response since the
-    /// schedule began, or at its time in the schedule. A partial command keeps it open for a while.
     /// Inputs: the schedule, the time since it began, the arrival of the connection and its last
     /// response, in ms of the connection table's clock, and its unexecuted input.
     /// Reason: a reset would lose the rest of a command that arrives during a close.
--- a/src/net/client/connection/commands.rs
+++ b/src/net/client/connection/commands.rs
@@ -20,7 +20,8 @@
 pub(super) enum Execution {
     /// The command was executed, and its response is pending.
     Done,
-    /// There is no memory for the command now, so it must be executed again later.
+    /// The memory budget has no room for the command now, so the command must be executed again
+    /// later.
     NoMemory,
 }
 
@@ -53,11 +54,11 @@
         self.respond(lines + "END\r\n");
     }
 
-    /// Parses and submits a request.
+    /// Parses a request, and decides whether the request waits for memory, is rejected for lack of
+    /// memory, or is submitted.
     ///
-    /// Decides: whether a request waits for memory, is rejected for lack of it, or is submitted.
-    /// Inputs: the size of its value in bytes, the free memory, whether other commands are pending,
-    /// and how long the request was unread, a duration.
+    /// Inputs: the size of the request's value in bytes, the free memory, whether other commands
+    /// are pending, and how long the request was unread, a duration.
     /// Reason: pending responses free memory, so only an idle connection is rejected.
     fn execute_request(&mut self, command: RequestCommand) -> Execution {
         let value_size = command.value.as_ref().map_or(0, Vec::len);
--- a/src/net/client/connection/input.rs
+++ b/src/net/client/connection/input.rs
@@ -132,10 +132,9 @@
         used
     }
 
-    /// Reserves memory for a large command before the rest of it is read.
+    /// Reserves memory for a large command before the rest of the command is read. Without memory
+    /// the command is rejected, and the connection ends.
     ///
-    /// Decides: whether a large command is read further. Without memory it is rejected, and the
-    /// connection ends.
     /// Inputs: the free memory, in bytes.
     /// Reason: the commands and responses of all clients share a bounded memory.
     fn reserve_input_memory(&mut self) {
--- a/src/net/client/connection/mod.rs
+++ b/src/net/client/connection/mod.rs
@@ -1,5 +1,5 @@
-//! One client connection: reads commands, submits requests and writes responses, in the order of
-//! the commands. Read [`Connection::serve`] first.
+//! Serves one client connection: reads commands, submits requests, and writes responses in the
+//! order of the commands. Read [`Connection::serve`] first.
 //!
 //! `input` reads and parses, `commands` executes, `submit` submits requests to the dispatcher,
 //! `output` writes, `close` ends the connection.
@@ -37,10 +37,10 @@
 /// The number of rounds of reading and writing before a connection yields, so that a client which
 /// sends continuously does not occupy the worker.
 const ROUNDS_PER_TURN: usize = 8;
-/// How long a connection sleeps to yield to others.
+/// The duration of the sleep by which a connection yields to others.
 const YIELD_TIME: Duration = Duration::from_millis(1);
-/// How long a connection pauses after malformed commands, which limits the rate at which a client
-/// can resend them.
+/// The pause of a connection after malformed commands, which limits the rate at which a client can
+/// resend them.
 const PAUSE_AFTER_ERRORS: Duration = Duration::from_millis(20);
 
 /// A response in the client's protocol.
@@ -59,7 +59,7 @@
     /// The request, if it was submitted.
     request: Option<RequestId>,
     response: ResponseSlot,
-    /// The memory that is reserved for its values.
+    /// The memory that is reserved for the values of the command and its response.
     memory: Option<MemoryReservation>,
 }
 
@@ -100,7 +100,7 @@
     seq: PhaseNumber,
 }
 
-/// One client connection and its open commands.
+/// A client connection and its open commands.
 ///
 /// Invariant: fields are dropped in this order, so that the socket is closed before its pending
 /// commands are dropped.
@@ -114,10 +114,11 @@
     reported: ReportedPhase,
     /// Input that is not executed yet.
     input: Vec<u8>,
-    /// How long the connection may have been in the accept queue; zero after its first input.
+    /// The longest time for which the connection may have been in the accept queue; zero after its
+    /// first input.
     queue_time: Duration,
-    /// How long the last input may have been unread, because the process was held up or the
-    /// connection was in the accept queue.
+    /// The longest time for which the last input may have been unread, because the process was held
+    /// up or the connection was in the accept queue.
     unread_time: Duration,
     /// The memory that is reserved for a large command in `input`.
     input_memory: Option<MemoryReservation>,
@@ -141,10 +142,10 @@
     output_memory: Vec<MemoryReservation>,
     /// Commands without a written response, in their order.
     pending: VecDeque<PendingCommand>,
-    /// When the last response was written, by the clock of the connection table; zero before the
-    /// first.
+    /// The time at which the last response was written, by the clock of the connection table; zero
+    /// before the first.
     last_response_at: Timestamp,
-    /// Why the connection ends, for the request log.
+    /// The reason why the connection ends, for the request log.
     close_reason: Option<CloseReason>,
 }
 
@@ -195,7 +196,8 @@
     ///
     /// # Errors
     ///
-    /// If the client has disconnected, or a streamed value ended before it was complete.
+    /// Returns an error if the client has disconnected, or a streamed value ended before it was
+    /// complete.
     pub(super) fn serve(&mut self) -> io::Result<()> {
         loop {
             if self.serve_without_waiting()? == Progress::Finished {
@@ -273,9 +275,8 @@
         self.pending.is_empty() && self.output.is_empty()
     }
 
-    /// Returns whether reading pauses until responses have been written.
+    /// Decides whether reading and executing commands pauses until responses have been written.
     ///
-    /// Decides: whether more commands may be read and executed.
     /// Inputs: the number of pending commands, the size of unwritten responses in bytes, and the
     /// schedule while clients are directed to other proxies.
     /// Reason: the memory of a connection is bounded, and a client that always has a command open
--- a/src/net/client/connection/output.rs
+++ b/src/net/client/connection/output.rs
@@ -7,7 +7,7 @@
 use std::io::{self, ErrorKind, Write};
 use std::sync::{Arc, PoisonError};
 
-/// How much of the output was written.
+/// The part of the output that was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Flush {
     /// The whole output was written.
--- a/src/net/client/connection/submit.rs
+++ b/src/net/client/connection/submit.rs
@@ -17,14 +17,14 @@
 /// The interval at which a request is submitted again while a policy change is being decided.
 const POLICY_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Why a request is not accepted.
+/// The reason why a request is not accepted.
 #[derive(Debug)]
 pub(super) enum Rejection {
     /// The request is malformed.
     Malformed(RequestError),
     /// This process is fenced, so it may not admit requests now.
     Fenced {
-        /// How long the client should wait before it sends the request again.
+        /// The time that the client should wait before it sends the request again.
         retry_after: Duration,
     },
     /// The client has disconnected.
@@ -32,9 +32,9 @@
 }
 
 impl Connection<'_> {
-    /// Parses a command by the names of the active policy.
+    /// Parses a command by the names of the active policy, and decides whether the command is
+    /// accepted, is rejected as malformed, or is rejected because this process is fenced.
     ///
-    /// Decides: whether a command is parsed, malformed or fenced.
     /// Inputs: the labels of the command, the version of the names, and the admission lease.
     /// Reason: the active policy defines which commands are malformed, so a response that rejects a
     /// malformed command needs an active policy too.
--- a/src/net/client/disconnecting.rs
+++ b/src/net/client/disconnecting.rs
@@ -9,7 +9,7 @@
 /// connection table's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Disconnecting {
-    /// When the schedule began.
+    /// The time at which the schedule began.
     pub started_at: Timestamp,
     /// The times at which connections are closed, counted from `started_at`.
     pub schedule: DisconnectSchedule,
@@ -21,10 +21,10 @@
         now.saturating_duration_since(self.started_at)
     }
 
-    /// Returns whether a connection is due to close.
+    /// Decides whether a connection is due to close, which it does once it is idle.
     ///
-    /// Decides: whether a connection closes now if it is idle.
-    /// Inputs: its id, its arrival and the present moment, by the connection table's clock (ms).
+    /// Inputs: the connection's id, its arrival and the present moment, by the connection table's
+    /// clock (ms).
     /// Reason: closes are spread over time, so that not all clients reconnect elsewhere at once.
     /// Source: docs/daily-operation.md.
     pub(super) fn is_due(&self, id: ConnectionId, arrived: Timestamp, now: Timestamp) -> bool {
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -83,7 +83,8 @@
     ///
     /// # Errors
     ///
-    /// If the socket cannot be registered with the coroutines' poller, or has no address.
+    /// Returns an error if the socket cannot be registered with the coroutines' poller, or has no
+    /// address.
     pub fn start(parameters: ClientServiceParameters) -> io::Result<Arc<ClientService>> {
         let ClientServiceParameters { dispatcher, counters, memory, descriptors, socket } = parameters;
         let listener = Arc::new(Listener::new(socket)?);
@@ -190,9 +191,9 @@
         self.with_registry(|registry| registry.open_connections())
     }
 
-    /// Counts and logs a hold-up of the whole process.
+    /// Decides whether a hold-up of the whole process is reported, that is, counted and logged as a
+    /// fault.
     ///
-    /// Decides: whether a hold-up is reported as a fault.
     /// Inputs: how late the periodic check runs.
     /// Reason: a hold-up explains late responses to the operators.
     /// Source: docs/on-call.md.
--- a/src/net/client/registry.rs
+++ b/src/net/client/registry.rs
@@ -21,7 +21,7 @@
 /// The handle by which other coroutines wake a connection or order it to close.
 pub(super) struct ConnectionHandle {
     waker: WaitIoWaker,
-    /// When the connection arrived.
+    /// The time at which the connection arrived.
     pub arrived: Timestamp,
     /// The last close order as [`encode_order`] encodes it; 0 for none.
     order: AtomicU64,
--- a/src/net/client/request.rs
+++ b/src/net/client/request.rs
@@ -22,7 +22,7 @@
 const REPEAT_VALUE: &str = "1";
 const US_PER_MS: f64 = 1000.0;
 
-/// Why a request is malformed. Clients receive the text.
+/// The reason why a request is malformed. Clients receive the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum RequestError {
     /// A label occurs twice, so its value is ambiguous.
@@ -43,21 +43,21 @@
     /// The hint is not a number of microseconds.
     #[error("bad hint")]
     BadHint,
-    /// Another open request has the same id, so their responses would be indistinguishable.
+    /// The id is that of another open request, so the two responses would be indistinguishable.
     #[error("the id is in use")]
     IdInUse,
 }
 
-/// Parses a client's command and its labels by the names of the active settings.
+/// Parses a client's command and its labels by the names of the active settings. Decides whether
+/// the command is a valid request, and the request's class, tenant, budget in ms and hint.
 ///
-/// Decides: whether a command is a valid request, and its class, tenant, budget in ms and hint.
 /// Inputs: the labels of the command (deadline in ms, hint in microseconds), and the names of the
 /// active settings.
 /// Reason: a malformed request is rejected before it uses any capacity.
 ///
 /// # Errors
 ///
-/// If the command is malformed; the error says why.
+/// Returns an error if the command is malformed; the error says why.
 pub(super) fn parse_request(
     dispatcher: &Dispatcher,
     client: Arc<dyn ClientPresence>,
