--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -1,11 +1,11 @@
-//! Why a watch ends: [`WatchError`].
+//! [`WatchError`]: the reason why a watch ended or could not begin.
 
 use super::lists::ListError;
 use pinetrail_codec::http::HttpError;
 use std::io;
 use thiserror::Error;
 
-/// Why a watch ended, or could not begin. The text is logged.
+/// The reason why a watch ended or could not begin. The text is logged.
 #[derive(Debug, Error)]
 pub(super) enum WatchError {
     /// Discovery did not accept the connection in time.
--- a/src/net/discovery/lists.rs
+++ b/src/net/discovery/lists.rs
@@ -8,7 +8,7 @@
 /// The size limit of the buffer, in lists of the maximum length.
 const MAX_BUFFERED_LISTS: usize = 2;
 
-/// Why the received bytes are not an endpoint list. The watch cannot continue after such an error.
+/// An error in the received endpoint lists, after which the watch cannot continue.
 #[derive(Debug, Error)]
 pub(super) enum ListError {
     /// The list exceeds the maximum length.
@@ -46,7 +46,8 @@
     ///
     /// # Errors
     ///
-    /// [`ListError::TooLong`] if the buffer exceeds its limit because of an incomplete list.
+    /// Returns [`ListError::TooLong`] if the buffer exceeds its limit because of an incomplete
+    /// list.
     pub(super) fn push(&mut self, bytes: &[u8]) -> Result<(), ListError> {
         let bytes = if self.buffer.is_empty() { bytes.trim_ascii_start() } else { bytes };
         self.buffer.extend_from_slice(bytes);
@@ -62,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// [`ListError`] if the received bytes are not a list.
+    /// Returns [`ListError`] if the received bytes are not a list.
     pub(super) fn next_list(&mut self) -> Result<Option<Catalog>, ListError> {
         // serde would also accept a JSON array for a struct.
         if self.buffer.first().is_some_and(|first| *first != b'{') {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -36,7 +36,7 @@
     pub counters: Arc<Counters>,
     /// The address of discovery.
     pub address: SocketAddr,
-    /// How lists reach the proxy.
+    /// The way in which endpoint lists reach the proxy.
     pub delivery: ListDelivery,
     /// The endpoint list that is used before the first watch.
     pub cached: Catalog,
@@ -56,7 +56,7 @@
     /// The generation of the last list.
     generation: u64,
     backoff: WatchBackoff,
-    /// When bytes were last received on a watch.
+    /// The time at which bytes were last received on a watch.
     last_received: Option<Instant>,
 }
 
@@ -145,11 +145,11 @@
 struct FailedWatch {
     /// The address at which discovery was called.
     target: TargetAddress,
-    /// How long to wait before the next watch.
+    /// The delay before the next watch.
     delay: Duration,
 }
 
-/// How the wait before the next watch ended.
+/// The outcome of the wait before the next watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WaitOutcome {
     /// The delay is over.
--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -91,9 +91,9 @@
 }
 
 impl CallTimeouts {
-    /// Returns the timeouts of a call if nothing was received for this long.
+    /// Decides how long discovery may take to begin a watch: returns the timeouts of a call if
+    /// nothing was received for `silent_for`.
     ///
-    /// Decides: how long discovery may take to begin a watch.
     /// Inputs: the time since bytes were last received.
     /// Reason: until changes count as notified a second call must be possible; after that, a longer
     /// wait in discovery's queue is better than a new place at its end.
@@ -103,7 +103,7 @@
     }
 }
 
-/// How endpoint lists reach the proxy.
+/// The way in which endpoint lists reach the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListDelivery {
     /// Discovery responds to the watches that the decision module subscribes to.
@@ -132,9 +132,8 @@
         self.failed_before = false;
     }
 
-    /// Returns the delay before the next call.
+    /// Decides the delay from the end of a call, or of its watch, to the next call.
     ///
-    /// Decides: how long a proxy waits from the end of a call, or of its watch, to the next call.
     /// Inputs: the error, the duration of the call with its watch, and whether the call before
     /// failed soon.
     /// Reason: the proxy must be notified in time, and hundreds of proxies must not call a failing
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -83,10 +83,9 @@
         Ok(WatchStream { stream, buffer })
     }
 
-    /// Applies a list, unless it is older than the present one.
-    ///
-    /// Decides: whether a list is applied, or rejected as older than the present one; then the next
+    /// Applies a list, or rejects it as older than the present one. After a rejection, the next
     /// watch requests the whole list.
+    ///
     /// Inputs: the generations of both lists, and whether the new one is complete.
     /// Reason: older changes would undo newer ones, and if a restarted discovery counts from zero,
     /// all its changes would be ignored.
