--- a/src/net/dispatcher/attempts.rs
+++ b/src/net/dispatcher/attempts.rs
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// The end of the attempt, if the attempt must not be sent.
+    /// Returns the end of the attempt, if the attempt must not be sent.
     pub(super) fn start_attempt(
         &self,
         state: &mut DispatcherState,
@@ -80,11 +80,10 @@
         Ok(request)
     }
 
-    /// Returns whether an attempt may be written.
-    ///
-    /// Decides: whether the next bytes of an attempt may be sent. They may if `send_by` is not
-    /// reached, the request is open, the backend takes attempts and is the process that was
+    /// Decides whether the next bytes of an attempt may be written, which requires that `send_by`
+    /// is not reached, the request is open, the backend takes attempts and is the process that was
     /// selected, and the client is connected.
+    ///
     /// Inputs: the attempt with its `send_by` on the monotonic clock, the state of its request and
     /// backend, and the state of the client's socket.
     /// Reason: a connection may be established long after the decision. The attempt could then run
@@ -177,10 +176,10 @@
     }
 }
 
-/// Returns whether an attempt that the decision module requests may start.
+/// Decides whether an attempt that the decision module requests is handed to the backend service,
+/// which requires that the request has a pending response and no other attempt in flight, and the
+/// backend is ready.
 ///
-/// Decides: whether an attempt is handed to the backend service. It is if the request has a pending
-/// response and no other attempt in flight, and the backend is ready.
 /// Inputs: the request with its attempts in flight, and the endpoint.
 /// Reason: the decision module should never request a second attempt while one is in flight. If it
 /// did, two backends could run the same request.
--- a/src/net/dispatcher/endpoints.rs
+++ b/src/net/dispatcher/endpoints.rs
@@ -47,8 +47,8 @@
     ///
     /// # Errors
     ///
-    /// If discovery never listed the node, if the node is the origin, or if too many nodes are in
-    /// maintenance.
+    /// Returns an error if discovery never listed the node, if the node is the origin, or if too
+    /// many nodes are in maintenance.
     pub fn enter_maintenance(self: &Arc<Self>, name: &str) -> Result<(), MaintenanceError> {
         let mut state = self.lock();
         if state.is_listed_as_origin(name) {
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     ///
-    /// If discovery never listed the node.
+    /// Returns an error if discovery never listed the node.
     pub fn leave_maintenance(self: &Arc<Self>, name: &str) -> Result<(), MaintenanceError> {
         let mut state = self.lock();
         let listed = state.maintenance.leave(name, self.clock.now())?;
--- a/src/net/dispatcher/maintenance.rs
+++ b/src/net/dispatcher/maintenance.rs
@@ -15,7 +15,7 @@
 /// The maximum number of nodes in maintenance at once.
 const MAX_IN_MAINTENANCE: usize = 4096;
 
-/// Why a node cannot enter or leave maintenance.
+/// The reason why a node cannot enter or leave maintenance.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MaintenanceError {
     /// Discovery has never listed the node.
@@ -126,10 +126,10 @@
         self.listed.get(name)
     }
 
-    /// Puts a node in maintenance, and returns the entry that the decision module receives; `None`
-    /// if the node is not listed. A second call for the same node changes nothing.
+    /// Decides whether a node may enter maintenance, and puts the node in maintenance if so.
+    /// Returns the entry that the decision module receives; `None` if the node is not listed. A
+    /// second call for the same node changes nothing.
     ///
-    /// Decides: whether a node may enter maintenance.
     /// Inputs: the node's name, the names that were ever listed, and the number of nodes in
     /// maintenance.
     /// Reason: a wrong name must be reported to the operator, and the stored state is bounded.
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     ///
-    /// If the node was never listed, or too many nodes are in maintenance.
+    /// Returns an error if the node was never listed, or too many nodes are in maintenance.
     pub(super) fn enter(&mut self, name: &str, now: Timestamp) -> Result<Option<Instance>, MaintenanceError> {
         self.require_listed_once(name)?;
         if !self.in_maintenance.contains_key(name) && self.in_maintenance.len() >= MAX_IN_MAINTENANCE {
@@ -152,7 +152,7 @@
     ///
     /// # Errors
     ///
-    /// If the node was never listed.
+    /// Returns an error if the node was never listed.
     pub(super) fn leave(&mut self, name: &str, now: Timestamp) -> Result<Option<Instance>, MaintenanceError> {
         self.require_listed_once(name)?;
         if let Some(began) = self.in_maintenance.remove(name) {
@@ -176,11 +176,10 @@
         self.listed.get(name).map(|node| self.effective(node.clone()))
     }
 
-    /// Derives the entry of a node that the decision module receives.
+    /// Decides the entry of a listed node that the decision module receives. A ready node in
+    /// maintenance becomes draining. A node that has left maintenance counts as started at the end
+    /// of the maintenance, if its listed start precedes the beginning.
     ///
-    /// Decides: the state and the start time of a listed node. A ready node in maintenance becomes
-    /// draining. A node that has left maintenance counts as started at the end of the maintenance,
-    /// if its listed start precedes the beginning.
     /// Inputs: the listed entry, whether the node is in maintenance, and its last maintenance
     /// period in Unix ms.
     /// Reason: discovery lags by seconds, so a node that restarted during maintenance is back
--- a/src/net/dispatcher/messages.rs
+++ b/src/net/dispatcher/messages.rs
@@ -31,7 +31,7 @@
     /// The version of the names ([`Names::version`](pinetrail_config::Names)) that were active when
     /// the request was parsed.
     pub version: u64,
-    /// How long the client still waits for the response.
+    /// The time for which the client still waits for the response.
     pub budget: TimeSpan,
     /// The expected work of the request, if the client sent a hint.
     pub hint: Option<TimeSpan>,
@@ -43,7 +43,7 @@
     pub value: Option<Vec<u8>>,
 }
 
-/// What a backend returned for a request.
+/// The content of a backend's response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
     /// The value of a read.
@@ -66,8 +66,8 @@
     },
     /// The request was rejected. The client may safely send it again.
     Rejected {
-        /// How long the client should wait before it sends the request again, in whole ms; `None`
-        /// for no advice.
+        /// The time that the client should wait before it sends the request again, in whole ms;
+        /// `None` for no advice.
         retry_after: Option<Duration>,
     },
     /// The request failed. Whether a backend executed it is unknown.
@@ -89,9 +89,10 @@
     pub request: Arc<ClientRequest>,
     /// The start time of the backend process that was selected, in Unix ms.
     pub backend_started: Timestamp,
-    /// When the attempt times out.
+    /// The time at which the attempt times out.
     pub deadline: Instant,
-    /// By when the attempt's last byte must be written. After that the attempt is not sent.
+    /// The time by which the attempt's last byte must be written. After that the attempt is not
+    /// sent.
     pub send_by: Instant,
 }
 
@@ -111,9 +112,10 @@
 /// response and wakes the coroutine that writes it, but never waits and never calls the dispatcher.
 pub type ResponseCallback = Box<dyn FnOnce(Response) + Send>;
 
-/// Why a request is not accepted. A request that the caller may submit again is returned.
+/// The reason why a request is not accepted. A request that the caller may submit again is
+/// returned.
 pub enum SubmitError {
-    /// Another open request has the same id.
+    /// The id of the request is that of another open request.
     IdInUse,
     /// Other settings have become active since the request was parsed, so the caller must parse it
     /// again.
@@ -133,7 +135,7 @@
     },
     /// This process holds no admission lease and may not admit requests.
     Fenced {
-        /// How long the client should wait before it sends the request again.
+        /// The time that the client should wait before it sends the request again.
         retry_after: Duration,
     },
 }
--- a/src/net/dispatcher/settings.rs
+++ b/src/net/dispatcher/settings.rs
@@ -53,10 +53,9 @@
         }
     }
 
-    /// Returns the admission of requests under a policy version.
+    /// Decides whether a request under a policy version is admitted, waits for a policy change, or
+    /// is rejected with a retry-after. Without a fleet policy every request is admitted.
     ///
-    /// Decides: whether a request is admitted, waits for a policy change, or is rejected with a
-    /// retry-after. Without a fleet policy every request is admitted.
     /// Inputs: the policy version of the active settings, the admission lease, and the current time
     /// on the monotonic clock.
     /// Reason: no process may serve under an old policy after the fleet has agreed on a new one.
--- a/src/net/dispatcher/side_effect.rs
+++ b/src/net/dispatcher/side_effect.rs
@@ -17,7 +17,7 @@
     Command(BackendCommand),
     /// Hand a timer event to the decision module at `due`.
     StartTimer {
-        /// When the timer fires.
+        /// The time at which the timer fires.
         due: Instant,
         /// The decision module's token for the timer.
         token: u64,
--- a/src/net/dispatcher/snapshot.rs
+++ b/src/net/dispatcher/snapshot.rs
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(Timestamp, Timestamp)", into = "(Timestamp, Timestamp)")]
 pub(super) struct MaintenancePeriod {
-    /// When the maintenance began, in Unix ms.
+    /// The beginning of the maintenance, in Unix ms.
     pub began: Timestamp,
-    /// When the maintenance ended, in Unix ms.
+    /// The end of the maintenance, in Unix ms.
     pub ended: Timestamp,
 }
 
@@ -55,7 +55,7 @@
 pub struct PeerAddress {
     /// The name of the process's proxy.
     pub name: String,
-    /// When the process started, in Unix microseconds.
+    /// The start time of the process, in Unix microseconds.
     pub start: u64,
     /// The address at which the process accepts connections of peers.
     #[serde(rename = "place")]
--- a/src/net/dispatcher/start_times.rs
+++ b/src/net/dispatcher/start_times.rs
@@ -36,8 +36,8 @@
 #[derive(Debug, Default)]
 pub(super) struct StartTimes {
     by_backend: BTreeMap<BackendId, StartTime>,
-    /// When the last list of discovery arrived, on this process's clock; `None` before the first
-    /// list.
+    /// The time at which the last list of discovery arrived, on this process's clock; `None` before
+    /// the first list.
     last_list_at: Option<Timestamp>,
 }
 
@@ -58,9 +58,9 @@
         translated
     }
 
-    /// Estimates a start time that was not listed before.
+    /// Estimates the start time of a backend process on this process's clock, from a listed start
+    /// time that was not listed before.
     ///
-    /// Decides: when a backend process started, on this process's clock.
     /// Inputs: the listed start, both clocks, and the arrival of the last list, all in Unix ms.
     /// Reason: a cold backend must not count as warm because a wall clock was set.
     /// Source: docs/incidents/2026-12-02-late-final-answers.md.
--- a/src/net/dispatcher/state.rs
+++ b/src/net/dispatcher/state.rs
@@ -50,14 +50,14 @@
     /// The pending response; `None` once the response is sent. Only
     /// [`DispatcherState::take_pending`] takes it.
     pub pending: Option<PendingResponse>,
-    /// When the response is due.
+    /// The time at which the response is due.
     pub due: Instant,
     /// The number of attempts that the decision module has requested, including those that were not
     /// sent.
     pub attempts_requested: u8,
     /// The attempts in flight, by attempt number.
     pub attempts: BTreeMap<u8, InFlightAttempt>,
-    /// When the response began to stream, in Unix ms.
+    /// The time at which the response began to stream, in Unix ms.
     pub stream_began: Option<Timestamp>,
 }
 
@@ -66,7 +66,7 @@
 pub(super) struct InFlightAttempt {
     /// The backend to which the attempt is sent.
     pub backend: BackendId,
-    /// When the attempt was handed to the backend service, in Unix ms.
+    /// The time at which the attempt was handed to the backend service, in Unix ms.
     pub sent: Timestamp,
 }
 
@@ -94,7 +94,7 @@
     pub address: Arc<str>,
     /// The state of the backend in the list.
     pub state: EndpointState,
-    /// When the backend's process started, in Unix ms on this proxy process's clock.
+    /// The start time of the backend's process, in Unix ms on this proxy process's clock.
     pub started: Timestamp,
     /// Whether the backend is the origin.
     pub is_origin: bool,
--- a/src/net/dispatcher/submit.rs
+++ b/src/net/dispatcher/submit.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Why a request fails without the decision module.
+/// The reason why a request fails without the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AbortReason {
     /// The process is stopping.
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// If the request is not accepted. `respond` is not called then.
+    /// Returns an error if the request is not accepted. `respond` is not called then.
     pub fn submit(
         self: &Arc<Self>,
         request: ClientRequest,
@@ -163,10 +163,9 @@
     }
 }
 
-/// Returns whether the guard expires a request.
+/// Decides whether the guard expires a request that is still open, which it does from
+/// [`GUARD_DELAY`] after the response was due.
 ///
-/// Decides: whether a request that is still open fails now, which it does from [`GUARD_DELAY`]
-/// after its response was due.
 /// Inputs: the time at which the response was due, on the monotonic clock.
 /// Reason: the decision module sets a timer for each deadline. If a timer is lost, the client must
 /// not wait for ever.
