--- a/src/net/fleet/activation.rs
+++ b/src/net/fleet/activation.rs
@@ -26,8 +26,8 @@
     ///
     /// # Errors
     ///
-    /// [`FleetError`] if the socket cannot be opened or the settings do not fit its address; the
-    /// process then stays inactive.
+    /// Returns [`FleetError`] if the socket cannot be opened or the settings do not fit its
+    /// address; the process then stays inactive.
     pub fn activate(self: &Arc<Self>) -> Result<(), FleetError> {
         *self.activity() = Activity::Opening;
         let opened = self.open();
--- a/src/net/fleet/active_member.rs
+++ b/src/net/fleet/active_member.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ActivationId(pub u64);
 
-/// Another live member, as the peer directory needs it.
+/// A live member other than this process, with the data that the peer directory needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LivePeer {
     /// The name of the member.
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// [`FleetError::Peers`] if the list is invalid; the previous peers are then kept.
+    /// Returns [`FleetError::Peers`] if the list is invalid; the previous peers are then kept.
     pub fn set_peers(&self, peers: Vec<SocketAddr>) -> Result<(), FleetError> {
         let now = self.now();
         let mut config = self.config();
@@ -112,7 +112,7 @@
         Ok(())
     }
 
-    /// Whether this process is the quota leader now; at most one process of a fleet is.
+    /// Returns whether this process is the quota leader now; at most one process of a fleet is.
     pub fn is_quota_leader(&self) -> bool {
         let now = self.now();
         match &*self.activity() {
--- a/src/net/fleet/operator_view/mod.rs
+++ b/src/net/fleet/operator_view/mod.rs
@@ -1,5 +1,5 @@
-//! What operators see of a fleet. Only this module maps the terms of the code to the names that
-//! operators and their tools read.
+//! The view that operators have of a fleet. Only this module maps the terms of the code to the
+//! names that operators and their tools read.
 //!
 //! | module | maps to |
 //! | --- | --- |
--- a/src/net/fleet/operator_view/report.rs
+++ b/src/net/fleet/operator_view/report.rs
@@ -45,7 +45,7 @@
     pub is_leader: bool,
 }
 
-/// Another process with the name of this one.
+/// A process other than this one that has the same name.
 #[derive(Serialize)]
 struct OtherProcess {
     address: SocketAddr,
--- a/src/net/fleet/process_quota.rs
+++ b/src/net/fleet/process_quota.rs
@@ -72,10 +72,9 @@
         });
     }
 
-    /// Returns the other process's part of the guaranteed minimum, as a fraction of the fleet's
-    /// limits.
+    /// Decides how two processes of one proxy divide the guaranteed minimum. Returns the other
+    /// process's part, as a fraction of the fleet's limits.
     ///
-    /// Decides: how two processes of one proxy divide the guaranteed minimum.
     /// Inputs: the guaranteed minimum, as a fraction of the fleet's limits; whether both serve.
     /// Reason: the fleet counts one process for each proxy, so both together may use only one
     /// minimum.
--- a/src/net/fleet/quota.rs
+++ b/src/net/fleet/quota.rs
@@ -52,7 +52,7 @@
     ///
     /// # Panics
     ///
-    /// If the settings are invalid; the configuration rejects such settings before.
+    /// Panics if the settings are invalid; the configuration rejects such settings before.
     pub(super) fn new(config: QuotaConfig, membership: &Membership, now: Timestamp) -> QuotaDriver {
         let local = local_process(membership);
         let leases = QuotaLeases::new(config.settings.clone(), local, now)
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Whether this process is the quota leader now.
+    /// Returns whether this process is the quota leader now.
     pub(super) fn is_leader(&self, now: Timestamp) -> bool {
         self.leases.is_leader(now)
     }
