--- a/src/net/hot_restart/connection.rs
+++ b/src/net/hot_restart/connection.rs
@@ -45,9 +45,9 @@
         self.end_connection(host);
     }
 
-    /// Whether the newer process has been starting for too long.
+    /// Decides whether the newer process has been starting for too long, so that the handover is
+    /// rejected after it was sent.
     ///
-    /// Decides: whether a handover is rejected after it was sent.
     /// Inputs: whether the newer process accepts clients, and the time since it connected.
     /// Reason: a newer process that hangs would keep the budget, and no other could take over.
     fn is_start_overdue(&self, connected: Instant) -> bool {
--- a/src/net/hot_restart/error.rs
+++ b/src/net/hot_restart/error.rs
@@ -6,7 +6,7 @@
 use std::io::{self, ErrorKind};
 use thiserror::Error;
 
-/// Why this process cannot take over from the running one.
+/// An error that prevents this process from taking over from the running one.
 #[derive(Debug, Error)]
 pub enum HandoverError {
     /// The running process did not answer in time.
@@ -47,7 +47,8 @@
     }
 }
 
-/// Why a process does not apply a command of the operators. The other process reads the text.
+/// The reason why a process does not apply a command of the operators. The other process reads the
+/// text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
     /// The process is starting, and has no services yet.
@@ -58,7 +59,8 @@
     Maintenance(#[from] MaintenanceError),
 }
 
-/// Why a command of the operators may not be applied by both processes.
+/// The reason why the other process has not applied, or may not have applied, a relayed command of
+/// the operators.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RelayError {
     /// The other process rejected the command, for this reason.
--- a/src/net/hot_restart/messages.rs
+++ b/src/net/hot_restart/messages.rs
@@ -101,7 +101,7 @@
     }
 }
 
-/// Why the received bytes are not a message.
+/// An error in the received bytes of a message.
 #[derive(Debug, Error)]
 pub enum MessageError {
     /// The message exceeds the maximum length.
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// [`MessageError`] if the bytes are not a message. The connection must be closed then.
+    /// Returns [`MessageError`] if the bytes are not a message. The connection must be closed then.
     pub(super) fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
         let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') else {
             if self.buffer.len() > MAX_MESSAGE_BYTES {
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -41,7 +41,7 @@
 /// The state of the other process of this proxy. Operators read the variants' names in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerProcessState {
-    /// There is no other process.
+    /// No other process of this proxy runs.
     None,
     /// The other process is starting, and does not accept clients yet.
     Starting,
@@ -70,7 +70,7 @@
     Part(ResourceBudget),
 }
 
-/// Which process accepts new connections while this one drains.
+/// The process that accepts new connections while this one drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptor {
     /// This process, which is alone.
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// [`CommandError`] if the command cannot be applied here.
+    /// Returns [`CommandError`] if the command cannot be applied here.
     fn apply_command(&self, command: &ControlCommand) -> Result<(), CommandError>;
     /// Handles a change of the other process's state.
     fn peer_changed(&self, peer: PeerProcessState);
@@ -134,7 +134,7 @@
     }
 }
 
-/// One process's side of a hot restart.
+/// This process's side of a hot restart.
 pub struct HotRestart {
     /// The files of this process's socket. Set once, when this process starts to listen for newer
     /// ones.
@@ -149,10 +149,9 @@
         Arc::new(HotRestart { socket: OnceLock::new(), state: Mutex::default() })
     }
 
-    /// Records that this process has been asked to stop, and notifies the other process. Returns
-    /// which process accepts clients from now on.
+    /// Records that this process has been asked to stop, notifies the other process, and decides
+    /// which process accepts clients while this one drains.
     ///
-    /// Decides: which process accepts clients while this one drains.
     /// Inputs: the state of the peer process, and whether it could be notified.
     /// Reason: clients connect until shortly before the platform kills this process, and need a
     /// process that accepts them.
--- a/src/net/hot_restart/newer.rs
+++ b/src/net/hot_restart/newer.rs
@@ -1,5 +1,5 @@
-//! The newer process's side: it requests the handover before it starts any service, and joins the
-//! older process once it accepts clients.
+//! The newer process's side of a hot restart: requests the handover before any service starts, and
+//! joins the older process once the newer one accepts clients.
 
 use super::messages::{Message, MessageReader, ResourceBudget, PROTOCOL_VERSION};
 use super::socket::{self, FirstByte, HandoverSocket};
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// [`HandoverError`] if a process runs but does not hand over.
+/// Returns [`HandoverError`] if a process runs but does not hand over.
 pub fn request_handover(client_address: SocketAddr) -> Result<Option<Handover>, HandoverError> {
     let Some(mut stream) = HandoverSocket::for_clients(client_address)?.connect()? else {
         return Ok(None);
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// [`HandoverError::RejectedLate`] if the older process has abandoned the handover,
+    /// Returns [`HandoverError::RejectedLate`] if the older process has abandoned the handover, or
     /// [`HandoverError::Coroutine`] if the connection cannot be used.
     pub fn join(
         self: &Arc<Self>,
@@ -121,7 +121,7 @@
     }
 }
 
-/// Whether the received messages, which are still to be handled, contain a rejection.
+/// Returns whether the received messages, which are still to be handled, contain a rejection.
 fn contains_rejection(reader: &MessageReader) -> bool {
     let mut lookahead = MessageReader { buffer: reader.buffer.clone() };
     while let Ok(Some(message)) = lookahead.next_message() {
--- a/src/net/hot_restart/older.rs
+++ b/src/net/hot_restart/older.rs
@@ -1,5 +1,5 @@
-//! The older process's side: it listens for newer processes, hands over to the first one, and
-//! grants that one the budget that the older process does not need.
+//! The older process's side of a hot restart: listens for newer processes, hands over to the first
+//! one, and grants that process the budget that the older one does not need.
 
 use super::messages::{Message, MessageReader, PROTOCOL_VERSION};
 use super::socket::{self, HandoverSocket};
@@ -105,10 +105,10 @@
         self.end_connection(&**host);
     }
 
-    /// Reserves the connection for a newer process, unless another one has it or this process
-    /// drains.
+    /// Decides whether a newer process gets the handover, and reserves the connection for it. The
+    /// handover requires that no other newer process has the connection and that this process does
+    /// not drain.
     ///
-    /// Decides: whether a newer process gets the handover.
     /// Inputs: whether there is a connection to a newer process, and whether this process serves.
     /// Reason: of two newer processes only the first may accept clients.
     ///
--- a/src/net/hot_restart/relay.rs
+++ b/src/net/hot_restart/relay.rs
@@ -60,7 +60,8 @@
     ///
     /// # Errors
     ///
-    /// [`RelayError`] if the other process rejects the command or does not confirm it in time.
+    /// Returns [`RelayError`] if the other process rejects the command or does not confirm it in
+    /// time.
     pub fn relay(&self, command: ControlCommand) -> Result<(), RelayError> {
         let Some((number, stream)) = self.register_command() else { return Ok(()) };
         let deadline = Instant::now() + CONFIRM_TIMEOUT;
@@ -80,10 +81,11 @@
         })
     }
 
-    /// Waits for the confirmation of a command.
+    /// Waits for the confirmation of a command, and decides whether the command counts as applied
+    /// by both processes.
     ///
-    /// Decides: whether a command counts as applied by both processes.
-    /// Inputs: its outcome at the other process, whether that process still runs, and the deadline.
+    /// Inputs: the command's outcome at the other process, whether that process still runs, and the
+    /// deadline.
     /// Reason: operators must know whether the other process may still act against their command. A
     /// process that has ended cannot, so the command counts as applied.
     fn await_confirmation(&self, number: u64, deadline: Instant) -> Result<(), RelayError> {
--- a/src/net/hot_restart/socket.rs
+++ b/src/net/hot_restart/socket.rs
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// If `$TMPDIR` has a long path and cannot be opened.
+    /// Returns an error if `$TMPDIR` has a long path and cannot be opened.
     pub(super) fn for_clients(client_address: SocketAddr) -> io::Result<HandoverSocket> {
         let directory = std::env::temp_dir();
         let link_name =
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// If connecting fails although there may be a process.
+    /// Returns an error if connecting fails although there may be a process.
     pub(super) fn connect(&self) -> io::Result<Option<UnixStream>> {
         match UnixStream::connect(self.socket_path(&self.link_name)) {
             Ok(stream) => Ok(Some(stream)),
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// If the directory cannot be written.
+    /// Returns an error if the directory cannot be written.
     pub(super) fn listen(&self) -> io::Result<UnixListener> {
         // An earlier process with the same id may have left this file.
         let _ = fs::remove_file(self.directory.join(&self.socket_name));
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// If the directory cannot be written.
+    /// Returns an error if the directory cannot be written.
     pub(super) fn claim_link(&self) -> io::Result<()> {
         let link = self.directory.join(&self.link_name);
         let new_link = self.directory.join(format!("{}.next", self.socket_name));
@@ -112,9 +112,9 @@
     }
 }
 
-/// Whether the peer may take part in a handover.
+/// Decides whether the process at the other end of a connection may take part in a handover; if
+/// not, the connection is rejected.
 ///
-/// Decides: whether a connection of another process is rejected.
 /// Inputs: the user ids of both processes.
 /// Reason: a process of another user must not receive the listening socket, nor send one.
 pub(super) fn is_trusted(stream: &UnixStream) -> bool {
@@ -125,7 +125,7 @@
 ///
 /// # Errors
 ///
-/// If the other process has ended or cannot receive descriptors.
+/// Returns an error if the other process has ended or cannot receive descriptors.
 pub(super) fn send_listener(stream: &UnixStream, listener: &TcpListener) -> io::Result<()> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut space);
@@ -148,7 +148,8 @@
 ///
 /// # Errors
 ///
-/// [`ErrorKind::UnexpectedEof`] if the other process has ended, or the error of the system call.
+/// Returns [`ErrorKind::UnexpectedEof`] if the other process has ended, or the error of the system
+/// call.
 pub(super) fn receive_first_byte(stream: &UnixStream) -> io::Result<FirstByte> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
