--- a/src/net/lifecycle/budget.rs
+++ b/src/net/lifecycle/budget.rs
@@ -29,9 +29,9 @@
 }
 
 impl ProcessBudget {
-    /// Shrinks this process's part and returns the part of the peer process.
+    /// Decides how two processes of a hot restart divide descriptors and memory: shrinks this
+    /// process's part, and returns the part of the peer process.
     ///
-    /// Decides: how two processes of a hot restart divide descriptors and memory.
     /// Inputs: whether this process serves or drains; descriptors and bytes in use.
     /// Reason: a serving process needs half of the budget; a draining one needs what is in use, a
     /// few descriptors for attempts, and a quarter of the memory.
--- a/src/net/lifecycle/error.rs
+++ b/src/net/lifecycle/error.rs
@@ -12,7 +12,7 @@
 /// The error of a service, whose module defines the variants.
 type ServiceError = Box<dyn Error + Send + Sync>;
 
-/// Why a start fails. The text is the last line that the program logs.
+/// The reason why a start fails. The text is the last line that the program logs.
 #[derive(Debug, Error)]
 pub(super) enum StartError {
     /// The signal handlers cannot be registered.
--- a/src/net/lifecycle/mod.rs
+++ b/src/net/lifecycle/mod.rs
@@ -88,21 +88,22 @@
         })
     }
 
-    /// Whether this process accepts clients, even if only to direct them to other proxies, and is
-    /// not fenced.
+    /// Returns whether this process accepts clients, even if only to direct them to other proxies,
+    /// and is not fenced.
     pub fn is_ready(&self) -> bool {
         self.accepts_clients() && !self.is_fenced()
     }
 
-    /// Checks whether this process accepts clients and is not fenced.
+    /// Decides whether operators and load balancers see this process as ready, which requires that
+    /// it accepts clients and is not fenced.
     ///
-    /// Decides: whether operators and load balancers read that this process is ready.
     /// Inputs: the phase, and whether the process is fenced.
     /// Reason: a process without an admission lease accepts connections, but no requests.
     ///
     /// # Errors
     ///
-    /// [`NotReady`] with the reason while the process does not accept clients, or is fenced.
+    /// Returns [`NotReady`] with the reason while the process does not accept clients, or is
+    /// fenced.
     pub fn readiness(&self) -> Result<(), NotReady> {
         let accepts_clients = self.accepts_clients();
         if accepts_clients && !self.is_fenced() {
@@ -119,7 +120,7 @@
     ///
     /// # Errors
     ///
-    /// [`NotServing`] while the process starts or stops.
+    /// Returns [`NotServing`] while the process starts or stops.
     pub fn set_service(&self, service: ServiceState) -> Result<(), NotServing> {
         let accepts_clients = {
             let mut state = self.state();
@@ -159,7 +160,7 @@
         self.state().accepts_clients()
     }
 
-    /// Whether the fleet's common policy forbids this process to admit requests.
+    /// Returns whether the fleet's common policy forbids this process to admit requests.
     fn is_fenced(&self) -> bool {
         self.services.get().is_some_and(|services| services.dispatcher.is_fenced())
     }
--- a/src/net/lifecycle/start/fleet.rs
+++ b/src/net/lifecycle/start/fleet.rs
@@ -14,7 +14,7 @@
 use signal_hook::iterator::Signals;
 use std::sync::Arc;
 
-/// How the catch-up with the fleet's common policy ended.
+/// The outcome of the catch-up with the fleet's common policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CatchUp {
     /// The active policy version is applied.
--- a/src/net/lifecycle/state.rs
+++ b/src/net/lifecycle/state.rs
@@ -100,14 +100,15 @@
 }
 
 impl LifecycleState {
-    /// Whether clients are accepted or served, even if only to direct them to other proxies.
+    /// Returns whether clients are accepted or served, even if only to direct them to other
+    /// proxies.
     pub(super) fn accepts_clients(&self) -> bool {
         !matches!(self.phase, Phase::Starting | Phase::Draining | Phase::Stopped)
     }
 
-    /// Whether the peer process accepts clients instead of this one.
+    /// Decides which of two processes of one proxy accepts clients: returns whether the peer
+    /// process does so instead of this one.
     ///
-    /// Decides: which of two processes of one proxy accepts clients.
     /// Inputs: this process's role, and the state of its peer process.
     /// Reason: if no process accepted, clients would wait in the listen queue; while a newer one
     /// serves, the older one must not accept, so that its connections run out.
