--- a/src/net/policy/applier.rs
+++ b/src/net/policy/applier.rs
@@ -69,7 +69,7 @@
         check_keys(&self.local_settings)
     }
 
-    /// Whether these settings, apart from local keys, are those of the active policy.
+    /// Returns whether these settings, apart from local keys, are those of the active policy.
     pub(super) fn is_active(&self, settings: &Value) -> bool {
         self.active().text.as_deref() == Some(&text::to_policy_text(settings))
     }
@@ -101,9 +101,9 @@
         Some(ApprovedPolicy { version, part_digests })
     }
 
-    /// Returns the settings of a policy if it may follow the active one at this process.
+    /// Decides whether a policy is valid at this process after the active one, and returns its
+    /// settings.
     ///
-    /// Decides: whether a policy is valid here after the active one.
     /// Inputs: the text of the policy, the local settings, the active policy, and the longest
     /// duration of an attempt, in ms.
     /// Reason: a version becomes active at all processes or at none, so each process has to accept
@@ -123,9 +123,9 @@
         Ok(parsed)
     }
 
-    /// Checks that no client timeout exceeds the longest duration of an attempt.
+    /// Decides whether settings are rejected because a client timeout exceeds the longest duration
+    /// of an attempt, so that attempts could outlive their leases.
     ///
-    /// Decides: whether settings are rejected because their attempts could outlive their leases.
     /// Inputs: the settings, and that duration in ms.
     /// Reason: leased quota is granted again when that duration has passed after the end of its
     /// lease. A longer attempt would use quota that another process already holds.
--- a/src/net/policy/digest_input.rs
+++ b/src/net/policy/digest_input.rs
@@ -10,7 +10,7 @@
 };
 use std::time::Duration;
 
-/// One part of the settings and its text.
+/// A part of the settings and the text from which its digest is computed.
 pub(super) struct PartText {
     /// The name of the part in the settings.
     pub(super) part: &'static str,
--- a/src/net/policy/drift_monitor/alarms.rs
+++ b/src/net/policy/drift_monitor/alarms.rs
@@ -6,9 +6,8 @@
 use std::sync::atomic::Ordering;
 
 impl DriftMonitor {
-    /// Raises the alarms that are due, if this process is the quota leader.
+    /// Decides which alarms are due, and raises them if this process is the quota leader.
     ///
-    /// Decides: which alarms this process raises now.
     /// Inputs: the reports of all processes, the alarms already raised, and the time; whether this
     /// process is the quota leader.
     /// Reason: operators get one alarm for each drifting process, from one process of the fleet.
--- a/src/net/policy/drift_monitor/restore.rs
+++ b/src/net/policy/drift_monitor/restore.rs
@@ -8,9 +8,9 @@
 use std::time::Instant;
 
 impl DriftMonitor {
-    /// Restores the approved version if this process has drifted for the configured time.
+    /// Decides whether this process restores the approved version by itself, which it does after it
+    /// has drifted for the configured time.
     ///
-    /// Decides: whether this process restores the approved version by itself.
     /// Inputs: the time since which its active settings differ from the approved ones, and the
     /// configured duration of drift after which it restores them, if any.
     /// Reason: settings may have been applied to one process on purpose, so the process restores
@@ -42,8 +42,8 @@
     ///
     /// # Errors
     ///
-    /// [`RestoreError`] if this process does not have the text of the approved version, or if
-    /// another version is active here.
+    /// Returns [`RestoreError`] if this process does not have the text of the approved version, or
+    /// if another version is active here.
     pub(in crate::net::policy) fn restore(&self) -> Result<u64, RestoreError> {
         let (version, text) = self.node.agreed_policy().ok_or(RestoreError::ApprovedUnknown)?;
         if self.node.status().active_version != version {
--- a/src/net/policy/error.rs
+++ b/src/net/policy/error.rs
@@ -6,7 +6,7 @@
 use std::io;
 use thiserror::Error;
 
-/// Why this process cannot take part in policy consensus.
+/// An error that prevents this process from taking part in policy consensus.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum PolicyError {
@@ -25,7 +25,7 @@
     ThreadEnded,
 }
 
-/// Why a text cannot become the active policy of this process.
+/// The reason why a text cannot become the active policy of this process.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum PolicyTextError {
@@ -57,14 +57,14 @@
     },
 }
 
-/// Why the approved version cannot be restored.
+/// The reason why the approved version cannot be restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum RestoreError {
     /// This process has not received the text of the approved version.
     #[error("what was approved is not known here")]
     ApprovedUnknown,
-    /// Another version than the approved one is active at this process.
+    /// The version that is active at this process is not the approved one.
     #[error("this process does not have the approved version: it catches up by itself")]
     OtherVersion,
 }
--- a/src/net/policy/mod.rs
+++ b/src/net/policy/mod.rs
@@ -78,8 +78,8 @@
     ///
     /// # Errors
     ///
-    /// [`PolicyError`] if the settings are invalid as the fleet's initial policy, or if the thread
-    /// cannot be started.
+    /// Returns [`PolicyError`] if the settings are invalid as the fleet's initial policy, or if the
+    /// thread cannot be started.
     pub fn start(parameters: PolicyParameters<'_>) -> Result<Arc<Policy>, PolicyError> {
         let lease = new_lease(&parameters.config);
         parameters.dispatcher.set_admission_lease(Arc::clone(&lease));
@@ -132,7 +132,7 @@
         true
     }
 
-    /// Whether this process admits requests.
+    /// Returns whether this process admits requests.
     pub fn is_admitting(&self) -> bool {
         matches!(self.node.status().status, ConsensusStatus::Steady | ConsensusStatus::Changing)
     }
@@ -142,12 +142,12 @@
         self.node.not_ready_reason()
     }
 
-    /// Whether SIGHUP applies the settings in the file of this process.
+    /// Returns whether SIGHUP applies the settings in the file of this process.
     pub fn allows_local_settings(&self) -> bool {
         self.config.allows_local_reload
     }
 
-    /// Whether these settings are those of the active policy.
+    /// Returns whether these settings are those of the active policy.
     pub fn is_active(&self, settings: &Value) -> bool {
         self.applier.is_active(settings)
     }
--- a/src/net/policy/presence.rs
+++ b/src/net/policy/presence.rs
@@ -44,9 +44,9 @@
         Presence { config, node, listener: None, voter_role: VoterRole::Pending, last_error: None }
     }
 
-    /// Starts the listener and the voter of an active member, and stops those of an inactive one.
+    /// Decides whether this process listens for peers and votes: starts the listener and the voter
+    /// of an active member, and stops those of an inactive one.
     ///
-    /// Decides: whether this process listens for peers and votes.
     /// Inputs: the activity of this process, from membership.
     /// Reason: other processes reach the voter of a proxy at one listener.
     ///
