--- a/src/net/body_stream.rs
+++ b/src/net/body_stream.rs
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// If the receiver was dropped.
+    /// Returns an error if the receiver was dropped.
     pub fn send(&self, piece: &[u8]) -> Result<(), ReceiverDropped> {
         loop {
             let flag = {
--- a/src/net/deadline_stream.rs
+++ b/src/net/deadline_stream.rs
@@ -21,25 +21,25 @@
     ///
     /// # Errors
     ///
-    /// Those of the socket; [`ErrorKind::WouldBlock`] if nothing is available.
+    /// Returns the socket's errors, or [`ErrorKind::WouldBlock`] if nothing is available.
     fn try_read(&self, into: &mut [u8]) -> io::Result<usize>;
     /// Writes as much as the socket takes, without waiting.
     ///
     /// # Errors
     ///
-    /// Those of the socket; [`ErrorKind::WouldBlock`] if its buffer is full.
+    /// Returns the socket's errors, or [`ErrorKind::WouldBlock`] if the socket's buffer is full.
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize>;
     /// Waits until there is something to read.
     ///
     /// # Errors
     ///
-    /// Those of the socket, also if nothing arrives within the timeout.
+    /// Returns the socket's errors, also if nothing arrives within the timeout.
     fn wait_readable(&self, timeout: Duration) -> io::Result<()>;
     /// Shuts the socket down, and wakes the coroutine that waits on it.
     ///
     /// # Errors
     ///
-    /// Those of the socket, also if it is shut down already.
+    /// Returns the socket's errors, also if the socket is shut down already.
     fn shutdown(&self, how: Shutdown) -> io::Result<()>;
 }
 
@@ -89,10 +89,11 @@
     ///
     /// # Errors
     ///
-    /// Those of the connection attempt, also if it times out.
+    /// Returns the error of the connection attempt, also if the attempt times out.
     pub fn connect(address: &SocketAddr, timeout: Duration) -> io::Result<DeadlineStream> {
         let stream = TcpStream::connect_timeout(address, timeout)?;
-        // With Nagle's algorithm a message waits for the acknowledgement of the one before it.
+        // With Nagle's algorithm a message would wait for the acknowledgement of the previous
+        // message.
         stream.set_nodelay(true)?;
         Ok(DeadlineStream(Arc::new(stream)))
     }
@@ -121,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// Those of the socket; [`ErrorKind::TimedOut`] at the deadline.
+    /// Returns the socket's errors, or [`ErrorKind::TimedOut`] at the deadline.
     pub fn read(&self, into: &mut Vec<u8>, deadline: Instant) -> io::Result<usize> {
         loop {
             match read_some(into, |room| self.0.try_read(room)) {
@@ -141,7 +142,7 @@
     ///
     /// # Errors
     ///
-    /// Those of the socket; [`ErrorKind::TimedOut`] at the deadline.
+    /// Returns the socket's errors, or [`ErrorKind::TimedOut`] at the deadline.
     pub fn write(&self, bytes: &[u8], deadline: Instant) -> io::Result<()> {
         self.write_while(bytes, deadline, || true)
     }
@@ -151,7 +152,8 @@
     ///
     /// # Errors
     ///
-    /// As [`DeadlineStream::write`]; [`ErrorKind::ConnectionAborted`] once the condition fails.
+    /// Returns the errors of [`DeadlineStream::write`], or [`ErrorKind::ConnectionAborted`] once
+    /// the condition fails.
     pub fn write_while(
         &self,
         mut bytes: &[u8],
@@ -197,7 +199,7 @@
 ///
 /// # Errors
 ///
-/// Those of the socket; [`ErrorKind::WouldBlock`] if nothing is available.
+/// Returns the socket's errors, or [`ErrorKind::WouldBlock`] if nothing is available.
 pub fn try_read(mut stream: &net::TcpStream, into: &mut Vec<u8>) -> io::Result<usize> {
     read_some(into, |room| stream.read(room))
 }
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -75,10 +75,9 @@
         Timestamp::from_millis(self.started.elapsed().as_millis() as u64)
     }
 
-    /// Reserves a descriptor for a backend connection if the budget allows it. The demand is
-    /// recorded in either case.
+    /// Decides whether a backend connection may be opened, and reserves a descriptor if so. The
+    /// demand is recorded in either case.
     ///
-    /// Decides: whether a backend connection may be opened.
     /// Inputs: the descriptors in use by backends and clients, and the budget.
     /// Reason: clients and backends share the descriptors of the process, and neither may use up
     /// the other's reserve.
--- a/src/net/drain.rs
+++ b/src/net/drain.rs
@@ -20,8 +20,8 @@
 use super::time_limits::SHUTDOWN_RESERVE;
 use std::time::Duration;
 
-/// How long connections are accepted after SIGTERM. Clients open new ones for up to 400 ms after
-/// it.
+/// The time after SIGTERM for which connections are accepted. Clients open new connections for up
+/// to 400 ms after SIGTERM.
 const ACCEPT_DURATION: Duration = Duration::from_millis(500);
 /// The shortest time between the end of the longest wait of a client and SIGKILL.
 const KILL_GRACE: Duration = Duration::from_millis(700);
@@ -32,9 +32,11 @@
 const LAST_REQUESTS_DURATION: Duration = Duration::from_millis(300);
 /// The time for writing the final responses.
 const FINAL_WRITES_DURATION: Duration = Duration::from_millis(50);
-/// How long a connection that is opened while clients are directed elsewhere may stay idle.
+/// The longest idle time of a connection that is opened while clients are directed to other
+/// proxies.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(500);
-/// The closes of idle connections begin at the time of the last close divided by this.
+/// The divisor of the time of the last close that gives the time of the first close of an idle
+/// connection.
 const IDLE_CLOSE_START_DIVISOR: u32 = 2;
 /// The number of steps over which the closes of idle connections are spread.
 const SPREAD_STEPS: u64 = 64;
@@ -57,10 +59,9 @@
 }
 
 impl DrainSchedule {
-    /// Returns the schedule for clients that wait at most `longest_wait`; `None` if their longest
-    /// wait is unknown.
+    /// Decides the steps for connections and requests after SIGTERM, and the time of the exit, for
+    /// clients that wait at most `longest_wait`; `None` means that the longest wait is unknown.
     ///
-    /// Decides: what happens to connections and requests after SIGTERM, and when the process exits.
     /// Inputs: the longest wait of a client over all classes, a duration.
     /// Reason: accepted requests need their response before the platform kills the process, and
     /// requests that are still accepted need time for an attempt.
@@ -84,10 +85,10 @@
     }
 }
 
-/// When client connections are closed while clients are directed to other proxies. Each time is
-/// measured from the beginning of the directing. A connection in use is closed right after a
-/// response if its client has no other open request. The closes of idle connections are spread over
-/// time, so that not all clients connect to the other proxies at once.
+/// The schedule by which client connections are closed while clients are directed to other proxies.
+/// Each time is measured from the beginning of the schedule. A connection in use is closed right
+/// after a response if its client has no other open request. The closes of idle connections are
+/// spread over time, so that not all clients connect to the other proxies at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DisconnectSchedule {
     /// The time of the first close of an idle connection.
--- a/src/net/hold_up.rs
+++ b/src/net/hold_up.rs
@@ -59,10 +59,10 @@
         late
     }
 
-    /// Estimates how long input that is read now may have been waiting unread.
+    /// Estimates the longest time for which input that is read now may have been waiting unread:
+    /// zero without a hold-up, at most `MAX_UNREAD_TIME`. The result is subtracted from the budgets
+    /// of requests that are read now.
     ///
-    /// Decides: the time that is subtracted from the budgets of requests that are read now; zero
-    /// without a hold-up, at most `MAX_UNREAD_TIME`.
     /// Inputs: the current time, the last tick and the last hold-up, on the monotonic clock.
     /// Reason: a client's deadline counts from when its request arrives, not from when it is read.
     /// Source: docs/incidents/2026-12-02-late-final-answers.md.
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -15,7 +15,7 @@
 /// An accepted connection.
 pub type Stream = PolledSocket<TcpStream>;
 
-/// How a listener treats new connections.
+/// The mode in which a listener treats new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcceptMode {
     /// New connections are accepted.
@@ -33,11 +33,11 @@
 #[derive(Debug)]
 pub struct Listener {
     socket: PolledSocket<TcpListener>,
-    /// How new connections are treated. The lock guards only this value.
+    /// The mode in which new connections are treated. The lock guards only this value.
     ///
     /// Invariant: no coroutine waits while it holds this lock.
     mode: Mutex<AcceptMode>,
-    /// When the accept queue was last seen empty. The lock guards only this value.
+    /// The time at which the accept queue was last seen empty. The lock guards only this value.
     queue_last_empty_at: Mutex<Instant>,
 }
 
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// If the address cannot be bound, for example because another process holds it.
+/// Returns an error if the address cannot be bound, for example because another process holds it.
 pub fn open(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     // Connections of an earlier process that are in TIME_WAIT do not block the address.
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// If the socket cannot be registered with the coroutines' poller.
+    /// Returns an error if the socket cannot be registered with the coroutines' poller.
     pub fn new(socket: TcpListener) -> io::Result<Listener> {
         let socket = PolledSocket::new(socket)?;
         Ok(Listener {
@@ -77,8 +77,8 @@
     ///
     /// # Errors
     ///
-    /// The error of the system call, for example if no descriptor is free. The caller may try
-    /// again.
+    /// Returns the error of the system call, for example if no descriptor is free. The caller may
+    /// try again.
     pub fn accept(&self) -> io::Result<Option<Stream>> {
         loop {
             // The mode is copied first, since the match would otherwise hold the lock while it
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// The error of the system call.
+    /// Returns the error of the system call.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.inner().local_addr()
     }
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -37,9 +37,9 @@
 }
 
 impl FaultRateLimiter {
-    /// Admits a fault line if the rate allows it, and returns how many were suppressed before it.
+    /// Decides whether a fault line is written. If so, returns how many lines were suppressed
+    /// before it.
     ///
-    /// Decides: whether a fault line is written.
     /// Inputs: the number of lines in the current period, and the age of the period.
     /// Reason: a fault that repeats must not fill the log.
     /// Source: docs/on-call.md.
--- a/src/net/memory.rs
+++ b/src/net/memory.rs
@@ -36,9 +36,9 @@
         (limit_mb as f64 * VALUE_FRACTION * f64::from(BYTES_PER_MB)) as usize
     }
 
-    /// Reserves memory for a command or response; `None` if not enough is free.
+    /// Decides whether a command or response may be stored, and reserves memory for it. Returns
+    /// `None` if not enough memory is free.
     ///
-    /// Decides: whether a command or response may be stored.
     /// Inputs: the size of the command or response, the limit and the reserved memory, in bytes.
     /// Reason: the process must not exceed its memory limit, whatever clients and backends send.
     pub fn reserve(self: &Arc<Self>, bytes: usize) -> Option<MemoryReservation> {
--- a/src/net/polled_socket.rs
+++ b/src/net/polled_socket.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     ///
-    /// If the socket cannot be registered.
+    /// Returns an error if the socket cannot be registered.
     pub fn new(socket: S) -> io::Result<PolledSocket<S>> {
         let socket = Arc::new(socket);
         let registered = CoIo::new(Arc::clone(&socket)).map_err(io::Error::from)?;
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// Those of the socket, also if nothing arrives within the timeout.
+    /// Returns the socket's errors, also if nothing arrives within the timeout.
     pub fn wait_readable(&self, timeout: Duration) -> io::Result<()> {
         self.registered.set_read_timeout(Some(timeout))?;
         self.registered.peek(&mut [0]).map(drop)
--- a/src/net/request_log.rs
+++ b/src/net/request_log.rs
@@ -22,13 +22,13 @@
 /// The number of lines that may be queued for writing. Further lines are dropped.
 const MAX_QUEUED_LINES: usize = 4096;
 
-/// Why the request log cannot start.
+/// An error that prevents the start of the request log.
 #[derive(Debug, Error)]
 pub enum RequestLogError {
     /// The environment variable is not a list of targets.
     #[error("{VARIABLE}: {0}")]
     Filter(#[from] tracing_subscriber::filter::ParseError),
-    /// Another subscriber of `tracing` was installed before.
+    /// A subscriber of `tracing` was already installed.
     #[error("{VARIABLE}: {0}")]
     Init(#[from] TryInitError),
 }
@@ -38,7 +38,7 @@
     _writer: WorkerGuard,
 }
 
-/// Why a client connection ends.
+/// The reason why a client connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client closed the connection or its sending direction, or the connection broke.
@@ -66,7 +66,8 @@
 ///
 /// # Errors
 ///
-/// If `LB_LOG` is not a list of targets, or another subscriber of `tracing` was installed before.
+/// Returns an error if `LB_LOG` is not a list of targets, or a subscriber of `tracing` was already
+/// installed.
 pub fn init() -> Result<Option<RequestLog>, RequestLogError> {
     let Some(text) = std::env::var(VARIABLE).ok().filter(|text| !text.is_empty()) else { return Ok(None) };
     let targets: Targets = text.parse()?;
--- a/src/net/time_limits.rs
+++ b/src/net/time_limits.rs
@@ -49,9 +49,8 @@
     TimeSpan::from_ms(duration.as_secs_f64() * MS_PER_SECOND)
 }
 
-/// Returns the margin of a time limit for a hold-up.
+/// Decides how long before a time limit an effect is planned: the margin for a hold-up.
 ///
-/// Decides: how long before a limit an effect is planned.
 /// Inputs: the length of the limit, as a time span.
 /// Reason: a hold-up between the decision and its effect must not break the limit.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
@@ -59,9 +58,9 @@
     time_span(HOLD_UP_MARGIN).min(limit * MAX_MARGIN_FRACTION)
 }
 
-/// Returns the time budget of a request.
+/// Decides the time budget of a request: the time after its arrival within which the final response
+/// must be ready.
 ///
-/// Decides: how long after its arrival a request must have its final response.
 /// Inputs: how long the client waits, as a time span.
 /// Reason: a response after the client's deadline is lost work.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
@@ -69,11 +68,10 @@
     client_wait - hold_up_margin(client_wait)
 }
 
-/// Returns the time that the decision module reserves between deciding on an attempt and the write
-/// of its last byte.
+/// Decides the time that the decision module reserves between deciding on an attempt and the write
+/// of its last byte. The deduplication window is taken to end earlier by this time; the decision
+/// module shortens a short window by at most a fraction of it.
 ///
-/// Decides: by how much the deduplication window is taken to end earlier. The decision module
-/// shortens a short window by at most a fraction of it.
 /// Inputs: none.
 /// Reason: an attempt that is written after a hold-up must still be inside the window.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
@@ -81,9 +79,9 @@
     hold_up_margin(TimeSpan::MAX)
 }
 
-/// Returns the deadline that a backend receives with an attempt, as the remaining time in ms.
+/// Decides the deadline that a backend receives with an attempt: the remaining time in whole ms, at
+/// least 1.
 ///
-/// Decides: the remaining time that the attempt states, in whole ms, at least 1.
 /// Inputs: the deadline of the attempt and the current time, on the monotonic clock.
 /// Reason: the attempt ends before the client's deadline by the margin. The stated time is
 /// therefore below the client's remaining time plus its slack, even if the attempt is written after
