--- a/src/interface.rs
+++ b/src/interface.rs
@@ -243,7 +243,7 @@
     DeadlineReached,
     /// The request has made as many attempts as are allowed.
     AttemptsUsedUp,
-    /// Another attempt could apply the effect of the request twice.
+    /// A further attempt could apply the effect of the request twice.
     RepeatUnsafe,
     /// The retry budget is empty because too many recent attempts failed; more retries would add to
     /// an outage.
--- a/src/logic/balancer/attempts.rs
+++ b/src/logic/balancer/attempts.rs
@@ -38,7 +38,7 @@
         pending.end_attempt(end.attempt, end.outcome);
         let key = pending.request.key;
         // Invariant: a request has at most one attempt in flight. While another attempt is in
-        // flight, or the request is queued, the end of this one starts no further attempt.
+        // flight, or the request is queued, the end of this attempt starts no further attempt.
         let must_wait = pending.stage != Stage::InFlight || pending.has_attempt_in_flight();
         if end.outcome == Outcome::Ok {
             if let Some(fetch) = self.fetches.take_led_by(end.id, key) {
--- a/src/logic/balancer/requests.rs
+++ b/src/logic/balancer/requests.rs
@@ -231,8 +231,8 @@
         self.queue.push(id, stage, pending.class.priority_weight);
     }
 
-    /// Lets a request wait for the fetch of its key. The weight of the request is added to that of
-    /// the request that makes the fetch, if the latter is queued.
+    /// Lets a request wait for the fetch of its key. If the request that makes the fetch is queued,
+    /// its weight is increased by that of the waiting request.
     pub(super) fn wait_for_fetch(&mut self, id: RequestId, key: Key) {
         let Some(fetch) = self.fetches.get_mut(key) else { return };
         let Some(pending) = self.requests.get_mut(&id) else { return };
--- a/src/logic/eligibility.rs
+++ b/src/logic/eligibility.rs
@@ -23,7 +23,8 @@
     NoCapacity,
     /// The node warms up, and the request exceeds what the node may receive (`slow_start`).
     WarmingUp,
-    /// Another attempt at the node could apply the request's effect twice (`retry::idempotency`).
+    /// An attempt at the node could apply the request's effect a second time
+    /// (`retry::idempotency`).
     RepeatUnsafe,
 }
 
--- a/src/logic/queue.rs
+++ b/src/logic/queue.rs
@@ -38,8 +38,8 @@
     pub(super) id: RequestId,
     /// The kind of capacity for which the request waits.
     stage: Stage,
-    /// The sum of the priority weights of all requests that are served together: this one, and
-    /// those that wait for its fetch.
+    /// The sum of the priority weights of all requests that are served together: the queued
+    /// request, and those that wait for its fetch.
     weight: f64,
 }
 
--- a/src/net/admin/connection.rs
+++ b/src/net/admin/connection.rs
@@ -12,7 +12,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The timeout for reading a request. A new connection may cause the close of this one sooner.
+/// The timeout for reading a request. The connection may be closed sooner, to make room for a new
+/// one.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// The timeout for writing a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
--- a/src/net/backend/attempt.rs
+++ b/src/net/backend/attempt.rs
@@ -17,12 +17,12 @@
 use std::time::{Duration, Instant};
 
 /// The longest pause within a response. Backends write a response without pauses, so a response
-/// that has begun and pauses for longer counts as malformed.
+/// that pauses for longer after its beginning counts as malformed.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// The longest pause of a backend between two pieces of a streamed value.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(5000);
 
-/// Where the connection of an attempt comes from.
+/// The source of an attempt's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionSource {
     /// The connection was idle in the pool.
--- a/src/net/client/connection/mod.rs
+++ b/src/net/client/connection/mod.rs
@@ -96,7 +96,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReportedPhase {
     phase: Phase,
-    /// The count of the connection's phases, by which a close order refers to this one.
+    /// The number of the phase, counted per connection, by which a close order refers to the phase.
     seq: PhaseNumber,
 }
 
--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -24,7 +24,7 @@
 const SHORT_CALL_TIMEOUT: Duration = ms(1400);
 /// The timeout of a call until its watch has begun, once changes since the last input count as
 /// notified. The timeout is longer, because discovery accepts calls in turn and many may precede
-/// this one.
+/// the proxy's call.
 const LONG_CALL_TIMEOUT: Duration = ms(2600);
 /// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = ms(750);
--- a/src/net/dispatcher/endpoints.rs
+++ b/src/net/dispatcher/endpoints.rs
@@ -36,7 +36,7 @@
         self.lock().maintenance.snapshot()
     }
 
-    /// Restores the snapshot of the other process. The caller does so before the first list of
+    /// Restores the snapshot of the other process. Must be called before the first list of
     /// discovery arrives.
     pub fn restore_snapshot(&self, snapshot: EndpointSnapshot) {
         self.lock().maintenance.restore(snapshot);
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -34,7 +34,7 @@
 /// Handles a message of the peer directory; the address is that of the member that sent it.
 pub type DirectoryHandler = Box<dyn Fn(SocketAddr, &[u8]) + Send + Sync>;
 
-/// Whether this process is the active member, which the fleet knows under its proxy's name.
+/// Whether this process is the active member, which has its proxy's name in the fleet.
 enum Activity {
     /// The process becomes the active member as soon as its socket can be opened.
     Opening,
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -103,7 +103,7 @@
     fn apply_command(&self, command: &ControlCommand) -> Result<(), CommandError>;
     /// Handles a change of the other process's state.
     fn peer_changed(&self, peer: PeerProcessState);
-    /// Stops this process, because the older one has abandoned the handover and goes on serving.
+    /// Stops this process, because the older one has abandoned the handover and continues to serve.
     fn handover_rejected(&self);
 }
 
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -13,7 +13,7 @@
 /// The interval at which a drain checks for open requests and connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The upper limit of the client wait for which a drain is scheduled, in ms. A class may let its
-/// clients wait for ever.
+/// clients wait without a limit.
 const MAX_CLASS_WAIT_MS: f64 = 60_000.0;
 const MS_PER_SECOND: f64 = 1_000.0;
 
--- a/src/net/lifecycle/state.rs
+++ b/src/net/lifecycle/state.rs
@@ -39,7 +39,7 @@
     /// The newer process accepts clients, and this one serves the connections that it holds until
     /// it is stopped.
     HandingOver,
-    /// The process reads its configuration again, and goes on serving meanwhile.
+    /// The process reads its configuration again, and continues to serve clients.
     Reloading,
     /// The process has been asked to stop, and completes the requests that it has accepted.
     Draining,
--- a/src/net/time_limits.rs
+++ b/src/net/time_limits.rs
@@ -62,7 +62,7 @@
 /// must be ready.
 ///
 /// Inputs: how long the client waits, as a time span.
-/// Reason: a response after the client's deadline is lost work.
+/// Reason: a response after the client's deadline is useless to the client.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 pub fn response_budget(client_wait: TimeSpan) -> TimeSpan {
     client_wait - hold_up_margin(client_wait)
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// One attempt of a request.
+/// An attempt of a request, which may have ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     /// The backend to which the attempt was sent.
