--- a/src/logic/retry/budget.rs
+++ b/src/logic/retry/budget.rs
@@ -4,9 +4,9 @@
 /// The number of retries that each request deposits.
 const DEPOSIT_PER_REQUEST: f64 = 0.2;
 /// The largest balance, in retries.
-const MAX_BALANCE: f64 = 10.0;
+const MAX_BALANCE_RETRIES: f64 = 10.0;
 /// The balance of a new budget, in retries.
-const INITIAL_BALANCE: f64 = 1.0;
+const INITIAL_BALANCE_RETRIES: f64 = 1.0;
 
 /// A budget of retries. Each request deposits a fraction of a retry; each retry withdraws a whole
 /// one.
@@ -23,12 +23,12 @@
 impl RetryBudget {
     /// Creates a budget that allows one retry.
     pub(in crate::logic) fn new() -> RetryBudget {
-        RetryBudget { balance: INITIAL_BALANCE }
+        RetryBudget { balance: INITIAL_BALANCE_RETRIES }
     }
 
     /// Deposits the fraction of a retry that one request allows.
     pub(in crate::logic) fn deposit(&mut self) {
-        self.balance = (self.balance + DEPOSIT_PER_REQUEST).min(MAX_BALANCE);
+        self.balance = (self.balance + DEPOSIT_PER_REQUEST).min(MAX_BALANCE_RETRIES);
     }
 
     /// Decides whether the budget allows a retry, and withdraws one if so.
--- a/src/logic/slow_start/tests.rs
+++ b/src/logic/slow_start/tests.rs
@@ -2,7 +2,7 @@
 use crate::interface::EndpointInfo;
 use crate::logic::fixtures::SAFETY_LIMITS;
 
-const STARTED: f64 = 50_000.0;
+const STARTED_MS: f64 = 50_000.0;
 
 fn backend(started_ms: f64) -> Backend {
     let info = EndpointInfo {
@@ -15,7 +15,7 @@
 
 fn decision(home: u32, sample: f64, age_ms: f64) -> SlowStartDecision {
     let request = WarmUpInputs { home: Some(BackendId(home)), sample };
-    decide(&backend(STARTED), &SAFETY_LIMITS, request, Timestamp::from_ms(STARTED + age_ms))
+    decide(&backend(STARTED_MS), &SAFETY_LIMITS, request, Timestamp::from_ms(STARTED_MS + age_ms))
 }
 
 #[test]
@@ -33,7 +33,7 @@
 fn a_backend_is_warm_after_its_warm_up_time_or_if_it_started_long_ago() {
     assert_eq!(decision(2, 1.0, 10_000.0), SlowStartDecision::Warm);
     assert!(!is_warming_up(&backend(0.0), &SAFETY_LIMITS, Timestamp::from_ms(1.0)));
-    assert!(is_warming_up(&backend(STARTED), &SAFETY_LIMITS, Timestamp::from_ms(STARTED + 1.0)));
+    assert!(is_warming_up(&backend(STARTED_MS), &SAFETY_LIMITS, Timestamp::from_ms(STARTED_MS + 1.0)));
 }
 
 #[test]
--- a/src/net/client/connection/close.rs
+++ b/src/net/client/connection/close.rs
@@ -1,7 +1,7 @@
 //! Closes client connections: applies close orders, and moves a connection through the states that
 //! precede its close. Read [`Connection::advance`] first.
 
-use super::{Activity, Connection, State};
+use super::{Connection, IoActivity, State};
 use crate::net::request_log::CloseReason;
 use pinetrail_connection_limits::{CloseOrderReason, Phase, Timestamp};
 use std::net::Shutdown;
@@ -40,7 +40,7 @@
             let _ = self.stream.inner().shutdown(Shutdown::Write);
             self.state = State::Lingering;
         }
-        self.report_phase(Activity::None);
+        self.report_phase(IoActivity::None);
         Progress::Continues
     }
 
--- a/src/net/client/connection/mod.rs
+++ b/src/net/client/connection/mod.rs
@@ -87,7 +87,7 @@
 
 /// Whether bytes were read or written, or may still be available to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Activity {
+enum IoActivity {
     None,
     Transferred,
 }
@@ -223,7 +223,8 @@
             let may_have_more = self.read()?;
             self.execute_input();
             let has_written = self.write()?;
-            let activity = if has_written || may_have_more { Activity::Transferred } else { Activity::None };
+            let activity =
+                if has_written || may_have_more { IoActivity::Transferred } else { IoActivity::None };
             // The poller does not report input a second time, so input that a limit left unread is
             // read as soon as the limit allows it.
             let is_full = self.is_full() || (self.waits_for_memory && !self.is_idle());
@@ -249,9 +250,9 @@
     }
 
     /// Reports the phase to the connection table if it has changed.
-    fn report_phase(&mut self, activity: Activity) {
+    fn report_phase(&mut self, activity: IoActivity) {
         let phase = self.phase();
-        let has_progress = activity == Activity::Transferred && phase == Phase::ResponseUnread;
+        let has_progress = activity == IoActivity::Transferred && phase == Phase::ResponseUnread;
         if phase != self.reported.phase || has_progress {
             self.reported = ReportedPhase { phase, seq: self.service.set_phase(self.id, phase) };
         }
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -53,7 +53,7 @@
 
 /// Whether a process serves, or has been asked to stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Activity {
+pub enum DrainState {
     /// The process serves.
     #[default]
     Serving,
@@ -92,7 +92,7 @@
     /// Returns what this process can hand over, or `None` if it does not serve.
     fn handover_offer(&self) -> Option<HandoverOffer>;
     /// Shrinks the budget of this process, and returns the budget of the other one.
-    fn shrink_budget(&self, activity: Activity) -> ResourceBudget;
+    fn shrink_budget(&self, drain_state: DrainState) -> ResourceBudget;
     /// Sets the budget of this process.
     fn set_budget(&self, grant: BudgetGrant);
     /// Applies a command that the other process relays.
@@ -121,7 +121,7 @@
     connection: Option<PeerConnection>,
     commands: PendingCommands,
     /// Whether this process serves or drains.
-    activity: Activity,
+    drain_state: DrainState,
 }
 
 impl State {
@@ -157,7 +157,7 @@
     /// process that accepts them.
     pub fn begin_drain(&self) -> Acceptor {
         let stream = self.with_state(|state| {
-            state.activity = Activity::Draining;
+            state.drain_state = DrainState::Draining;
             state.stream_to_peer(|peer| peer == PeerProcessState::Serving)
         });
         if stream.is_some_and(|stream| send(&stream, &Message::Leaving).is_ok()) {
--- a/src/net/hot_restart/newer/tests.rs
+++ b/src/net/hot_restart/newer/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::net::hot_restart::{Activity, BudgetGrant, CommandError, ControlCommand, HandoverOffer};
+use crate::net::hot_restart::{BudgetGrant, CommandError, ControlCommand, DrainState, HandoverOffer};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
     fn handover_offer(&self) -> Option<HandoverOffer> {
         None
     }
-    fn shrink_budget(&self, _activity: Activity) -> ResourceBudget {
+    fn shrink_budget(&self, _drain_state: DrainState) -> ResourceBudget {
         ResourceBudget::default()
     }
     fn set_budget(&self, _grant: BudgetGrant) {}
--- a/src/net/hot_restart/older.rs
+++ b/src/net/hot_restart/older.rs
@@ -4,7 +4,7 @@
 use super::messages::{Message, MessageReader, PROTOCOL_VERSION};
 use super::socket::{self, HandoverSocket};
 use super::{
-    send, send_rejection, Activity, HandoverOffer, HotRestart, HotRestartHost, PeerConnection,
+    send, send_rejection, DrainState, HandoverOffer, HotRestart, HotRestartHost, PeerConnection,
     PeerProcessState, PeerStream, HANDOVER_TIMEOUT, WRITE_TIMEOUT,
 };
 use crate::net::deadline_stream::{sleep, DeadlineStream};
@@ -115,7 +115,7 @@
     /// Invariant: the connection is reserved before the handover is sent.
     fn reserve_connection(&self, stream: &PeerStream) -> bool {
         self.with_state(|state| {
-            let is_free = state.connection.is_none() && state.activity == Activity::Serving;
+            let is_free = state.connection.is_none() && state.drain_state == DrainState::Serving;
             if is_free {
                 state.connection =
                     Some(PeerConnection { stream: stream.clone(), peer: PeerProcessState::Starting });
@@ -129,10 +129,10 @@
         let mut last_sent = None;
         loop {
             sleep(BUDGET_INTERVAL);
-            let (stream, activity) =
-                self.with_state(|state| (state.stream_to_peer(|_| true), state.activity));
+            let (stream, drain_state) =
+                self.with_state(|state| (state.stream_to_peer(|_| true), state.drain_state));
             let Some(stream) = stream else { return };
-            let budget = host.shrink_budget(activity);
+            let budget = host.shrink_budget(drain_state);
             if last_sent != Some(budget) && send(&stream, &Message::Budget(budget)).is_ok() {
                 last_sent = Some(budget);
             }
@@ -168,7 +168,7 @@
     endpoints: EndpointSnapshot,
     host: &dyn HotRestartHost,
 ) -> io::Result<()> {
-    let budget = host.shrink_budget(Activity::Serving);
+    let budget = host.shrink_budget(DrainState::Serving);
     let handover = Message::Handover(endpoints, budget).to_line();
     let sent = socket::send_listener(socket.inner(), listener.socket());
     host.peer_changed(PeerProcessState::Starting);
--- a/src/net/lifecycle/budget.rs
+++ b/src/net/lifecycle/budget.rs
@@ -3,7 +3,7 @@
 //! [`ProcessBudget`] first.
 
 use crate::net::descriptors::Descriptors;
-use crate::net::hot_restart::{Activity, BudgetGrant, ResourceBudget};
+use crate::net::hot_restart::{BudgetGrant, DrainState, ResourceBudget};
 use crate::net::memory::MemoryBudget;
 use std::sync::Arc;
 
@@ -37,14 +37,14 @@
     /// few descriptors for attempts, and a quarter of the memory.
     ///
     /// Invariant: resources in use are never taken away, even if they exceed this process's part.
-    pub(super) fn shrink(&self, activity: Activity) -> ResourceBudget {
+    pub(super) fn shrink(&self, drain_state: DrainState) -> ResourceBudget {
         let total = self.for_two_processes;
-        let (descriptors, memory_bytes) = match activity {
-            Activity::Draining => (
+        let (descriptors, memory_bytes) = match drain_state {
+            DrainState::Draining => (
                 self.descriptors.shrink(0, SPARE_DESCRIPTORS),
                 self.memory.shrink(total.memory_bytes / DRAINING_MEMORY_DIVISOR),
             ),
-            Activity::Serving => (
+            DrainState::Serving => (
                 self.descriptors.shrink(total.descriptors / SERVING_DIVISOR, 0),
                 self.memory.shrink(total.memory_bytes / SERVING_DIVISOR),
             ),
--- a/src/net/lifecycle/budget/tests.rs
+++ b/src/net/lifecycle/budget/tests.rs
@@ -15,16 +15,16 @@
         memory: Arc::clone(&memory),
     };
 
-    assert_eq!(process.shrink(Activity::Serving), budget(50, all - all / 2));
+    assert_eq!(process.shrink(DrainState::Serving), budget(50, all - all / 2));
     assert!(memory.reserve(all / 2 + 1).is_none(), "half belongs to the peer process");
 
     process.set(BudgetGrant::Full);
     let descriptors: Vec<_> = (0..60).map(|_| process.descriptors.reserve_for_backend()).collect();
     let held = memory.reserve(all / 4 * 3);
     // What is in use is not taken away; the peer process gets it once it is released.
-    assert_eq!(process.shrink(Activity::Serving), budget(40, all - all / 4 * 3));
+    assert_eq!(process.shrink(DrainState::Serving), budget(40, all - all / 4 * 3));
 
     drop(descriptors);
     drop(held);
-    assert_eq!(process.shrink(Activity::Draining), budget(92, all - all / 4));
+    assert_eq!(process.shrink(DrainState::Draining), budget(92, all - all / 4));
 }
--- a/src/net/lifecycle/peer.rs
+++ b/src/net/lifecycle/peer.rs
@@ -5,7 +5,7 @@
 use super::Lifecycle;
 use crate::net::fleet::SecondProcess;
 use crate::net::hot_restart::{
-    Activity, BudgetGrant, CommandError, ControlCommand, HandoverOffer, HotRestartHost, PeerProcessState,
+    BudgetGrant, CommandError, ControlCommand, DrainState, HandoverOffer, HotRestartHost, PeerProcessState,
     ResourceBudget,
 };
 use crate::net::log::log;
@@ -30,8 +30,8 @@
         Some(HandoverOffer { listener, endpoints })
     }
 
-    fn shrink_budget(&self, activity: Activity) -> ResourceBudget {
-        self.services.get().map_or(ResourceBudget::default(), |services| services.budget.shrink(activity))
+    fn shrink_budget(&self, drain_state: DrainState) -> ResourceBudget {
+        self.services.get().map_or(ResourceBudget::default(), |services| services.budget.shrink(drain_state))
     }
 
     fn set_budget(&self, grant: BudgetGrant) {
