--- a/src/logic/fixtures.rs
+++ b/src/logic/fixtures.rs
@@ -7,7 +7,7 @@
 
 const DEDUPLICATION_WINDOW_MS: f64 = 300.0;
 
-/// Safety limits with a fifth of the capacity at the start and a warm-up time of 10 s.
+/// The safety limits with a fifth of the capacity at the start and a warm-up time of 10 s.
 pub(super) const SAFETY_LIMITS: SafetyLimits = SafetyLimits {
     start_capacity: 0.2,
     warm_up_time: TimeSpan::from_ms(10_000.0),
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -27,7 +27,7 @@
 
 /// The parameters of a new [`BackendService`].
 pub struct BackendServiceParameters {
-    /// Receives the outcomes of attempts.
+    /// The receiver of the outcomes of attempts.
     pub dispatcher: Arc<Dispatcher>,
     /// The counters of the process.
     pub counters: Arc<Counters>,
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -25,7 +25,7 @@
     /// The connected stream.
     pub stream: DeadlineStream,
     address: Arc<str>,
-    /// Released when the connection is closed.
+    /// The descriptor of the connection, which is released when the connection is closed.
     _descriptor: BackendDescriptor,
 }
 
--- a/src/net/body_stream.rs
+++ b/src/net/body_stream.rs
@@ -11,7 +11,7 @@
 /// exceed this size by one piece.
 pub const WINDOW_BYTES: usize = 32 * 1024;
 
-/// The state that both ends share under one lock.
+/// The state that the sender and the receiver share under one lock.
 ///
 /// Invariant: no coroutine waits while it holds the lock.
 #[derive(Default)]
@@ -20,9 +20,9 @@
     progress: Progress,
     /// Whether the [`BodyReceiver`] was dropped.
     is_receiver_dropped: bool,
-    /// Called when the receiver has something to read.
+    /// The function that is called when the receiver has something to read.
     waker: Option<Box<dyn Fn() + Send>>,
-    /// Fired when the window has space again.
+    /// The flag that is set when the window has space again.
     space: Option<Arc<SyncFlag>>,
 }
 
--- a/src/net/client/connection/mod.rs
+++ b/src/net/client/connection/mod.rs
@@ -51,7 +51,8 @@
     body: Option<BodyReceiver>,
 }
 
-/// Holds the response to a command once it is available. Locked only to store or take it.
+/// A slot for the response to a command; `None` until the response is available. The lock is held
+/// only to store or take the response.
 type ResponseSlot = Arc<Mutex<Option<EncodedResponse>>>;
 
 /// A command whose response has not been written.
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -41,7 +41,7 @@
 
 /// The parameters of a new [`ClientService`].
 pub struct ClientServiceParameters {
-    /// Receives the requests.
+    /// The receiver of the requests.
     pub dispatcher: Arc<Dispatcher>,
     /// The counters of the process.
     pub counters: Arc<Counters>,
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct Descriptors {
     started: Instant,
-    /// Guards the budget, and makes the check and the change of the counts atomic.
+    /// The budget. The lock makes the check and the change of the counts atomic.
     ///
     /// Invariant: no coroutine waits and no other lock is taken while this one is held.
     budget: Mutex<DescriptorBudget>,
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -30,9 +30,9 @@
 
 /// The parameters of [`Discovery::start`].
 pub struct DiscoveryParameters {
-    /// Receives the endpoint lists.
+    /// The receiver of the endpoint lists.
     pub dispatcher: Arc<Dispatcher>,
-    /// Counts watches and lists.
+    /// The counters of watches and lists.
     pub counters: Arc<Counters>,
     /// The address of discovery.
     pub address: SocketAddr,
@@ -44,7 +44,7 @@
     pub seed: u64,
     /// The sending end of `subscriptions`.
     pub subscribe: Sender<()>,
-    /// Each message requests the next watch.
+    /// The receiving end of the channel of which each message requests the next watch.
     pub subscriptions: Receiver<()>,
 }
 
--- a/src/net/dispatcher/mod.rs
+++ b/src/net/dispatcher/mod.rs
@@ -63,11 +63,11 @@
     pub subscriptions: Sender<()>,
 }
 
-/// The only caller of the decision module. Connects it with clients, backends and discovery.
+/// The only caller of the decision module, which it connects with clients, backends and discovery.
 pub struct Dispatcher {
     clock: Clock,
     counters: Arc<Counters>,
-    /// Guards the decision module and the state of requests and backends, so that events are
+    /// The decision module and the state of requests and backends. The lock ensures that events are
     /// handled one after another.
     ///
     /// Invariant: no coroutine waits while it holds this lock. Callbacks that run under the lock
--- a/src/net/fleet/active_member.rs
+++ b/src/net/fleet/active_member.rs
@@ -7,8 +7,8 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-/// Identifies one activation of this process. A coroutine ends when its own activation is over,
-/// even if the process has become active again.
+/// The identifier of one activation of this process. A coroutine ends when its own activation is
+/// over, even if the process has become active again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ActivationId(pub u64);
 
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -31,7 +31,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Handles a message of the peer directory; the address is that of the member that sent it.
+/// A handler of messages of the peer directory. The address is that of the sending member.
 pub type DirectoryHandler = Box<dyn Fn(SocketAddr, &[u8]) + Send + Sync>;
 
 /// Whether this process is the active member, which has its proxy's name in the fleet.
@@ -49,13 +49,14 @@
     /// The configuration, whose peers may be replaced. Locked before `activity` where both locks
     /// are needed.
     config: Mutex<FleetConfig>,
-    /// Seeds the random numbers of each membership, together with the time of its start.
+    /// The seed of the random numbers of each membership, which is combined with the time of the
+    /// start of the membership.
     seed: u64,
     /// The time at which the fleet's clock is 0.
     started_at: Instant,
     started_at_unix_ms: u64,
-    /// Guards the socket, the membership and the quota, and the order in which quotas are
-    /// published. No thread blocks while it holds this lock.
+    /// The socket, the membership and the quota while this process is active. The lock also guards
+    /// the order in which quotas are published. No thread blocks while it holds this lock.
     activity: Mutex<Activity>,
     /// The number of activations of this process.
     activations: AtomicU64,
--- a/src/net/fleet/process_quota.rs
+++ b/src/net/fleet/process_quota.rs
@@ -26,7 +26,7 @@
     pub limits: FleetLimits,
 }
 
-/// Handles each new quota of this process.
+/// A handler of each new quota of this process.
 pub type QuotaHandler = Box<dyn Fn(ProcessQuota) + Send + Sync>;
 
 /// Whether another process of this proxy serves at the same time.
--- a/src/net/fleet/quota.rs
+++ b/src/net/fleet/quota.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// The leases of one process, with what it needs to exchange quota messages.
+/// The leases of this process, with the state for the exchange of quota messages.
 pub(super) struct QuotaDriver {
     config: QuotaConfig,
     leases: QuotaLeases,
--- a/src/net/hold_up.rs
+++ b/src/net/hold_up.rs
@@ -34,7 +34,7 @@
 pub struct HoldUpMonitor {
     /// The time between two ticks.
     interval: Duration,
-    /// Guards the last tick and the last hold-up.
+    /// The last tick and the last hold-up.
     ///
     /// Invariant: no coroutine waits while it holds this lock.
     state: Mutex<State>,
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -139,6 +139,8 @@
     /// The files of this process's socket. Set once, when this process starts to listen for newer
     /// ones.
     socket: OnceLock<HandoverSocket>,
+    /// The connection to the other process, the pending commands, and whether this process drains.
+    ///
     /// Invariant: no caller blocks while it holds the lock.
     state: Mutex<State>,
 }
--- a/src/net/lifecycle/budget.rs
+++ b/src/net/lifecycle/budget.rs
@@ -9,7 +9,8 @@
 
 /// The minimum budget of the peer process, which can serve no client without descriptors or memory.
 const MIN_PEER_BUDGET: ResourceBudget = ResourceBudget { descriptors: 8, memory_bytes: 512 * 1024 };
-/// Descriptors that a draining process needs beyond those in use, for attempts at backends.
+/// The number of descriptors that a draining process needs beyond those in use, for attempts at
+/// backends.
 const SPARE_DESCRIPTORS: usize = 8;
 /// The divisor of the whole budget that gives the part of a serving process.
 const SERVING_DIVISOR: usize = 2;
--- a/src/net/policy/applier.rs
+++ b/src/net/policy/applier.rs
@@ -19,7 +19,7 @@
 /// format.
 pub(super) const DRIFT_CHANNEL: u8 = 1;
 
-/// Handles a drift message from another process.
+/// A handler of drift messages from other processes.
 pub(super) type DriftMessageHandler = Box<dyn Fn(&Process, &[u8]) + Send + Sync>;
 
 /// Applies policies to the dispatcher and the backends of this proxy.
--- a/src/net/policy/digest.rs
+++ b/src/net/policy/digest.rs
@@ -1,6 +1,6 @@
-//! Digests of the active settings, one for each part. They are computed from the objects that make
-//! the decisions, never from a policy text that was once applied, so that they show what is really
-//! active. [`digest_input`](super::digest_input) defines the hashed text.
+//! Digests of the active settings, one for each part. The digests are computed from the objects
+//! that make the decisions, never from a policy text that was once applied, so that they reflect
+//! the settings that are really active. [`digest_input`] defines the hashed text.
 
 use super::digest_input;
 use crate::settings::Settings;
--- a/src/net/policy/thread.rs
+++ b/src/net/policy/thread.rs
@@ -22,7 +22,8 @@
 /// tasks of the runtime.
 pub(super) struct PolicyThread {
     runtime: Handle,
-    /// Closes the channel when dropped, which signals the thread to stop.
+    /// The sending end of a channel. Dropping it closes the channel, which signals the thread to
+    /// stop.
     _stop: Sender<()>,
 }
 
