--- a/src/logic/balancer/attempts.rs
+++ b/src/logic/balancer/attempts.rs
@@ -32,6 +32,9 @@
         out.push(Action::StartAttempt { request: id, backend, timeout, send_within });
     }
 
+    /// Handles the end of an attempt: updates the state of the backend, then closes, retries or
+    /// gives up the request, or fetches its key from the origin. A request with another attempt in
+    /// flight, and one that is queued, only waits.
     pub(super) fn on_attempt_end(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
         self.record_outcome(end);
         let Some(pending) = self.requests.get_mut(&end.id) else { return };
--- a/src/logic/balancer/backends.rs
+++ b/src/logic/balancer/backends.rs
@@ -15,6 +15,8 @@
 const POLLED_DISCOVERY: &str = "ask";
 
 impl Balancer {
+    /// Applies an update of the endpoint list. After a failure to fetch the list, sets the timer
+    /// for another request of the list.
     pub(super) fn on_endpoint_list(
         &mut self,
         form: ListForm,
--- a/src/logic/balancer/requests.rs
+++ b/src/logic/balancer/requests.rs
@@ -31,6 +31,8 @@
 const WARM_UP_SAMPLE_ID: BackendId = BackendId(u32::MAX);
 
 impl Balancer {
+    /// Handles the arrival of a request: stores the request, sets its timers, and routes or sheds
+    /// it.
     pub(super) fn on_request(&mut self, mut request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         let Some(class) = self.settings.classes.get(usize::from(request.class)).copied() else {
--- a/src/logic/balancer/timers.rs
+++ b/src/logic/balancer/timers.rs
@@ -9,6 +9,7 @@
 use crate::time::Timestamp;
 
 impl Balancer {
+    /// Handles a timer that has fired. Unknown tokens are ignored.
     pub(super) fn on_timer(&mut self, token: u64, out: &mut Vec<Action>) {
         let Some(timer) = TimerKind::decode(token) else { return };
         match timer.kind {
--- a/src/net/dispatcher/submit.rs
+++ b/src/net/dispatcher/submit.rs
@@ -168,7 +168,7 @@
 ///
 /// Inputs: the time at which the response was due, on the monotonic clock.
 /// Reason: the decision module sets a timer for each deadline. If a timer is lost, the client must
-/// not wait for ever.
+/// not wait without a limit.
 /// Source: docs/incidents/2026-12-02-late-final-answers.md.
 fn is_expired(due: Instant) -> bool {
     due.elapsed() >= GUARD_DELAY
