--- a/crates/test-harness/src/recorder.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -75,7 +75,7 @@
     /// If the configuration is invalid.
     pub fn record_active_config(&self, config: &str) {
         let config: Value = serde_json::from_str(config).unwrap();
-        let limits = from_json::figures(&config["settings"]);
+        let limits = from_json::limits(&config["settings"]);
         self.record(HistoryEvent::ConfigActivated { proxy: PROXY.into(), limits });
         self.record_endpoint_list(&config["known"].to_string());
     }
@@ -166,11 +166,11 @@
         self.record(HistoryEvent::AttemptEnded { attempt, end });
     }
 
-    /// Records the quota that a process reports, as a share from 0 to 1. An attempt of the process
-    /// lasts at most `longest_attempt` ms.
-    pub fn record_quota(&self, proxy: &str, part: f64, longest_attempt: Time) {
+    /// Records the quota that a process reports, as a fraction from 0 to 1. An attempt of the
+    /// process lasts at most `longest_attempt` ms.
+    pub fn record_quota(&self, proxy: &str, fraction: f64, longest_attempt: Time) {
         let proxy = proxy.to_owned();
-        self.record(HistoryEvent::QuotaStated { proxy, fraction: part, longest_attempt });
+        self.record(HistoryEvent::QuotaStated { proxy, fraction, longest_attempt });
     }
 
     /// Records the limit of attempts that all proxies together may have in flight at a backend.
--- a/crates/test-harness/src/recorder/from_json.rs
+++ b/crates/test-harness/src/recorder/from_json.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Reads the figures that the rules need from the settings of a configuration.
-pub(super) fn figures(settings: &Value) -> Limits {
+/// Reads the limits that the rules apply from the settings of a configuration.
+pub(super) fn limits(settings: &Value) -> Limits {
     let permissions = &settings["Permissions"];
     let safety = &settings["Safety"];
     let safety_figure = |name: &str| safety[name].as_f64().unwrap();
--- a/src/net/client/connection/close.rs
+++ b/src/net/client/connection/close.rs
@@ -22,7 +22,7 @@
     /// the last response. Therefore the sending direction is shut down first, and input is
     /// discarded until the client has closed the connection too.
     pub(super) fn advance(&mut self) -> Progress {
-        if let Some(reason) = self.handle.close_reason(self.reported.seq) {
+        if let Some(reason) = self.handle.close_reason(self.reported.phase_number) {
             if self.apply_close_order(reason) == Progress::Finished {
                 return Progress::Finished;
             }
@@ -113,6 +113,6 @@
     pub(super) fn must_close(&self) -> bool {
         self.service.closes_when_idle()
             || self.is_due_to_disconnect()
-            || self.handle.close_reason(self.reported.seq).is_some()
+            || self.handle.close_reason(self.reported.phase_number).is_some()
     }
 }
--- a/src/net/client/connection/mod.rs
+++ b/src/net/client/connection/mod.rs
@@ -98,7 +98,7 @@
 struct ReportedPhase {
     phase: Phase,
     /// The number of the phase, counted per connection, by which a close order refers to the phase.
-    seq: PhaseNumber,
+    phase_number: PhaseNumber,
 }
 
 /// A client connection and its open commands.
@@ -166,7 +166,7 @@
             handle,
             stream,
             state: State::Open,
-            reported: ReportedPhase { phase: Phase::Silent, seq: 0 },
+            reported: ReportedPhase { phase: Phase::Silent, phase_number: 0 },
             input: Vec::new(),
             queue_time,
             unread_time: Duration::ZERO,
@@ -255,7 +255,7 @@
         let phase = self.phase();
         let has_progress = activity == IoActivity::Transferred && phase == Phase::ResponseUnread;
         if phase != self.reported.phase || has_progress {
-            self.reported = ReportedPhase { phase, seq: self.service.set_phase(self.id, phase) };
+            self.reported = ReportedPhase { phase, phase_number: self.service.set_phase(self.id, phase) };
         }
     }
 
--- a/src/net/client/registry.rs
+++ b/src/net/client/registry.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the reason of the close order, if there is one for this phase.
-    pub(super) fn close_reason(&self, seq: PhaseNumber) -> Option<CloseOrderReason> {
+    pub(super) fn close_reason(&self, phase_number: PhaseNumber) -> Option<CloseOrderReason> {
         let order = self.order.load(Ordering::Acquire);
         let reasons = [
             CloseOrderReason::Overdue,
@@ -52,15 +52,15 @@
             CloseOrderReason::OverBudget,
             CloseOrderReason::Evicted,
         ];
-        reasons.into_iter().find(|reason| order == encode_order(seq, *reason))
+        reasons.into_iter().find(|reason| order == encode_order(phase_number, *reason))
     }
 }
 
 /// Encodes a close order as one number that can be stored atomically: the count of the phase, and
 /// the reason in the low byte, counted from 1.
-fn encode_order(seq: PhaseNumber, reason: CloseOrderReason) -> u64 {
+fn encode_order(phase_number: PhaseNumber, reason: CloseOrderReason) -> u64 {
     const REASON_BITS: u32 = 8;
-    u64::from(seq) << REASON_BITS | (reason as u64 + 1)
+    u64::from(phase_number) << REASON_BITS | (reason as u64 + 1)
 }
 
 impl ConnectionRegistry {
--- a/src/net/policy/admin/documents.rs
+++ b/src/net/policy/admin/documents.rs
@@ -81,28 +81,29 @@
     reporter: &str,
     clock_start: Duration,
 ) -> Value {
-    let nodes: Vec<Value> = detector.processes().map(|node| drift_node(&node, clock_start)).collect();
+    let processes: Vec<Value> =
+        detector.processes().map(|tracked| process_drift(&tracked, clock_start)).collect();
     let approved = detector.approved();
     let approved_digest = digest::combined_digest(&approved.part_digests);
     json!({
         "approved": {"version": approved.version, "digest": hex(approved_digest)},
         "seen_by": reporter,
-        "nodes": nodes,
+        "nodes": processes,
     })
 }
 
 /// Returns the drift state of one process, with its times in Unix milliseconds.
-fn drift_node(node: &TrackedProcess, clock_start: Duration) -> Value {
+fn process_drift(tracked: &TrackedProcess, clock_start: Duration) -> Value {
     let clock_start_ms = u64::try_from(clock_start.as_millis()).unwrap_or(u64::MAX);
     json!({
-        "name": node.process.name,
-        "start": node.process.start,
-        "state": node.state.as_str(),
-        "version": node.report.version,
-        "digest": hex(digest::combined_digest(&node.report.part_digests)),
-        "parts": node.differing_parts,
-        "since_ms": clock_start_ms + node.state_since.as_millis(),
-        "heard_ms": clock_start_ms + node.last_report_at.as_millis(),
+        "name": tracked.process.name,
+        "start": tracked.process.start,
+        "state": tracked.state.as_str(),
+        "version": tracked.report.version,
+        "digest": hex(digest::combined_digest(&tracked.report.part_digests)),
+        "parts": tracked.differing_parts,
+        "since_ms": clock_start_ms + tracked.state_since.as_millis(),
+        "heard_ms": clock_start_ms + tracked.last_report_at.as_millis(),
     })
 }
 
--- a/src/net/policy/drift_monitor/mod.rs
+++ b/src/net/policy/drift_monitor/mod.rs
@@ -129,7 +129,7 @@
         let report = Report {
             sequence: state.last_sequence,
             version: current_status.active_version,
-            status: node_status(current_status.status),
+            status: process_status(current_status.status),
             part_digests,
             raised_alarms: state.alarms.all_raised(),
         };
@@ -177,7 +177,7 @@
     ProcessKey { name: process.name.to_string(), start: process.start }
 }
 
-fn node_status(status: ConsensusStatus) -> ProcessStatus {
+fn process_status(status: ConsensusStatus) -> ProcessStatus {
     match status {
         ConsensusStatus::Steady | ConsensusStatus::Changing => ProcessStatus::Admitting,
         ConsensusStatus::Fenced => ProcessStatus::Fenced,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -373,7 +373,7 @@
         let state = &mut self.proxies[proxy];
         state.balancer = balancer(proxy, state.incarnation);
         state.alive = true;
-        let (incarnation, limits) = (state.incarnation, recorded_events::figures());
+        let (incarnation, limits) = (state.incarnation, recorded_events::limits());
         self.recorder.record(self.now, HistoryEvent::ConfigActivated { proxy: proxy_name(proxy), limits });
         self.recorder.record_list(self.now, &proxy_name(proxy), true, &list);
         self.feed(proxy, incarnation, Event::EndpointList { form: ListForm::Full, endpoints: list });
--- a/tests/common/recorded_events.rs
+++ b/tests/common/recorded_events.rs
@@ -113,8 +113,8 @@
     }
 }
 
-/// Returns the figures in [`settings_json`], read independently of the program's own parser.
-pub(crate) fn figures() -> Limits {
+/// Returns the limits in [`settings_json`], read independently of the program's own parser.
+pub(crate) fn limits() -> Limits {
     let settings: serde_json::Value = serde_json::from_str(&settings_json(true)).unwrap();
     let figure = |group: &str, name: &str| settings[group][name].as_f64().unwrap();
     let effects = [
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -6,7 +6,7 @@
 
 use common::edited_history::*;
 use common::fleet::{random_script, simulate};
-use common::recorded_events::figures;
+use common::recorded_events::limits;
 use pinetrail_history_checker::{
     check, AttemptEnd, CheckError, History, HistoryEvent, ProxyEnd, Reason, ResponseOutcome, Time,
 };
@@ -66,7 +66,7 @@
     let (at, answer) = history.events[answered].clone();
     assert_violation(&with_event(&history, at, answer.clone()), Reason::DuplicateResponse, &id);
     let HistoryEvent::RequestSent { budget, .. } = history.events[requested].1 else { panic!() };
-    let deadline = history.events[requested].0 + budget + figures().response_slack;
+    let deadline = history.events[requested].0 + budget + limits().response_slack;
     assert_accepted(&with_event_moved(&history, answered, deadline));
     assert_violation(&with_event_moved(&history, answered, deadline + 0.001), Reason::LateResponse, &id);
     let other = HistoryEvent::ResponseReceived {
@@ -137,7 +137,7 @@
 
 #[test]
 fn effects_repeated_outside_their_group_or_window_are_refused() {
-    let window = figures().classes["keyed all"].window;
+    let window = limits().classes["keyed all"].window;
     for class in ["safe", "keyed all", "keyed zone", "keyed cell", "unsafe"] {
         let (history, received, _, id) = history_with_late_response(class);
         let (first, address) = arrival_and_address(&history, received);
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_refusal_after_what_may_have_run_is_refused_unless_repeats_are_dropped_everywhere() {
-    let window = figures().classes["keyed all"].window;
+    let window = limits().classes["keyed all"].window;
     for (class, in_time, late) in [
         ("safe", true, true),
         ("keyed all", true, false),
@@ -205,7 +205,7 @@
 fn more_attempts_than_allowed_or_two_at_once_are_refused() {
     let (mut history, received, _, id) = history_with_late_response("safe");
     let (first, address) = arrival_and_address(&history, received);
-    for n in 1..figures().max_attempts {
+    for n in 1..limits().max_attempts {
         assert_accepted(&history);
         history = with_attempt(&history, received, &address, first + 100.0 * n as Time);
         let last = history.events.iter_mut().filter_map(|event| match &mut event.1 {
--- a/tests/node_histories.rs
+++ b/tests/node_histories.rs
@@ -5,7 +5,7 @@
 
 use common::edited_history::*;
 use common::fleet::{simulate, Fault};
-use common::recorded_events::figures;
+use common::recorded_events::limits;
 use pinetrail_history_checker::{HistoryEvent, Limits, Node, NodeState, Reason, Time};
 
 #[test]
@@ -13,7 +13,7 @@
     let (history, received, _, _) = history_with_late_response("safe");
     let (first, address) = arrival_and_address(&history, received);
     let HistoryEvent::AttemptReceived { proxy, .. } = history.events[received].1.clone() else { panic!() };
-    let limit = figures().drain_grace;
+    let limit = limits().drain_grace;
     let node = history.events.iter().find_map(|event| match &event.1 {
         HistoryEvent::EndpointsListed { nodes, .. } => {
             nodes.iter().find(|node| node.address == address).cloned()
@@ -80,7 +80,7 @@
 fn a_cold_node_that_is_sent_more_than_it_can_take_is_refused() {
     let history = simulate(11, 5000.0, &[(1000.0, Fault::Restart(2))]);
     assert_accepted(&history);
-    let Limits { start_capacity, warm_up_time, overload_multiple, overload_time, .. } = figures();
+    let Limits { start_capacity, warm_up_time, overload_multiple, overload_time, .. } = limits();
     let found = history.events.iter().find_map(|(at, event)| match event {
         HistoryEvent::BackendStarted { capacity, .. } => Some((*at, *capacity)),
         _ => None,
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -87,7 +87,7 @@
     fn record_active_settings(&mut self, attempts: usize) {
         // A proxy that knows of a drain sends nothing more to the backend at once. The time that
         // the rules allow for this is meant for the network.
-        let limits = Limits { max_attempts: attempts, drain_grace: 0.0, ..recorded_events::figures() };
+        let limits = Limits { max_attempts: attempts, drain_grace: 0.0, ..recorded_events::limits() };
         self.recorder.record(self.harness.now, HistoryEvent::ConfigActivated { proxy: PROXY.into(), limits });
     }
 
