--- a/crates/policy-consensus/src/settings.rs
+++ b/crates/policy-consensus/src/settings.rs
@@ -10,7 +10,7 @@
 pub(crate) const MAX_CLOCK_SKEW_PERMILLE: u32 = 20;
 /// The number of thousandths in 1.
 const PERMILLE: u32 = 1000;
-/// The addition to the duration of a lease at its voter, because durations in messages are whole
+/// The allowance in the duration of a lease at its voter, because durations in messages are whole
 /// milliseconds.
 const LEASE_ROUNDING: Duration = Duration::from_millis(1);
 /// The shortest duration that may be configured.
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -28,8 +28,7 @@
 const SKEW_RANGE_PERCENT: RangeInclusive<u64> = 0..=50;
 const GROWTH_STEPS_RANGE: RangeInclusive<u64> = 1..=100;
 
-/// The addition, in ms, that covers fractions of a millisecond, which [`Settings::with_skew`]
-/// drops.
+/// The allowance, in ms, for fractions of a millisecond, which [`Settings::with_skew`] drops.
 const ROUNDING_ALLOWANCE_MS: u64 = 1;
 /// The number of founders from which a quorum has at least two voters.
 const MIN_FOUNDERS_FOR_TWO_VOTERS: usize = 3;
