--- a/crates/config/src/golden_tests.rs
+++ b/crates/config/src/golden_tests.rs
@@ -103,85 +103,91 @@
     Duration::from_millis(ms)
 }
 
-fn same<T: PartialEq + Debug>(read: T, recorded: T) {
+fn assert_recorded<T: PartialEq + Debug>(read: T, recorded: T) {
     assert_eq!(read, recorded);
 }
 
 #[test]
 fn the_outermost_keys_are_read() {
     let config = complete();
-    same(&*config.name, "p1");
-    same(config.listen, at("127.0.0.1:7001"));
-    same(config.discovery, at("127.0.0.1:7002"));
-    same(config.admin, Some(at("127.0.0.1:7003")));
-    same(config.seed, 0x1f);
-    same(config.limits, Limits { sockets: 2048, memory_mb: 256 });
-    same(config.connect_timeout, ms(125));
+    assert_recorded(&*config.name, "p1");
+    assert_recorded(config.listen, at("127.0.0.1:7001"));
+    assert_recorded(config.discovery, at("127.0.0.1:7002"));
+    assert_recorded(config.admin, Some(at("127.0.0.1:7003")));
+    assert_recorded(config.seed, 0x1f);
+    assert_recorded(config.limits, Limits { sockets: 2048, memory_mb: 256 });
+    assert_recorded(config.connect_timeout, ms(125));
 }
 
 #[test]
 fn the_environment_overrides_the_admin_address_of_the_file() {
     let config = Config::from_json(COMPLETE.as_bytes(), Some("127.0.0.1:7004".into())).unwrap();
-    same(config.admin, Some(at("127.0.0.1:7004")));
+    assert_recorded(config.admin, Some(at("127.0.0.1:7004")));
 }
 
 #[test]
 fn the_keys_of_cached_endpoints_are_read() {
     let list = complete().cached_endpoints;
-    same((list.generation, list.reset, list.instances.len()), (9, true, 1));
+    assert_recorded((list.generation, list.reset, list.instances.len()), (9, true, 1));
     let node = &list.instances[0];
-    same((&*node.instance_id, &*node.host_port), ("o", "127.0.0.1:7011"));
-    same((&*node.zone, &*node.machine_type, node.cell), ("east", "origin", 3));
-    same((&*node.lifecycle, node.weight, node.started_at_ms), ("ready", 1.5, 1000.0));
+    assert_recorded((&*node.instance_id, &*node.host_port), ("o", "127.0.0.1:7011"));
+    assert_recorded((&*node.zone, &*node.machine_type, node.cell), ("east", "origin", 3));
+    assert_recorded((&*node.lifecycle, node.weight, node.started_at_ms), ("ready", 1.5, 1000.0));
 }
 
 #[test]
 fn the_keys_of_the_fleet_are_read() {
     let fleet = complete().fleet.unwrap();
-    same((fleet.bind, fleet.advertise), (at("127.0.0.1:7101"), Some(at("127.0.0.2:7101"))));
+    assert_recorded((fleet.bind, fleet.advertise), (at("127.0.0.1:7101"), Some(at("127.0.0.2:7101"))));
     let settings = fleet.settings;
-    same((&*settings.fleet, &*settings.name), ("f1", "p1"));
-    same(settings.advertise, at("127.0.0.2:7101"));
-    same(settings.peers, vec![at("127.0.0.3:7101"), at("127.0.0.4:7101")]);
-    same(settings.size, 5);
+    assert_recorded((&*settings.fleet, &*settings.name), ("f1", "p1"));
+    assert_recorded(settings.advertise, at("127.0.0.2:7101"));
+    assert_recorded(settings.peers, vec![at("127.0.0.3:7101"), at("127.0.0.4:7101")]);
+    assert_recorded(settings.size, 5);
     let timing = settings.timing;
     let probing = (timing.probe_period, timing.probe_timeout, timing.suspicion_timeout);
-    same(probing, (ms(500), ms(170), ms(1100)));
+    assert_recorded(probing, (ms(500), ms(170), ms(1100)));
     let intervals = (timing.gossip_interval, timing.reconnect_interval, timing.discovery_interval);
-    same(intervals, (ms(110), ms(1200), ms(1300)));
-    same(timing.retention, ms(500_000));
+    assert_recorded(intervals, (ms(110), ms(1200), ms(1300)));
+    assert_recorded(timing.retention, ms(500_000));
 }
 
 #[test]
 fn the_keys_of_quota_leases_are_read() {
     let quota = complete().fleet.unwrap().quota.unwrap();
-    same((quota.limits.per_node, quota.limits.origin), (100.0, 50.0));
+    assert_recorded((quota.limits.per_node, quota.limits.origin), (100.0, 50.0));
     let settings = quota.settings;
     let founders = ["127.0.0.2:7101", "127.0.0.3:7101", "127.0.0.4:7101"];
-    same(settings.founders, founders.map(at).to_vec());
-    same((settings.size, settings.heartbeat_period, settings.vote_duration), (5, ms(310), ms(1210)));
-    same((settings.lease_duration, settings.max_attempt_duration), (ms(3010), ms(2510)));
+    assert_recorded(settings.founders, founders.map(at).to_vec());
+    assert_recorded(
+        (settings.size, settings.heartbeat_period, settings.vote_duration),
+        (5, ms(310), ms(1210)),
+    );
+    assert_recorded((settings.lease_duration, settings.max_attempt_duration), (ms(3010), ms(2510)));
 }
 
 #[test]
 fn the_keys_of_the_policy_are_read() {
     let config = complete();
     let policy = config.policy().unwrap();
-    same((policy.bind, policy.advertise), (at("127.0.0.1:7201"), at("127.0.0.2:7201")));
-    same(policy.state_dir.clone(), Some("state".into()));
+    assert_recorded((policy.bind, policy.advertise), (at("127.0.0.1:7201"), at("127.0.0.2:7201")));
+    assert_recorded(policy.state_dir.clone(), Some("state".into()));
     let times = &policy.timing;
-    same(
+    assert_recorded(
         (times.lease_duration, times.renewal_interval, times.readiness_timeout),
         (ms(2100), ms(510), ms(1510)),
     );
-    same(
+    assert_recorded(
         (times.closing_timeout, times.change_timeout, times.request_timeout),
         (ms(310), ms(60_010), ms(210)),
     );
-    same((policy.change_wait, policy.catch_up_warning), (ms(160), ms(10_010)));
-    same((policy.lease_expiry_mode, policy.allows_local_reload), (LeaseExpiryMode::FailOpen, true));
-    same(policy.restore_after, Some(ms(5000)));
-    same((policy.voters.0, policy.voter_id, policy.max_peers), (3, Some(0), 5));
+    assert_recorded((policy.change_wait, policy.catch_up_warning), (ms(160), ms(10_010)));
+    assert_recorded(
+        (policy.lease_expiry_mode, policy.allows_local_reload),
+        (LeaseExpiryMode::FailOpen, true),
+    );
+    assert_recorded(policy.restore_after, Some(ms(5000)));
+    assert_recorded((policy.voters.0, policy.voter_id, policy.max_peers), (3, Some(0), 5));
 }
 
 #[test]
@@ -191,9 +197,9 @@
         Config::from_json(text.as_bytes(), None).unwrap()
     };
     let refuses = with(r#""when_cut": "serve""#, r#""when_cut": "refuse""#);
-    same(refuses.policy().unwrap().lease_expiry_mode, LeaseExpiryMode::FailClosed);
+    assert_recorded(refuses.policy().unwrap().lease_expiry_mode, LeaseExpiryMode::FailClosed);
     let cell = with(r#""DedupScope": "zone""#, r#""DedupScope": "cell""#);
-    same(cell.settings.classes[1].deduplication_scope, DeduplicationScope::Cell);
+    assert_recorded(cell.settings.classes[1].deduplication_scope, DeduplicationScope::Cell);
 }
 
 fn span(ms: f64) -> TimeSpan {
@@ -204,34 +210,37 @@
 fn the_keys_of_the_classes_are_read() {
     let config = complete();
     let classes = &config.settings.classes;
-    same(config.names.classes().join(" "), "read write once".into());
-    same(classes.len(), 3);
+    assert_recorded(config.names.classes().join(" "), "read write once".into());
+    assert_recorded(classes.len(), 3);
     let idempotency: Vec<Idempotency> = classes.iter().map(|class| class.idempotency).collect();
-    same(idempotency, vec![Idempotency::Idempotent, Idempotency::IdempotencyKey, Idempotency::NotIdempotent]);
+    assert_recorded(
+        idempotency,
+        vec![Idempotency::Idempotent, Idempotency::IdempotencyKey, Idempotency::NotIdempotent],
+    );
     let scopes: Vec<DeduplicationScope> = classes.iter().map(|class| class.deduplication_scope).collect();
-    same(scopes, vec![DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::All]);
+    assert_recorded(scopes, vec![DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::All]);
     let write = &classes[1];
-    same((write.latency_objective, write.client_timeout), (span(20.0), span(200.5)));
-    same((write.deduplication_window, write.priority_weight), (span(3000.0), 2.5));
+    assert_recorded((write.latency_objective, write.client_timeout), (span(20.0), span(200.5)));
+    assert_recorded((write.deduplication_window, write.priority_weight), (span(3000.0), 2.5));
 }
 
 #[test]
 fn the_keys_of_the_settings_are_read() {
     let config = complete();
     let settings = &config.settings;
-    same((settings.group_size, settings.my_number, settings.zone), (5, 2, 1));
-    same((&*settings.discovery, settings.tick), ("push", span(2.5)));
+    assert_recorded((settings.group_size, settings.my_number, settings.zone), (5, 2, 1));
+    assert_recorded((&*settings.discovery, settings.tick), ("push", span(2.5)));
     let limits = settings.limits;
-    same((limits.max_attempts, limits.idle_connection_timeout), (3, span(60_000.0)));
-    same(limits.max_retry_after, span(5000.0));
+    assert_recorded((limits.max_attempts, limits.idle_connection_timeout), (3, span(60_000.0)));
+    assert_recorded(limits.max_retry_after, span(5000.0));
     let safety = &settings.safety_limits;
-    same((safety.start_capacity, safety.warm_up_time), (0.25, span(30_000.0)));
-    same((safety.overload_multiple, safety.overload_time), (1.75, span(500.0)));
-    same(safety.max_poll_interval, span(2000.0));
-    same((settings.costs.zone_crossing, settings.backend_kinds.origin_kind), (0.125, 0));
+    assert_recorded((safety.start_capacity, safety.warm_up_time), (0.25, span(30_000.0)));
+    assert_recorded((safety.overload_multiple, safety.overload_time), (1.75, span(500.0)));
+    assert_recorded(safety.max_poll_interval, span(2000.0));
+    assert_recorded((settings.costs.zone_crossing, settings.backend_kinds.origin_kind), (0.125, 0));
     let names = &config.names;
-    same((names.class("once"), names.is_keyed(1)), (Some(2), true));
-    same((names.tenant("second"), names.kind("small"), names.zone("west")), (Some(1), 1, 1));
+    assert_recorded((names.class("once"), names.is_keyed(1)), (Some(2), true));
+    assert_recorded((names.tenant("second"), names.kind("small"), names.zone("west")), (Some(1), 1, 1));
 }
 
 /// Returns the parsed configuration as text, without the JSON from which it was parsed; `None` if
