--- a/crates/history-checker/src/draining.rs
+++ b/crates/history-checker/src/draining.rs
@@ -12,7 +12,7 @@
     /// When the node became ready or not ready, in ms. The drain grace of a node that is not ready
     /// counts from this time.
     since: Time,
-    /// The index of the event at this time.
+    /// The index of the event that made the node ready or not ready.
     event: usize,
 }
 
@@ -21,7 +21,8 @@
 struct NodeList<'a> {
     /// The listed nodes by their names.
     nodes: BTreeMap<&'a str, ListedNode<'a>>,
-    /// How long after a drain was listed the proxy may still send new attempts, in ms.
+    /// The time after the listing of a drain within which the proxy may still send new attempts, in
+    /// ms.
     drain_grace: Time,
 }
 
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Returns why no new attempt may go to an address at a time; none if one may.
+    /// Returns the reason for which no new attempt may go to an address at a time; none if new
+    /// attempts may go there.
     fn forbids(&self, address: &str, at: Time, clock_error: Time) -> Option<Forbidden> {
         let here: Vec<&ListedNode> =
             self.nodes.values().filter(|listed| listed.node.address == address).collect();
--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -46,7 +46,7 @@
     ProxyEnded {
         /// The name of the proxy.
         proxy: String,
-        /// How the process ended.
+        /// Whether the process was killed or exited by itself.
         how: ProxyEnd,
     },
     /// The last byte of a client's request was written.
@@ -57,7 +57,7 @@
         request: String,
         /// The name of the request's class.
         class: String,
-        /// How long the client waits for the response, in ms.
+        /// The time for which the client waits for the response, in ms.
         budget: Time,
     },
     /// A body stream began to arrive in response. From then on the request has no deadline.
@@ -69,7 +69,7 @@
     ResponseReceived {
         /// The id of the request.
         request: String,
-        /// What the response says.
+        /// The outcome that the response states.
         outcome: ResponseOutcome,
     },
     /// The client closed its connection, so that no response is due any more.
@@ -113,12 +113,12 @@
     AttemptEnded {
         /// The number of the attempt.
         attempt: u64,
-        /// How the attempt ended.
+        /// The response of the backend, or the loss of the connection.
         end: AttemptEnd,
     },
 }
 
-/// How a proxy's process ended.
+/// The end of a proxy's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyEnd {
     /// The process was killed, so that its open requests need no response.
@@ -138,7 +138,7 @@
     Failed,
 }
 
-/// How an attempt ended.
+/// The end of an attempt, which tells whether the request may have run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The backend served the attempt, with this value or receipt.
@@ -153,7 +153,7 @@
     Broken,
 }
 
-/// Whether a node may get new attempts.
+/// The state of a node, which decides whether the node may get new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
     /// The node may get new attempts.
@@ -175,7 +175,7 @@
     pub zone: u16,
     /// The number of the node's cell.
     pub cell: u16,
-    /// Whether the node may get new attempts.
+    /// The state in which the node is listed.
     pub state: NodeState,
     /// When the node last started, on the clock of the history. The time may lie before the first
     /// event.
@@ -212,7 +212,7 @@
     pub idempotency: Idempotency,
     /// The group of backends that drops repeats.
     pub scope: DeduplicationScope,
-    /// The deduplication window, in ms: for how long the group drops repeats.
+    /// The deduplication window: the time for which the group drops repeats, in ms.
     pub window: Time,
 }
 
@@ -225,9 +225,10 @@
     pub max_attempts: usize,
     /// Whether two attempts of a request may be in flight at once.
     pub allows_hedging: bool,
-    /// How long after its deadline a response still counts as in time, in ms.
+    /// The time after its deadline within which a response still counts as in time, in ms.
     pub response_slack: Time,
-    /// How long after a drain was listed new attempts may still go to the node, in ms.
+    /// The time after the listing of a drain within which new attempts may still go to the node,
+    /// in ms.
     pub drain_grace: Time,
     /// The fraction of its capacity that a node has when it starts.
     pub start_capacity: f64,
--- a/crates/history-checker/src/quota.rs
+++ b/crates/history-checker/src/quota.rs
@@ -9,7 +9,7 @@
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Checks the quotas that proxies stated, and the number of attempts that backends had in flight.
-/// The history needs no request for that.
+/// Unlike [`check`](crate::check), accepts a history without requests.
 ///
 /// # Errors
 ///
--- a/crates/history-checker/src/repetition.rs
+++ b/crates/history-checker/src/repetition.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Returns why an attempt could repeat the effect of an earlier attempt that may have run; none
-    /// if it could not.
+    /// Returns the reason for which an attempt could repeat the effect of an earlier attempt that
+    /// may have run; none if the effect cannot be repeated.
     fn repeat_violation(&self, ran: &Attempt, attempt: &Attempt) -> Option<Reason> {
         let class = &self.request.class;
         let elapsed = attempt.began_at - ran.began_at;
--- a/crates/history-checker/src/request_index.rs
+++ b/crates/history-checker/src/request_index.rs
@@ -18,7 +18,7 @@
     pub proxy: &'a str,
     pub limits: &'a Limits,
     pub class: Class,
-    /// How long the client waits for the response, in ms.
+    /// The time for which the client waits for the response, in ms.
     pub budget: Time,
     /// When a body stream began to arrive in response.
     pub body_began: Option<Time>,
@@ -44,11 +44,11 @@
     pub address: &'a str,
     /// When the first byte of the attempt arrived at the backend.
     pub began_at: Time,
-    /// When and how the attempt ended; none if it is in flight at the end of the history.
+    /// The end of the attempt; none if the attempt is in flight at the end of the history.
     pub end: Option<ObservedEnd<'a>>,
 }
 
-/// When and how an attempt ended.
+/// The end of an attempt, and its time in ms.
 pub(crate) struct ObservedEnd<'a> {
     pub at: Time,
     pub end: &'a AttemptEnd,
--- a/crates/history-checker/src/slow_start.rs
+++ b/crates/history-checker/src/slow_start.rs
@@ -5,8 +5,8 @@
 use crate::violation::{Reason, Violation};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The least share of the work of an overload, sent by proxies that knew of the node's start, at
-/// which the overload counts as a violation.
+/// The smallest share of an overload's work that must come from proxies that knew of the node's
+/// start, so that the overload counts as a violation; from 0 to 1.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
 /// The work of an attempt that was sent to a node.
--- a/crates/history-checker/src/violation.rs
+++ b/crates/history-checker/src/violation.rs
@@ -23,7 +23,7 @@
     PolicyActivation,
 }
 
-/// How a rule is violated.
+/// The kind of a violation, from which the violated rule follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
     /// A request never had its response.
@@ -72,7 +72,7 @@
 }
 
 impl Reason {
-    /// The rule that is violated.
+    /// Returns the rule that is violated.
     pub fn rule(self) -> Rule {
         use Reason::*;
         match self {
@@ -95,7 +95,7 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// How the rule is violated.
+    /// The kind of the violation.
     pub reason: Reason,
     /// The request, the node's address, the proxy or the policy versions at fault.
     pub subject: String,
@@ -121,8 +121,9 @@
     /// The history has events, but no client sent a request.
     #[error("the history has no request")]
     NoRequest,
-    /// An event is earlier than the one before it.
-    #[error("event {0} is earlier than the one before it")]
+    /// An event is earlier than the event before it, or a policy decision was answered before its
+    /// request was sent.
+    #[error("event {0} is earlier than the event before it, or answered before its request was sent")]
     OutOfOrder(usize),
     /// An event names a proxy, class, request or attempt that no earlier event introduced.
     #[error("event {0} names a proxy, class, request or attempt that no earlier event introduced")]
