--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -25,9 +25,9 @@
 pub trait Member {
     /// Returns the time at which [`Member::handle_timeout`] is to be called next.
     fn next_timeout(&self) -> Option<Timestamp>;
-    /// Does what is due by now.
+    /// Performs the actions that are due by `now`, and adds the outputs to `out`.
     fn handle_timeout(&mut self, now: Timestamp, out: &mut Vec<Output>);
-    /// Handles a datagram that was received.
+    /// Handles a datagram that was received, and adds the outputs to `out`.
     fn handle_datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8], out: &mut Vec<Output>);
 }
 
--- a/crates/simulation/src/fleet/members.rs
+++ b/crates/simulation/src/fleet/members.rs
@@ -98,8 +98,8 @@
         self.member(host).map_or_else(MembershipCounters::default, Membership::counters)
     }
 
-    /// Returns the number of observed events in which a member declared another failed. All of them
-    /// are false alarms if nothing was killed.
+    /// Returns the number of observed events in which a member declared another failed. If nothing
+    /// was killed, all these events are false alarms.
     pub fn false_failures(&self) -> usize {
         self.observed.iter().filter(|observed| observed.is_about(MemberState::Failed)).count()
     }
--- a/crates/simulation/src/model/state.rs
+++ b/crates/simulation/src/model/state.rs
@@ -12,7 +12,7 @@
     SocketAddr::from(([10, 0, 0, host as u8], 1))
 }
 
-/// One direction between two hosts.
+/// A directed link between two hosts, which are given by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Link {
     /// The host that sends the messages.
@@ -92,6 +92,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) now: Time,
+    /// The leases of the process on each host; none if no process runs there.
     pub(super) hosts: Vec<Option<QuotaLeases>>,
     /// The number of processes that were started on each host so far.
     pub(super) starts: Vec<u64>,
@@ -99,6 +100,7 @@
     pub(super) believed_dead: BTreeSet<usize>,
     pub(super) cuts: BTreeSet<Link>,
     pub(super) message_faults: BTreeSet<(Link, MessageFault)>,
+    /// Messages that are held back until [`Action::Release`].
     pub(super) held: Vec<Delivery>,
     /// Messages in the sockets of paused processes.
     pub(super) inbox: Vec<Delivery>,
--- a/crates/simulation/src/origin.rs
+++ b/crates/simulation/src/origin.rs
@@ -8,7 +8,7 @@
 
 /// The load at which an origin goes down, as a multiple of its capacity.
 const OUTAGE_LOAD: f64 = 2.0;
-/// The power of the load by which a call takes longer beyond the capacity.
+/// The exponent of the load in the duration of a call beyond the capacity.
 const OVERLOAD_EXPONENT: i32 = 2;
 
 /// A call in flight.
--- a/crates/simulation/src/origin/tests.rs
+++ b/crates/simulation/src/origin/tests.rs
@@ -21,7 +21,7 @@
         assert!(origin.begin_call(200, caller).is_empty());
     }
 
-    // The third takes (3/2)^2 times as long.
+    // The third call takes (3/2)^2 times as long.
     assert_eq!((origin.take_ended(300), origin.calls_in_flight()), (vec![0, 1], 1));
 }
 
--- a/crates/simulation/src/policy_consensus/host.rs
+++ b/crates/simulation/src/policy_consensus/host.rs
@@ -28,6 +28,7 @@
 const VOTER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// The longest time for which requests wait for a change to be committed.
 const CHANGE_WAIT: Duration = Duration::from_millis(150);
+/// The delay after which rejected requests may be retried.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 /// The longest time for which an operator waits for the answer to a proposal.
 const PROPOSAL_TIME_LIMIT: Duration = Duration::from_millis(800);
@@ -153,8 +154,8 @@
         };
         checker.record_status(self.number, host_status);
         for id in checker.changes_without_outcome() {
-            // Only outcomes that this host knows by itself are reported, as asking others takes a
-            // while.
+            // Only outcomes that this host knows by itself are reported, since a query to other
+            // hosts takes simulated time.
             if let Some(outcome) = self.node.change_outcome(&id) {
                 checker.record_outcome(&id, outcome);
             }
--- a/crates/simulation/src/policy_consensus/plan.rs
+++ b/crates/simulation/src/policy_consensus/plan.rs
@@ -61,7 +61,7 @@
     Free,
 }
 
-/// What a host finds on its disk when it starts.
+/// The content of a host's disk when the host starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskAtStart {
     /// The disk has what the host stored last.
@@ -189,7 +189,7 @@
     }
 }
 
-/// Returns what ends all faults: after the repairs every host is up and connected, and its disk has
+/// Returns the steps that end all faults, so that every host is up and connected and its disk has
 /// room.
 fn repairs(hosts: usize) -> Vec<ScheduledFault> {
     let mut repairs = vec![Fault::Heal];
--- a/crates/simulation/src/policy_consensus/run.rs
+++ b/crates/simulation/src/policy_consensus/run.rs
@@ -44,7 +44,7 @@
     pub version: u64,
 }
 
-/// Whether a run keeps the invariants, or how it violates them.
+/// The result of checking a run against the invariants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The run keeps all invariants.
--- a/crates/simulation/src/policy_consensus/run_checker.rs
+++ b/crates/simulation/src/policy_consensus/run_checker.rs
@@ -1,6 +1,6 @@
 //! Records what is observed in a run, and checks it. Read [`Verdict`] first.
 //!
-//! The checker knows what is promised to operators, and nothing of the code that is checked.
+//! The checks use only what is promised to operators, and no knowledge of the code that they check.
 
 use super::plan::Plan;
 use super::policies::is_rejected_at;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// The status of a host that operators would see.
+/// The status of a host as operators would see it.
 #[derive(Clone, Debug)]
 pub(super) struct HostStatus {
     pub(super) version: u64,
@@ -51,7 +51,7 @@
 /// Collects what is observed in a run, and checks it. Clones share their observations.
 #[derive(Clone, Default)]
 pub(super) struct RunChecker {
-    /// What was observed so far, and its lock.
+    /// The observations so far, and their lock.
     observations: Arc<Mutex<Observations>>,
 }
 
--- a/crates/simulation/src/quota.rs
+++ b/crates/simulation/src/quota.rs
@@ -187,7 +187,7 @@
     pub fn start(&mut self, host: usize) {
         self.kill(host);
         self.hosts[host].starts += 1;
-        // Each process counts time from its own start.
+        // Each process counts time from its own start, so its clock shows an arbitrary time.
         let shown_at_start = self.rng.random_range(0..1 << 30);
         let clock = Clock { shown_at_start, started_at: self.now, ..self.hosts[host].clock };
         let leases = QuotaLeases::new(self.settings.clone(), self.process(host), clock.shown_at(self.now))
--- a/crates/simulation/src/seeds.rs
+++ b/crates/simulation/src/seeds.rs
@@ -85,7 +85,7 @@
     simulation
 }
 
-/// Draws a fault, or the end of a fault. The numbers of the match arms must not change, because
+/// Injects a random fault, or ends a fault. The numbers of the match arms must not change, because
 /// they determine the faults of a seed.
 fn inject_fault(simulation: &mut QuotaSimulation) {
     let host = simulation.rng.random_range(0..HOSTS);
