--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -83,7 +83,8 @@
     if mapped == libc::MAP_FAILED {
         return Err(std::io::Error::last_os_error());
     }
-    // SAFETY: as above; every bit pattern is a valid value of the fields.
+    // SAFETY: the mapping has the size of `ControlFile` and is never unmapped; every bit pattern is
+    // a valid value of the fields.
     Ok(unsafe { &*mapped.cast::<ControlFile>() })
 }
 
