--- a/crates/test-harness/src/arrival.rs
+++ b/crates/test-harness/src/arrival.rs
@@ -13,7 +13,8 @@
 use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// File that shows, among others, how long the reading thread has waited for a processor.
+/// Path of the file that shows, among others, how long the reading thread has waited for a
+/// processor.
 const SCHEDSTAT_PATH: &str = "/proc/thread-self/schedstat";
 /// Longest time until the kernel begins to timestamp segments.
 const START_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/test-harness/src/barrier.rs
+++ b/crates/test-harness/src/barrier.rs
@@ -1,5 +1,5 @@
-//! A server that the test drives step by step: it accepts, reads and writes only when the test says
-//! so. [`AcceptBarrier`] accepts connections; [`AcceptedConnection`] is one of them.
+//! A server that accepts, reads and writes only when the test calls it. [`AcceptBarrier`] accepts
+//! connections; each is an [`AcceptedConnection`], which reads requests and writes responses.
 
 use crate::stub_server::read_request;
 use crate::WAIT_TIMEOUT;
--- a/crates/test-harness/src/config.rs
+++ b/crates/test-harness/src/config.rs
@@ -1,4 +1,4 @@
-//! A configuration file that the proxy accepts: [`config`].
+//! Builds the configuration of a proxy under test: [`config`].
 
 /// The settings of every configuration, as JSON.
 const SETTINGS: &str = r#"{"GroupSize":1,"MyNumber":0,"Discovery":"ask","Zones":["a"],"Zone":0,"Tick":1.0,
--- a/crates/test-harness/src/fault_proxy/datagram.rs
+++ b/crates/test-harness/src/fault_proxy/datagram.rs
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Returns how many datagrams the path from one member to another has delivered and lost.
+    /// Returns the numbers of datagrams that the path from one member to another has delivered and
+    /// lost.
     ///
     /// # Panics
     /// If a thread of the proxies has panicked.
--- a/crates/test-harness/src/fault_proxy/path.rs
+++ b/crates/test-harness/src/fault_proxy/path.rs
@@ -37,7 +37,7 @@
 }
 
 impl PathFaults {
-    /// A path without faults, which every path is at first.
+    /// No faults: the initial state of every path.
     pub(super) const NONE: PathFaults = PathFaults {
         partitioned: false,
         loss: 0.0,
@@ -49,7 +49,7 @@
     };
 }
 
-/// How many datagrams a path has delivered and lost.
+/// The numbers of datagrams that a path has delivered and lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PathCounts {
     /// The number of datagrams that were forwarded to the receiver.
--- a/crates/test-harness/src/fault_proxy/peer.rs
+++ b/crates/test-harness/src/fault_proxy/peer.rs
@@ -18,7 +18,8 @@
 /// Largest number of bytes that are read at once on a path with a rate limit.
 const THROTTLED_READ_BYTES: usize = 256;
 
-/// One of the two streams of an open connection: to the member that dialed, or to the other one.
+/// A stream of an open connection, either to the member that dialed or to the member that was
+/// dialed.
 struct OpenStream {
     path: Path,
     stream: TcpStream,
@@ -107,7 +108,7 @@
     }
 }
 
-/// One connection between two members.
+/// A connection between two members.
 struct Connection {
     path: Path,
     target: SocketAddr,
--- a/crates/test-harness/src/fleet/launch.rs
+++ b/crates/test-harness/src/fleet/launch.rs
@@ -55,7 +55,7 @@
     /// If the process does not log its addresses or is not ready in time.
     pub fn wait_until_ready(&self, member: usize, mut starting: StartingProcess) -> Process {
         let child = starting.child.take().expect("a starting process is waited for only once");
-        // The process is owned by this value from here on, so that a panic ends it.
+        // From here on `process` owns the child, so that a panic kills the child.
         let unknown = self.advertised_address(member);
         let mut process = Process { child, client_address: unknown, admin_address: unknown, ended: false };
         let mut client_address = None;
@@ -77,8 +77,8 @@
         process
     }
 
-    /// Adds each line of a process's log to the timeline and sends it to the receiver that this
-    /// returns. The threads end when the process closes its output.
+    /// Adds each line of a process's log to the timeline and sends it to the returned receiver. The
+    /// threads end when the process closes its output.
     fn follow_log(&self, child: &mut Child, member: usize) -> Receiver<String> {
         let log = BufReader::new(child.stderr.take().expect("standard error is piped"));
         let (sender, lines) = channel();
--- a/crates/test-harness/src/fleet/mod.rs
+++ b/crates/test-harness/src/fleet/mod.rs
@@ -37,10 +37,10 @@
 const FIRST_FAULT_PROXY: usize = 101;
 /// Interval between checks of the condition of [`Fleet::wait_until`].
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Numbers the fleets of one test program.
+/// Counter that numbers the fleets of one test program.
 static FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// A fleet of real processes. Dropping it kills all of them.
+/// A fleet of real processes. Dropping the fleet kills all its processes.
 pub struct Fleet {
     /// The options of the fleet.
     pub options: Options,
@@ -170,7 +170,8 @@
         Client::connect(self.process(member).client_address)
     }
 
-    /// Returns the view of the fleet that a member reports; `None` if its status is not 200.
+    /// Returns the view of the fleet that a member reports; `None` if the response's status is not
+    /// 200.
     ///
     /// # Panics
     /// If the member does not run or the response is not JSON.
@@ -203,7 +204,7 @@
         while !holds(self) {
             assert!(
                 Instant::now() < deadline,
-                "timed out waiting until {what}; the timeline:\n{}",
+                "timed out after twice {WAIT_TIMEOUT:?} waiting until {what}; the timeline:\n{}",
                 self.timeline
             );
             thread::sleep(POLL_INTERVAL);
--- a/crates/test-harness/src/fleet/options.rs
+++ b/crates/test-harness/src/fleet/options.rs
@@ -1,4 +1,4 @@
-//! The options of a test's fleet: its size and what its members are configured with.
+//! The options of a test's fleet: its size and the configuration of its members.
 
 /// The number of members of a fleet and their configuration.
 #[derive(Clone, Debug)]
@@ -11,8 +11,8 @@
     pub size: usize,
     /// The seed of the random faults between members.
     pub seed: u64,
-    /// `fleet.founders`: the members that are founders, by their numbers; without any there is no
-    /// quota.
+    /// `fleet.founders`: the members that are founders, by their numbers. Without founders there is
+    /// no quota.
     pub founders: Vec<usize>,
     /// `fleet.node_calls`: limit of the attempts that all members together have in flight at one
     /// cache node.
--- a/crates/test-harness/src/fleet/process.rs
+++ b/crates/test-harness/src/fleet/process.rs
@@ -11,7 +11,7 @@
 /// Interval between checks whether a process has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A process of a member that has been ready. Dropping it kills the process.
+/// A process of a member that has been ready. Dropping this value kills the process.
 pub struct Process {
     pub(super) child: Child,
     /// The address at which clients connect.
@@ -27,7 +27,7 @@
     pub fn wait_for_exit(mut self) -> ExitStatus {
         let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait().expect("the process is a child of this one") {
+            if let Some(status) = self.child.try_wait().expect("the process is a child of the test program") {
                 self.ended = true;
                 return status;
             }
@@ -57,7 +57,7 @@
     }
 }
 
-/// A process of a member that may not be ready yet. Dropping it kills the process, unless
+/// A process of a member that may not be ready yet. Dropping this value kills the process, unless
 /// [`Fleet::wait_until_ready`](super::Fleet::wait_until_ready) has taken it.
 pub struct StartingProcess {
     pub(super) child: Option<Child>,
--- a/crates/test-harness/src/fleet/report.rs
+++ b/crates/test-harness/src/fleet/report.rs
@@ -37,7 +37,7 @@
 /// The state and address of a member in a [`Report`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportedMember {
-    /// `alive`, `suspect`, `failed` or `left`.
+    /// The state of the member: `alive`, `suspect`, `failed` or `left`.
     pub state: String,
     /// The address to which datagrams for the member are sent.
     pub address: String,
--- a/crates/test-harness/src/fleet/slot.rs
+++ b/crates/test-harness/src/fleet/slot.rs
@@ -9,7 +9,7 @@
 /// The number of fleets that run, and the condition that notifies waiting tests when one ends.
 static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
-/// A permit to run one fleet, which is released when it is dropped.
+/// A permit to run one fleet. Dropping the permit releases it.
 pub(super) struct FleetSlot;
 
 impl FleetSlot {
--- a/crates/test-harness/src/policy/clients.rs
+++ b/crates/test-harness/src/policy/clients.rs
@@ -14,7 +14,7 @@
 const CLIENTS_PER_MEMBER: usize = 2;
 /// Pause before each request of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(2);
-/// Numbers the requests of one test program.
+/// Counter that numbers the requests of one test program.
 static REQUESTS: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the time in ms on the clock that all clients use; it starts at the first call.
@@ -61,7 +61,7 @@
         clients
     }
 
-    /// Returns how many requests have been rejected so far.
+    /// Returns the number of requests that have been rejected so far.
     pub fn rejected(&self) -> u64 {
         self.shared.rejected.load(Ordering::Acquire)
     }
--- a/crates/test-harness/src/policy/run.rs
+++ b/crates/test-harness/src/policy/run.rs
@@ -1,4 +1,4 @@
-//! Complete runs of a policy change. Read [`PolicyRun`] first, which holds what clients observed.
+//! Complete runs of a policy change. Read [`PolicyRun`] first, the observations of the clients.
 
 use super::{policy_status, propose, settings, PolicyClients};
 use crate::fleet::Fleet;
@@ -14,7 +14,7 @@
 /// Time for which clients send requests before the first reload, and after the pause of the last.
 const TRAFFIC_MARGIN: Duration = Duration::from_millis(200);
 
-/// What clients observed in one run with real processes.
+/// The observations of clients in one run with real processes.
 #[derive(Clone, Debug)]
 pub struct PolicyRun {
     /// The seed of the run; 0 for a run with reloads.
@@ -33,7 +33,7 @@
 }
 
 impl PolicyRun {
-    /// Stops the clients and evaluates what they observed.
+    /// Stops the clients and evaluates their observations.
     fn evaluate(seed: u64, clients: PolicyClients, version: u64) -> PolicyRun {
         let rejected = clients.rejected();
         let decisions = clients.stop();
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -30,7 +30,7 @@
 static PROGRAM: OnceLock<Program> = OnceLock::new();
 /// Folder in which the logs of processes are kept; unset unless [`keep_request_logs`] was called.
 static LOG_FOLDER: OnceLock<PathBuf> = OnceLock::new();
-/// Numbers the configuration files of one test program.
+/// Counter that numbers the configuration files of one test program.
 static CONFIG_FILES: AtomicUsize = AtomicUsize::new(0);
 
 /// A process of the proxy that has logged the addresses at which it listens.
@@ -138,7 +138,7 @@
     address.parse().ok()
 }
 
-/// Sends a signal, by its name without `SIG`, to a process that this one has started.
+/// Sends a signal, by its name without `SIG`, to a process that the test program has started.
 ///
 /// # Panics
 /// If the harness does not support the signal, or the process cannot be signalled.
--- a/crates/test-harness/src/proxy_fixture.rs
+++ b/crates/test-harness/src/proxy_fixture.rs
@@ -1,4 +1,4 @@
-//! One real proxy as a process, with its own stub of discovery. Read [`ProxyFixture`] first.
+//! Runs one real proxy as a process, with its own stub of discovery. Read [`ProxyFixture`] first.
 
 use crate::client::Client;
 use crate::config::config;
--- a/crates/test-harness/src/recorder.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -32,7 +32,7 @@
 #[derive(Default)]
 struct Recording {
     events: Vec<(Time, HistoryEvent)>,
-    /// The number of attempts that have been recorded; the last one has this number.
+    /// The number of attempts that have been recorded, which is also the number of the last one.
     attempts: u64,
 }
 
@@ -214,7 +214,7 @@
     );
 }
 
-/// Returns how an attempt ends whose backend sends this response.
+/// Returns the end of an attempt to which the backend sends this response.
 fn end_of_attempt(text: &str) -> AttemptEnd {
     if text.starts_with("VA ") {
         AttemptEnd::Served(text.lines().nth(1).unwrap_or_default().to_owned())
--- a/crates/test-harness/src/script.rs
+++ b/crates/test-harness/src/script.rs
@@ -107,7 +107,7 @@
     }
 }
 
-/// Draws a fault; returns it and the step that ends it.
+/// Draws a fault; returns the fault, and the second fault that ends the first.
 fn draw_fault(rng: &mut StdRng, members: usize) -> (Fault, Fault) {
     let member = rng.random_range(0..members);
     let other = (member + rng.random_range(1..members)) % members;
--- a/crates/test-harness/src/stub_server.rs
+++ b/crates/test-harness/src/stub_server.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// What a stub server does with a request.
+/// The action of a stub server on a request.
 pub enum StubAction {
     /// Sends this text as the response.
     Reply(String),
@@ -188,7 +188,8 @@
     None
 }
 
-/// Returns how many bytes follow the head or line of a request; `None` if a write has no length.
+/// Returns the number of bytes that follow the head or line of a request; `None` if a write has no
+/// length.
 fn body_length(text: &str, http: bool) -> Option<usize> {
     const LINE_END_BYTES: usize = 2;
     if http {
--- a/crates/test-harness/src/timeline.rs
+++ b/crates/test-harness/src/timeline.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// One event of a process or of the harness.
+/// An event of a process or of the harness.
 #[derive(Clone)]
 struct Entry {
     /// Time since the start of the timeline, in ms.
