--- a/crates/history-checker/src/responses.rs
+++ b/crates/history-checker/src/responses.rs
@@ -60,8 +60,8 @@
             return Ok(());
         }
         let sent = self.request.sent.event;
-        if let Some(left) = self.request.proxy_exited {
-            self.report(Reason::MissingResponse, left.at, vec![sent, left.event]);
+        if let Some(exited) = self.request.proxy_exited {
+            self.report(Reason::MissingResponse, exited.at, vec![sent, exited.event]);
             return Ok(());
         }
         let end = self.history.events.last().map_or(0.0, |event| event.0);
--- a/crates/simulation/src/quota.rs
+++ b/crates/simulation/src/quota.rs
@@ -101,7 +101,7 @@
 
 enum Event {
     Message { to: usize, message: Message },
-    WakeUp { host: usize, number: u64 },
+    WakeUp { host: usize, serial: u64 },
 }
 
 /// An event that a process reported, with its time and host.
@@ -295,8 +295,8 @@
                     self.act(to, |leases, now, out| leases.handle_message(now, &message, out));
                 }
             }
-            Event::WakeUp { host, number } => {
-                if self.hosts[host].wake_up == number && !self.hosts[host].is_paused {
+            Event::WakeUp { host, serial } => {
+                if self.hosts[host].wake_up == serial && !self.hosts[host].is_paused {
                     self.act(host, QuotaLeases::handle_timeout);
                 }
             }
@@ -310,8 +310,8 @@
         let mut out = Vec::new();
         act(leases, shown, &mut out);
         let due = this.clock.time_when(leases.next_timeout()).max(self.now + 1);
-        let number = self.schedule(due, |number| Event::WakeUp { host, number });
-        self.hosts[host].wake_up = number;
+        let serial = self.schedule(due, |serial| Event::WakeUp { host, serial });
+        self.hosts[host].wake_up = serial;
         for output in out {
             match output {
                 Output::Event(event) => {
--- a/crates/test-harness/src/discovery.rs
+++ b/crates/test-harness/src/discovery.rs
@@ -36,14 +36,14 @@
             for stream in listener.incoming().filter_map(Result::ok) {
                 let (watch_sender, recorder) = (watch_sender.clone(), recorder.clone());
                 // An error is ignored: a proxy that is killed may break its connection at any time.
-                thread::spawn(move || drop(Discovery::serve(stream, &watch_sender, &recorder)));
+                thread::spawn(move || drop(Discovery::serve_watch(stream, &watch_sender, &recorder)));
             }
         });
         Discovery { address, watches }
     }
 
     /// Serves one watch.
-    fn serve(
+    fn serve_watch(
         mut stream: TcpStream,
         watch_sender: &Sender<(String, Sender<String>)>,
         recorder: &Recorder,
@@ -108,7 +108,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().filter_map(Result::ok) {
                 let state = Arc::clone(&serving);
-                thread::spawn(move || drop(StaticDiscovery::watch(stream, &state)));
+                thread::spawn(move || drop(StaticDiscovery::serve_watch(stream, &state)));
             }
         });
         StaticDiscovery { address, state }
@@ -131,7 +131,7 @@
         self.state.1.notify_all();
     }
 
-    fn watch(mut stream: TcpStream, state: &(Mutex<PublishedList>, Condvar)) -> std::io::Result<()> {
+    fn serve_watch(mut stream: TcpStream, state: &(Mutex<PublishedList>, Condvar)) -> std::io::Result<()> {
         read_request(&mut BufReader::new(stream.try_clone()?), true).ok_or(ErrorKind::UnexpectedEof)?;
         let mut version = 0;
         loop {
--- a/crates/test-harness/src/fleet/mod.rs
+++ b/crates/test-harness/src/fleet/mod.rs
@@ -32,9 +32,9 @@
 /// TCP port of the members and of the fault proxies between them, for the peer transport.
 const PEER_PORT: u16 = 7947;
 /// Last byte of the first member's address.
-const FIRST_MEMBER: usize = 1;
+const MEMBER_ADDRESS_BASE: usize = 1;
 /// Last byte of the address of the first fault proxy between members.
-const FIRST_FAULT_PROXY: usize = 101;
+const FAULT_PROXY_ADDRESS_BASE: usize = 101;
 /// Interval between checks of the condition of [`Fleet::wait_until`].
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Counter that numbers the fleets of one test program.
@@ -84,13 +84,15 @@
         let mixed = std::process::id().wrapping_mul(97).wrapping_add(number);
         let network = [(mixed >> 8) as u8 | 0x40, mixed as u8];
         let members = options.members;
-        let advertised: Vec<_> = (0..members).map(|n| address(network, FIRST_FAULT_PROXY + n)).collect();
-        let real: Vec<_> = (0..members).map(|n| address(network, FIRST_MEMBER + n)).collect();
-        let datagram_faults = DatagramFaultProxies::new(&advertised, &real, options.seed);
+        let advertised: Vec<_> =
+            (0..members).map(|n| address(network, FAULT_PROXY_ADDRESS_BASE + n)).collect();
+        let member_addresses: Vec<_> =
+            (0..members).map(|n| address(network, MEMBER_ADDRESS_BASE + n)).collect();
+        let datagram_faults = DatagramFaultProxies::new(&advertised, &member_addresses, options.seed);
         let peer_faults = if options.policy {
             PeerFaultProxies::new(
                 &on_peer_port(&advertised),
-                &on_peer_port(&real),
+                &on_peer_port(&member_addresses),
                 &datagram_faults.path_view(),
             )
         } else {
@@ -144,12 +146,12 @@
 
     /// Returns the address at which the other members reach a member: that of its fault proxy.
     pub fn advertised_address(&self, member: usize) -> SocketAddr {
-        address(self.network, FIRST_FAULT_PROXY + member)
+        address(self.network, FAULT_PROXY_ADDRESS_BASE + member)
     }
 
     /// Returns the address of a member's own socket.
     pub fn member_address(&self, member: usize) -> SocketAddr {
-        address(self.network, FIRST_MEMBER + member)
+        address(self.network, MEMBER_ADDRESS_BASE + member)
     }
 
     /// Returns the process of a member.
--- a/crates/test-harness/src/recorder/from_json.rs
+++ b/crates/test-harness/src/recorder/from_json.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 
 /// Time after its deadline, in ms, within which a response counts as in time.
-const ANSWER_SLACK_MS: f64 = 20.0;
+const RESPONSE_SLACK_MS: f64 = 20.0;
 /// Time after the listing of a drain, in ms, within which new attempts may still go to the node.
 const DRAIN_GRACE_MS: f64 = 1000.0;
 
@@ -30,19 +30,19 @@
 pub(super) fn limits(settings: &Value) -> Limits {
     let permissions = &settings["Permissions"];
     let safety = &settings["Safety"];
-    let safety_figure = |name: &str| safety[name].as_f64().unwrap();
+    let safety_value = |name: &str| safety[name].as_f64().unwrap();
     let grades = settings["Grades"].as_array().unwrap();
     let name = |grade: &Value| grade["Name"].as_str().unwrap_or_default().to_owned();
     Limits {
         classes: grades.iter().map(|grade| (name(grade), class(grade))).collect(),
         max_attempts: permissions["MaxAttempts"].as_u64().unwrap() as usize,
         allows_hedging: permissions["SecondCopies"].as_bool().unwrap(),
-        response_slack: ANSWER_SLACK_MS,
+        response_slack: RESPONSE_SLACK_MS,
         drain_grace: DRAIN_GRACE_MS,
-        start_capacity: safety_figure("StartCapacity"),
-        warm_up_time: safety_figure("Cold"),
-        overload_multiple: safety_figure("FallMultiple"),
-        overload_time: safety_figure("TipAfter"),
+        start_capacity: safety_value("StartCapacity"),
+        warm_up_time: safety_value("Cold"),
+        overload_multiple: safety_value("FallMultiple"),
+        overload_time: safety_value("TipAfter"),
     }
 }
 
--- a/crates/test-harness/src/timeline.rs
+++ b/crates/test-harness/src/timeline.rs
@@ -58,8 +58,10 @@
     /// If a thread panicked while it added an event.
     pub fn first_match_of_both(&self, source: &str, one: &str, other: &str, from_ms: u128) -> Option<u128> {
         let entries = self.entries.lock().unwrap();
-        let mut of_them = entries.iter().filter(|entry| entry.at_ms >= from_ms && entry.source == source);
-        of_them.find(|entry| entry.text.contains(one) && entry.text.contains(other)).map(|entry| entry.at_ms)
+        let mut of_source = entries.iter().filter(|entry| entry.at_ms >= from_ms && entry.source == source);
+        of_source
+            .find(|entry| entry.text.contains(one) && entry.text.contains(other))
+            .map(|entry| entry.at_ms)
     }
 
     /// Returns the number of events of `source` that contain `text` and are not before `from_ms`.
@@ -68,8 +70,8 @@
     /// If a thread panicked while it added an event.
     pub fn count_matches(&self, source: &str, text: &str, from_ms: u128) -> usize {
         let entries = self.entries.lock().unwrap();
-        let of_them = entries.iter().filter(|entry| entry.at_ms >= from_ms && entry.source == source);
-        of_them.filter(|entry| entry.text.contains(text)).count()
+        let of_source = entries.iter().filter(|entry| entry.at_ms >= from_ms && entry.source == source);
+        of_source.filter(|entry| entry.text.contains(text)).count()
     }
 }
 
