--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -3,9 +3,9 @@
 //!
 //! Read [`History`] first, then [`check`]. A history contains what clients sent and received, what
 //! backends received and how they responded, what discovery listed, which limits were active, and
-//! which processes started and ended. A proxy's state, decisions, counters and log are not part of
-//! it. [`check`] returns each [`Violation`] with its [`Reason`], its subject, its time and the
-//! events at fault. A history without a request is an error, because nothing was checked.
+//! which processes started and ended. A history does not contain a proxy's state, decisions,
+//! counters or log. [`check`] returns each [`Violation`] with its [`Reason`], its subject, its time
+//! and the events at fault. A history without a request is an error, because nothing was checked.
 //!
 //! Each rule has a module: `responses`, `repetition`, `draining`, `slow_start`, `quota` and
 //! `policies`. The first two work on the index of requests in `request_index`.
