--- a/crates/simulation/src/model.rs
+++ b/crates/simulation/src/model.rs
@@ -39,7 +39,7 @@
 impl fmt::Display for PropertyViolation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.actions {
-            Some(actions) => write!(formatter, "{}: {actions:?}", self.property),
+            Some(actions) => write!(formatter, "{}: violated by {actions:?}", self.property),
             None => write!(formatter, "{}: holds in no state", self.property),
         }
     }
--- a/crates/simulation/src/model/transitions.rs
+++ b/crates/simulation/src/model/transitions.rs
@@ -62,7 +62,10 @@
         for _ in 0..TICKS_TO_SETTLE {
             self.tick(&mut state);
         }
-        assert!(self.all_have_equal_leases(&state), "{state:#?}");
+        assert!(
+            self.all_have_equal_leases(&state),
+            "the leases are not equal after {TICKS_TO_SETTLE} ticks: {state:#?}"
+        );
         state
     }
 
--- a/crates/simulation/src/quota.rs
+++ b/crates/simulation/src/quota.rs
@@ -42,6 +42,7 @@
 
 /// The calls that began under an earlier quota, and may still run.
 struct EarlierCalls {
+    /// The parts of the earlier quota.
     parts: Parts,
     /// When the last of the calls ends at the latest, in simulated ms.
     end_at: Time,
