--- a/crates/fault-shim/tests/system_faults.rs
+++ b/crates/fault-shim/tests/system_faults.rs
@@ -16,8 +16,8 @@
 }
 
 /// Makes the harness start proxies with the library preloaded, and returns their control file
-/// without faults. All tests of this program share the file, so the lock that this returns makes
-/// them run one after the other.
+/// without faults. All tests of this program share the file, so the returned lock makes the tests
+/// run one after the other.
 fn control() -> MutexGuard<'static, FaultControl> {
     static CONTROL: OnceLock<Mutex<FaultControl>> = OnceLock::new();
     let control = CONTROL.get_or_init(|| {
