--- a/crates/test-harness/src/client.rs
+++ b/crates/test-harness/src/client.rs
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Reads the next line; empty at the end of the connection or after the read timeout.
+    /// Reads the next line. Returns an empty text at the end of the connection or after the read
+    /// timeout.
     pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
@@ -86,7 +87,7 @@
         &mut self.reader
     }
 
-    /// Gets the key `id`. Returns the line of the value, or of the response if it has no value;
+    /// Gets the key `id`. Returns the line of the value, or the line of a response without a value;
     /// `None` if the connection ends first.
     pub fn try_get(&mut self, id: &str) -> Option<String> {
         if !self.try_send(&format!("mg {id} v O{id} Pc=read,t=acme,d=2000\r\n")) {
@@ -115,7 +116,8 @@
         (line, value)
     }
 
-    /// Requests a key and closes the connection after a time, without reading the response.
+    /// Requests a key, and closes the connection after the time `after` without reading the
+    /// response.
     pub fn request_and_disconnect(mut self, key: &str, id: &str, after: Duration) {
         let command = format!("mg {key} v O{id} Pc=read,t=acme,d=2000\r\n");
         self.recorder.record_request(&command);
--- a/crates/test-harness/src/discovery.rs
+++ b/crates/test-harness/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Stub servers for discovery. The test sends each line of a watch of [`Discovery`] itself;
-//! [`StaticDiscovery`] sends its complete list to every watch.
+//! Stub servers for discovery. [`Discovery`] sends the lines that the test gives for each watch;
+//! [`StaticDiscovery`] sends the same complete list to every watch.
 
 use crate::recorder::Recorder;
 use crate::stub_server::read_request;
@@ -16,6 +16,7 @@
 pub struct Discovery {
     /// The address at which the stub listens.
     pub address: SocketAddr,
+    /// The request line of each watch, and the sender of the lines to send on that watch.
     watches: Receiver<(String, Sender<String>)>,
 }
 
@@ -87,9 +88,10 @@
     state: Arc<(Mutex<PublishedList>, Condvar)>,
 }
 
-/// The list that is sent to watches; its version grows with each change.
+/// The list that is sent to watches.
 struct PublishedList {
     list: String,
+    /// The version of the list, which grows with each change of `list` or `down`.
     version: u64,
     /// Whether discovery is down, so that every watch ends.
     down: bool,
--- a/crates/test-harness/src/fleet/mod.rs
+++ b/crates/test-harness/src/fleet/mod.rs
@@ -31,9 +31,9 @@
 const MEMBER_PORT: u16 = 7946;
 /// TCP port of the members and of the fault proxies between them, for the peer transport.
 const PEER_PORT: u16 = 7947;
-/// Last byte of the first member's address.
+/// Last byte of the address of member 0; greater by n for member n.
 const MEMBER_ADDRESS_BASE: usize = 1;
-/// Last byte of the address of the first fault proxy between members.
+/// Last byte of the address of the fault proxy in front of member 0; greater by n for member n.
 const FAULT_PROXY_ADDRESS_BASE: usize = 101;
 /// Interval between checks of the condition of [`Fleet::wait_until`].
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -197,7 +197,7 @@
         })
     }
 
-    /// Waits until a condition holds; `what` describes it in the message of the panic.
+    /// Waits until a condition holds. The panic's message describes the condition by `what`.
     ///
     /// # Panics
     /// If the condition does not hold within twice [`WAIT_TIMEOUT`]; the message has the timeline.
--- a/crates/test-harness/src/policy/clients.rs
+++ b/crates/test-harness/src/policy/clients.rs
@@ -17,7 +17,7 @@
 /// Counter that numbers the requests of one test program.
 static REQUESTS: AtomicU64 = AtomicU64::new(0);
 
-/// Returns the time in ms on the clock that all clients use; it starts at the first call.
+/// Returns the time in ms on the clock that all clients use, which starts at the first call.
 pub fn now_ms() -> f64 {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed().as_secs_f64() * 1000.0
--- a/crates/test-harness/src/policy/mod.rs
+++ b/crates/test-harness/src/policy/mod.rs
@@ -37,7 +37,8 @@
     (status, serde_json::from_str(&text).unwrap_or(Value::Null))
 }
 
-/// Gets a path of an admin endpoint; returns the JSON of the response, null if it has none.
+/// Gets a path of an admin endpoint; returns the JSON of the response, or null for a response
+/// without JSON.
 pub fn get_json(admin: SocketAddr, path: &str) -> Value {
     serde_json::from_str(&call_admin(admin, "GET", path).1).unwrap_or(Value::Null)
 }
--- a/crates/test-harness/src/proxy_fixture.rs
+++ b/crates/test-harness/src/proxy_fixture.rs
@@ -69,8 +69,8 @@
     fn start(entries: &[String], sockets: usize, memory_mb: usize, changes: &[(&str, &str)]) -> ProxyFixture {
         let discovery = Discovery::new();
         let mut entries = entries.to_vec();
-        // An endpoint list without an origin is invalid, so an unreachable origin is added if a
-        // test has none.
+        // An endpoint list without an origin is invalid, so an unreachable origin is added if the
+        // test gives none.
         if !entries.is_empty() && !entries.iter().any(|entry| entry.contains(r#""origin""#)) {
             let unreachable = StubServer::unreachable();
             entries.push(unreachable.entry("o", "origin", "ready"));
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Waits until a condition holds; `what` describes it in the message of the panic.
+    /// Waits until a condition holds. The panic's message describes the condition by `what`.
     ///
     /// # Panics
     /// If the condition does not hold within [`WAIT_TIMEOUT`].
--- a/crates/test-harness/src/recorder/from_json.rs
+++ b/crates/test-harness/src/recorder/from_json.rs
@@ -3,7 +3,7 @@
 use pinetrail_history_checker::{Class, DeduplicationScope, Idempotency, Limits, Node, NodeState};
 use serde_json::Value;
 
-/// Time after its deadline, in ms, within which a response counts as in time.
+/// Time after the deadline of a request, in ms, within which the response counts as in time.
 const RESPONSE_SLACK_MS: f64 = 20.0;
 /// Time after the listing of a drain, in ms, within which new attempts may still go to the node.
 const DRAIN_GRACE_MS: f64 = 1000.0;
--- a/crates/test-harness/src/script/tests.rs
+++ b/crates/test-harness/src/script/tests.rs
@@ -29,6 +29,6 @@
         let error = Script::parse(bad).unwrap_err();
 
         assert_eq!(error, ScriptError::NoFault { line: 1, text: bad.to_owned() });
-        assert!(error.to_string().starts_with("line 1"), "{bad}");
+        assert!(error.to_string().starts_with("line 1"), "{bad:?}: {error}");
     }
 }
--- a/crates/test-harness/src/timeline.rs
+++ b/crates/test-harness/src/timeline.rs
@@ -14,7 +14,7 @@
     text: String,
 }
 
-/// Events with their times. Clones write to the same timeline.
+/// A list of events with their times. Clones write to the same timeline.
 #[derive(Clone)]
 pub struct Timeline {
     start: Instant,
