--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -225,7 +225,8 @@
     pub max_attempts: usize,
     /// Whether two attempts of a request may be in flight at once.
     pub allows_hedging: bool,
-    /// The time after its deadline within which a response still counts as in time, in ms.
+    /// The time after the deadline of a request within which the response still counts as in time,
+    /// in ms.
     pub response_slack: Time,
     /// The time after the listing of a drain within which new attempts may still go to the node,
     /// in ms.
