--- a/crates/test-harness/src/script.rs
+++ b/crates/test-harness/src/script.rs
@@ -107,7 +107,7 @@
     }
 }
 
-/// Draws a fault; returns the fault, and the second fault that ends the first.
+/// Returns the start and the end of a random fault.
 fn draw_fault(rng: &mut StdRng, members: usize) -> (Fault, Fault) {
     let member = rng.random_range(0..members);
     let other = (member + rng.random_range(1..members)) % members;
