--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -20,7 +20,7 @@
 const MAX_ATTEMPTS: usize = 20;
 const KEY_COUNT: u64 = 200;
 /// One request in this many is a write.
-const WRITES_ONE_IN: u64 = 20;
+const REQUESTS_PER_WRITE: u64 = 20;
 /// How long a client waits before a retry on a new connection.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
@@ -134,7 +134,7 @@
             thread::sleep(due.saturating_duration_since(Instant::now()));
             let mixed = (n ^ self.shared.seed).wrapping_mul(MIX_MULTIPLIER) >> 32;
             let key = format!("k{}", mixed % KEY_COUNT);
-            let is_write = mixed.is_multiple_of(WRITES_ONE_IN);
+            let is_write = mixed.is_multiple_of(REQUESTS_PER_WRITE);
             let mut answer = None;
             for attempt in 0..MAX_ATTEMPTS {
                 let proxy = (n as usize + attempt) % self.shared.proxies.len();
--- a/crates/experiments/src/quota/day/mod.rs
+++ b/crates/experiments/src/quota/day/mod.rs
@@ -98,11 +98,11 @@
 /// The demand as a multiple of the origin's capacity, in scenarios without a partition.
 const NORMAL_DEMAND: f64 = 0.55;
 /// The demand as a multiple of the origin's capacity, before and after the event of a partition.
-const CUT_DEMAND: f64 = 0.6;
+const PARTITION_DEMAND: f64 = 0.6;
 /// The demand as a multiple of the origin's capacity, during the event of a partition.
 const OVERLOAD_DEMAND: f64 = 1.6;
 /// The time from the beginning of a partition for which fetches are counted.
-const CUT_EVENT_MS: u64 = 12_000;
+const PARTITION_EVENT_MS: u64 = 12_000;
 /// The time from the beginning of a release for which fetches are counted.
 const RELEASE_EVENT_MS: u64 = 45_000;
 /// The time from a crash of many proxies for which fetches are counted.
@@ -132,7 +132,7 @@
     fn demand(&self, now: u64) -> f64 {
         match self.event {
             Event::Cut if (START_OF_EVENT_MS..self.end_of_event()).contains(&now) => OVERLOAD_DEMAND,
-            Event::Cut => CUT_DEMAND,
+            Event::Cut => PARTITION_DEMAND,
             _ => NORMAL_DEMAND,
         }
     }
@@ -140,7 +140,7 @@
     /// Returns the time in ms at which the event ends: fetches are counted until then.
     fn end_of_event(&self) -> u64 {
         match self.event {
-            Event::Cut => START_OF_EVENT_MS + CUT_EVENT_MS,
+            Event::Cut => START_OF_EVENT_MS + PARTITION_EVENT_MS,
             Event::Release | Event::Deaths => START_OF_EVENT_MS + RELEASE_EVENT_MS,
             Event::Crash | Event::Zone => START_OF_EVENT_MS + CRASH_EVENT_MS,
         }
--- a/crates/experiments/src/quota/day/tally.rs
+++ b/crates/experiments/src/quota/day/tally.rs
@@ -21,7 +21,7 @@
 /// The measurements of a scenario so far.
 pub(super) struct Tally {
     scenario: Scenario,
-    last_death: Option<u64>,
+    last_crash: Option<u64>,
     wanted: u64,
     served: u64,
     over_ms: u64,
@@ -36,10 +36,10 @@
 
 impl Tally {
     pub(super) fn new(scenario: Scenario, steps: &VecDeque<ScriptStep>) -> Tally {
-        let deaths = steps.iter().filter(|step| matches!(step.fault, Fault::Crash(_)));
+        let crashes = steps.iter().filter(|step| matches!(step.fault, Fault::Crash(_)));
         Tally {
             scenario,
-            last_death: deaths.map(|step| step.at).max(),
+            last_crash: crashes.map(|step| step.at).max(),
             wanted: 0,
             served: 0,
             over_ms: 0,
@@ -83,15 +83,15 @@
         if now.is_multiple_of(PLOT_INTERVAL_MS) {
             self.quota_sums.push((now as f64 / 1000.0, sum));
         }
-        let Some(last_death) = self.last_death else { return };
-        if self.recovery_ms.is_some() || now <= last_death || now >= self.scenario.end_of_event() {
+        let Some(last_crash) = self.last_crash else { return };
+        if self.recovery_ms.is_some() || now <= last_crash || now >= self.scenario.end_of_event() {
             return;
         }
         // Half of the capacity is guaranteed and divided among all proxies, so that the survivors
         // have their part of it only. The other half is leased to the survivors. Rounding down to
         // complete attempts loses a small part.
         if sum >= RECOVERED_FRACTION * (0.5 + 0.5 * world.live_fraction()) {
-            self.recovery_ms = Some(now - last_death);
+            self.recovery_ms = Some(now - last_crash);
         }
     }
 
--- a/crates/experiments/src/soak/clients.rs
+++ b/crates/experiments/src/soak/clients.rs
@@ -14,7 +14,7 @@
 /// The client timeouts, one of which is chosen for each request.
 const TIMEOUTS_MS: [u64; 6] = [40, 90, 250, 480, 800, 900];
 /// The client disconnects during one request in this many.
-const DISCONNECTS_ONE_IN: u32 = 25;
+const REQUESTS_PER_DISCONNECT: u32 = 25;
 /// The time after which a client closes the connection of a request without a response.
 const READ_TIMEOUT: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
@@ -66,7 +66,7 @@
             count += 1;
             let request = self.generate_request(count, &mut rng);
             let disconnects_after = rng
-                .random_ratio(1, DISCONNECTS_ONE_IN)
+                .random_ratio(1, REQUESTS_PER_DISCONNECT)
                 .then(|| Duration::from_millis(rng.random_range(0..request.timeout_ms)));
             connection = self.send(open, &request, disconnects_after);
         }
--- a/crates/experiments/src/soak/judge.rs
+++ b/crates/experiments/src/soak/judge.rs
@@ -239,13 +239,13 @@
         let deadline = request.deadline();
         match (&request.answered, request.ended) {
             (Some((at, answer)), _) => {
-                self.judge_answer(id, request, answer);
+                self.judge_content(id, request, answer);
                 let excess = self.excess_stop(request.proxy, request.sent, *at);
                 let late = at.saturating_duration_since(deadline).saturating_sub(CLOCK_TOLERANCE + excess);
-                let has_room = request.timeout.as_millis() >= u128::from(LONG_TIMEOUT_MS);
+                let has_long_timeout = request.timeout.as_millis() >= u128::from(LONG_TIMEOUT_MS);
                 if late > MISSING_AFTER {
                     self.report(Rule::Unanswered, id);
-                } else if late > RESPONSE_SLACK && has_room {
+                } else if late > RESPONSE_SLACK && has_long_timeout {
                     self.report(Rule::Late, id);
                 } else if late > RESPONSE_SLACK {
                     self.verdict.late_after_short_timeouts += 1;
@@ -263,7 +263,7 @@
         }
     }
 
-    fn judge_answer(&mut self, id: &str, request: &Request, answer: &FinalResponse) {
+    fn judge_content(&mut self, id: &str, request: &Request, answer: &FinalResponse) {
         match answer {
             FinalResponse::Served(value) => {
                 self.verdict.served += 1;
