--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The capacity of a warm node, in requests per second from all proxies together.
-const CAPACITY: f64 = 25.0;
+const CAPACITY_PER_S: f64 = 25.0;
 const NODES: u32 = 10;
 
 #[derive(Clone, Copy, Debug)]
@@ -179,7 +179,7 @@
     }
 
     fn send_request(&mut self) {
-        let rate = CAPACITY * f64::from(NODES) * self.scenario.utilization / 1000.0;
+        let rate = CAPACITY_PER_S * f64::from(NODES) * self.scenario.utilization / 1000.0;
         let wait = -(1.0 - self.rng.gen::<f64>()).ln() / rate;
         self.schedule(wait, FleetEvent::RequestArrives);
         let key = if self.rng.gen_bool(self.scenario.hot_fraction) {
@@ -253,7 +253,7 @@
                 }
                 let capacity = scenario.start_capacity + (1.0 - scenario.start_capacity) * age;
                 let budget =
-                    scenario.overload_multiple * capacity * CAPACITY * scenario.overload_time / 1000.0;
+                    scenario.overload_multiple * capacity * CAPACITY_PER_S * scenario.overload_time / 1000.0;
                 let count = (at - from + 1) as f64;
                 worst_excess = worst_excess.max((count - budget) / (2.0 * budget.sqrt() + 2.0));
             }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -9,7 +9,7 @@
 
 const FLEET_LIMITS: FleetLimits = FleetLimits { per_node: 24.0, origin: 12.0 };
 
-fn quota(harness: &BalancerHarness, part: f64, duration: Milliseconds) -> Event {
+fn quota_event(harness: &BalancerHarness, part: f64, duration: Milliseconds) -> Event {
     Event::Quota(Quota {
         fraction: part,
         expires_at: time(harness.now + duration),
@@ -35,10 +35,10 @@
 #[test]
 fn attempts_in_flight_follow_the_quota_and_never_exceed_it() {
     let mut harness = BalancerHarness::without_origin(1);
-    let event = quota(&harness, 1.0 / 4.0, 3_000.0);
+    let event = quota_event(&harness, 1.0 / 4.0, 3_000.0);
     harness.event(event);
     assert_eq!(sent_at_once(&mut harness, 100), 6, "a quarter of 24");
-    let event = quota(&harness, 1.0 / 2.0, 3_000.0);
+    let event = quota_event(&harness, 1.0 / 2.0, 3_000.0);
     harness.event(event);
     assert_eq!(sent_at_once(&mut harness, 200), 12);
 }
@@ -47,12 +47,12 @@
 #[test]
 fn an_expired_lease_admits_no_attempt_though_no_event_said_so() {
     let mut harness = BalancerHarness::without_origin(1);
-    let event = quota(&harness, 1.0 / 2.0, 3_000.0);
+    let event = quota_event(&harness, 1.0 / 2.0, 3_000.0);
     harness.event(event);
     harness.now += 3_000.0;
     assert_eq!(sent_at_once(&mut harness, 100), 2, "a twelfth of 24");
     // A new lease restores the former limit.
-    let event = quota(&harness, 1.0 / 2.0, 3_000.0);
+    let event = quota_event(&harness, 1.0 / 2.0, 3_000.0);
     harness.event(event);
     assert_eq!(sent_at_once(&mut harness, 200), 12);
 }
@@ -60,7 +60,7 @@
 #[test]
 fn the_origin_has_a_fleet_limit_of_its_own() {
     let mut harness = BalancerHarness::with_origin(3);
-    let event = quota(&harness, 1.0 / 4.0, 3_000.0);
+    let event = quota_event(&harness, 1.0 / 4.0, 3_000.0);
     harness.event(event);
     let writes = (1..=20).filter(|id| {
         let write = Request { class: KEYED_ALL, is_write: true, ..read(*id, *id) };
