--- a/crates/experiments/src/chart.rs
+++ b/crates/experiments/src/chart.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Why a plot cannot be drawn.
+/// The reason for which a plot cannot be drawn.
 #[derive(Debug, Error)]
 pub(crate) enum ChartError {
     /// The folder cannot be created.
--- a/crates/experiments/src/cost/mod.rs
+++ b/crates/experiments/src/cost/mod.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// The times from a crash until the first and until the last of the other members detected it.
+/// The times from a crash until the first and until the last other member detected it.
 struct DetectionTimes {
     first_ms: u128,
     last_ms: u128,
--- a/crates/experiments/src/demo/mod.rs
+++ b/crates/experiments/src/demo/mod.rs
@@ -24,7 +24,7 @@
 /// The options of `demo`.
 #[derive(Args)]
 pub(crate) struct Options {
-    /// How long clients send requests, in seconds.
+    /// The time for which clients send requests, in seconds.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(8..=600))]
     seconds: u64,
     /// The seed of the random choices.
--- a/crates/experiments/src/demo/notices.rs
+++ b/crates/experiments/src/demo/notices.rs
@@ -1,4 +1,4 @@
-//! How long the proxies of the demo took to detect that another one crashed or restarted:
+//! The times that the proxies of the demo took to detect the crash or restart of another proxy:
 //! [`Notice`].
 
 use super::PROXIES;
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -1,4 +1,4 @@
-//! Why an experiment cannot continue: [`ExperimentError`].
+//! The errors that end an experiment: [`ExperimentError`].
 
 use crate::chart::ChartError;
 use indicatif::style::TemplateError;
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why an experiment cannot continue. The violations that it finds are results, not errors.
+/// An error that ends an experiment. Violations of rules are results, not errors.
 #[derive(Debug, Error)]
 pub(crate) enum ExperimentError {
     /// The path of this program, which is started for each proxy, cannot be determined.
@@ -95,7 +95,7 @@
     }
 }
 
-/// Why a script cannot be played in simulated time.
+/// The reason for which a script cannot be played in simulated time.
 #[derive(Debug, Error, PartialEq)]
 pub(crate) enum PlayError {
     /// A fault names a member that does not exist.
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -11,17 +11,17 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The most requests in flight at once, with a client thread for each. Further requests are sent
-/// late.
+/// The maximum number of requests in flight, each of which occupies one client thread. Further
+/// requests are sent late.
 const MAX_OPEN_REQUESTS: u64 = 48;
-/// How long a client waits for a response, which each request carries as its label `d`.
+/// The client timeout, which each request carries as its label `d`.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(900);
-/// The most attempts of a request whose connections break without a response.
+/// The maximum number of attempts of a request whose connections break without a response.
 const MAX_ATTEMPTS: usize = 20;
 const KEY_COUNT: u64 = 200;
-/// One request in this many is a write.
+/// The mean number of requests for each write.
 const REQUESTS_PER_WRITE: u64 = 20;
-/// How long a client waits before a retry on a new connection.
+/// The delay before a retry on a new connection.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// The multiplier that mixes the number of a request into pseudo-random bits (the golden ratio in
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -48,8 +48,8 @@
     /// Runs several real processes under seeded mixes of faults, and checks what their clients and
     /// backends observe against the rules.
     Soak(soak::Options),
-    /// Runs one proxy, like the program `pinetrail`. The experiments start their processes with
-    /// this.
+    /// Runs one proxy, like the program `pinetrail`. The experiments start their proxies with this
+    /// subcommand.
     #[command(hide = true)]
     Proxy,
 }
--- a/crates/experiments/src/membership/mod.rs
+++ b/crates/experiments/src/membership/mod.rs
@@ -102,8 +102,9 @@
     Ok(())
 }
 
-/// The most simulated minutes of one trial. Shorter trials would spend most of their time on the
-/// start: the join of 300 members costs as much processor time as an hour without faults.
+/// The maximum number of simulated minutes of one trial. Shorter trials would spend most of their
+/// time on the start: the join of 300 members costs as much processor time as an hour without
+/// faults.
 const MAX_TRIAL_MINUTES: u64 = 60;
 
 /// Returns the trials in a fixed order. Long trials are divided into parts that run in parallel.
--- a/crates/experiments/src/membership/script.rs
+++ b/crates/experiments/src/membership/script.rs
@@ -12,7 +12,7 @@
 
 /// The time that members have to join before the script begins.
 const JOIN_TIME_MS: u64 = 30_000;
-/// The number of members that the others join through.
+/// The number of members that all others contact to join.
 const PEER_COUNT: usize = 3;
 
 /// Plays a script on a fleet of this many members; returns the log lines.
@@ -38,9 +38,9 @@
 struct ScriptPlayer {
     fleet: Fleet<Membership>,
     members: usize,
-    /// The most members that the fleet may have.
+    /// The maximum number of members of the fleet.
     size: usize,
-    /// The members that the others join through.
+    /// The members that all others contact to join.
     peers: Vec<usize>,
     /// The start of the script in ms of the fleet's clock.
     start: u64,
--- a/crates/experiments/src/membership/trials.rs
+++ b/crates/experiments/src/membership/trials.rs
@@ -1,4 +1,5 @@
-//! One trial: a fleet in simulated time, its faults, and the measurements. Read [`Trial`] first.
+//! Plays a trial: simulates a fleet and its faults, and measures detection times, false alarms and
+//! traffic. Read [`Trial`] first.
 
 use hdrhistogram::Histogram;
 use pinetrail_membership::{MemberState, Membership, MembershipEvent};
@@ -52,7 +53,7 @@
     pub members_failed: usize,
 }
 
-/// The figures of a trial.
+/// The measured figures of a trial.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Outcome {
     pub members: usize,
@@ -70,7 +71,7 @@
     pub digest: u32,
 }
 
-/// The members that the others join through.
+/// The members that all others contact to join.
 const JOIN_PEERS: [usize; 3] = [0, 1, 2];
 /// The time after which a fleet counts as not joined.
 const MAX_JOIN_TIME_MS: Time = 180_000;
--- a/crates/experiments/src/policy/mod.rs
+++ b/crates/experiments/src/policy/mod.rs
@@ -18,11 +18,11 @@
 
 /// The time between the reloads of two proxies in the baseline.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(200);
-/// When a change is proposed in a simulated run.
+/// The simulated time at which a change is proposed.
 const PROPOSAL_AT_MS: u64 = 4_000;
-/// When a member crashes in a simulated run, just before the proposal.
+/// The simulated time at which a member crashes, just before the proposal.
 const CRASH_AT_MS: u64 = 3_950;
-/// The most voters of a simulated fleet.
+/// The maximum number of voters of a simulated fleet.
 const MAX_VOTERS: usize = 5;
 
 /// The options of `policy`.
--- a/crates/experiments/src/quota/day/mod.rs
+++ b/crates/experiments/src/quota/day/mod.rs
@@ -1,5 +1,5 @@
-//! One scenario in simulated time: proxies that fetch from one origin, each within its quota, and
-//! their faults. Read [`Scenario`] first; [`Outcome`] has its figures.
+//! Simulates a scenario: proxies that fetch from one origin, each within its quota, and their
+//! faults. Read [`Scenario`] first; [`Outcome`] has its figures.
 
 mod script;
 mod tally;
@@ -14,7 +14,7 @@
 use tally::Tally;
 use world::World;
 
-/// How a proxy determines its quota.
+/// The rule by which a proxy determines its quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Rule {
@@ -30,8 +30,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Event {
-    /// Seven in ten proxies shut down one after the other within 20 s. Each ends 2 s after it was
-    /// asked to, and all restart 45 s after the first was asked to.
+    /// Seven in ten proxies shut down one after the other within 20 s. Each shutdown takes 2 s, and
+    /// all proxies restart 45 s after the first shutdown began.
     Release,
     /// Seven in ten proxies crash one after the other within 20 s, and restart 45 s after the first
     /// crash.
@@ -62,7 +62,7 @@
     pub rule: Rule,
     /// The number of fetches that clients requested during the event.
     pub wanted: u64,
-    /// The percentage of these fetches that were served in time.
+    /// The percentage of the fetches requested during the event that were served in time.
     pub served_percent: f64,
     /// The most concurrent calls at the origin, as a multiple of the origin's capacity.
     pub most: f64,
@@ -93,7 +93,7 @@
 const CALLS_PER_PROXY: usize = 4;
 /// The duration of a call while the origin is within its capacity.
 const CALL_DURATION_MS: u64 = 100;
-/// The time from a client's request until its fetch is too late.
+/// The time after a client's request within which its fetch must end to count as served.
 const DEADLINE_MS: u64 = 400;
 /// The demand as a multiple of the origin's capacity, in scenarios without a partition.
 const NORMAL_DEMAND: f64 = 0.55;
--- a/crates/experiments/src/quota/day/script.rs
+++ b/crates/experiments/src/quota/day/script.rs
@@ -4,10 +4,10 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 
-/// A fault of proxies, which have numbers from 0.
+/// A fault of one proxy, which is given by its number from 0, or of the network.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Fault {
-    /// A proxy is asked to shut down.
+    /// A proxy begins a graceful shutdown.
     Shutdown(usize),
     /// A proxy ends: it crashes, or its graceful shutdown is complete.
     Crash(usize),
--- a/crates/experiments/src/quota/day/world.rs
+++ b/crates/experiments/src/quota/day/world.rs
@@ -10,18 +10,19 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The time until the other proxies detect that a proxy ended or restarted, or a partition.
+/// The time after the end or restart of a proxy, or after a change of the partition, until the
+/// other proxies detect it.
 const DETECTION_DELAY_MS: u64 = 2_500;
 /// The duration of an outage of the origin after an overload.
 const OUTAGE_DURATION_MS: u64 = 3_000;
 /// The tolerance that keeps a quota of a complete number of attempts from being rounded down by
 /// one.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
-/// The most founders of a simulated fleet.
+/// The maximum number of founders of a simulated fleet.
 const MAX_FOUNDERS: usize = 15;
 
-/// The proxies that are alive and their sides of a partition, in fact or in the view of the
-/// proxies.
+/// The live proxies and the side of the partition of each proxy, either as they are or as the
+/// proxies observe them.
 #[derive(Clone)]
 struct Liveness {
     alive: Vec<bool>,
@@ -48,7 +49,7 @@
     now: u64,
     rng: StdRng,
     actual: Liveness,
-    /// The proxies that are alive and reachable in the view of the proxies.
+    /// The liveness and the sides that the proxies have detected.
     observed: Liveness,
     pending_updates: VecDeque<LivenessUpdate>,
     /// For each proxy, the times at which its waiting fetches were requested.
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Sets the view of the proxies to what they have detected.
+    /// Applies a detected state to the view of the proxies, from which they compute their quotas.
     fn apply_update(&mut self, liveness: Liveness) {
         self.observed = liveness;
         let Some(quota) = &mut self.quota else { return };
--- a/crates/experiments/src/soak/backends.rs
+++ b/crates/experiments/src/soak/backends.rs
@@ -28,7 +28,7 @@
     Origin,
 }
 
-/// What a backend does with a request.
+/// The way in which a backend responds to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Behaviour {
     /// Serves the request.
--- a/crates/experiments/src/soak/clients.rs
+++ b/crates/experiments/src/soak/clients.rs
@@ -13,7 +13,7 @@
 
 /// The client timeouts, one of which is chosen for each request.
 const TIMEOUTS_MS: [u64; 6] = [40, 90, 250, 480, 800, 900];
-/// The client disconnects during one request in this many.
+/// The mean number of requests from one early disconnect of a client to the next.
 const REQUESTS_PER_DISCONNECT: u32 = 25;
 /// The time after which a client closes the connection of a request without a response.
 const READ_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -21,7 +21,7 @@
 /// The time that a client waits after a failed connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// One client of one proxy.
+/// A client that sends its requests to one proxy.
 pub(super) struct Client {
     /// The number of the proxy.
     pub proxy: usize,
--- a/crates/experiments/src/soak/judge.rs
+++ b/crates/experiments/src/soak/judge.rs
@@ -116,6 +116,7 @@
     pub violations: Vec<Violation>,
 }
 
+/// An attempt, as its backend observed it.
 struct Attempt {
     backend: usize,
     budget_ms: u64,
@@ -135,6 +136,7 @@
     timeout: Duration,
     is_first_on_connection: bool,
     answered: Option<(Instant, FinalResponse)>,
+    /// The time at which the connection ended without a response.
     ended: Option<Instant>,
     left_at: Option<Instant>,
     attempts: BTreeMap<u64, Attempt>,
@@ -147,6 +149,7 @@
     }
 }
 
+/// The observations of a run, and the verdict so far.
 struct Judge<'a> {
     began: Instant,
     ended: Instant,
@@ -380,7 +383,8 @@
         }
     }
 
-    /// Returns since when a backend is listed as draining, if it is at `at`.
+    /// Returns the time at which a backend was listed as draining, if it is still listed so at
+    /// `at`.
     fn draining_since(&self, backend: usize, at: Instant) -> Option<Instant> {
         let is_state = |change: &Change| [Change::Draining(backend), Change::Ready(backend)].contains(change);
         let last = self.changes.iter().rfind(|(changed, change)| *changed <= at && is_state(change))?;
@@ -402,8 +406,8 @@
         self.stops.iter().any(explains)
     }
 
-    /// Returns by how much this program stopped a proxy for longer than a proxy must tolerate, in
-    /// the stops that overlap a period.
+    /// Returns the time beyond [`HOLD_UP_DURATION`] for which this program stopped a proxy, as the
+    /// sum over the stops that overlap a period.
     fn excess_stop(&self, proxy: usize, from: Instant, until: Instant) -> Duration {
         let overlaps = |stop: &&Stop| stop.proxy == proxy && stop.began <= until && stop.ended >= from;
         let stops = self.stops.iter().filter(overlaps);
--- a/crates/experiments/src/soak/judge/tests.rs
+++ b/crates/experiments/src/soak/judge/tests.rs
@@ -128,10 +128,10 @@
         case.broken_rules()
     };
 
-    assert_eq!(drained_and_restarted(3280), [Rule::Draining], "by the old process");
-    assert_eq!(drained_and_restarted(3330), [], "by the new one, before it was known to be ready");
-    assert_eq!(drained_and_restarted(3400), [], "by the new one");
-    assert_eq!(drained_and_restarted(5600), [Rule::Draining], "by the new one, too late");
+    assert_eq!(drained_and_restarted(3280), [Rule::Draining], "the old process");
+    assert_eq!(drained_and_restarted(3330), [], "the new process, not yet known to be ready");
+    assert_eq!(drained_and_restarted(3400), [], "the new process, in its grace period");
+    assert_eq!(drained_and_restarted(5600), [Rule::Draining], "the new process, after its grace period");
 }
 
 /// Guards against a false violation: on a loaded machine, in seed 81036, SIGKILL took effect 30 ms
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -49,9 +49,9 @@
 
 /// The time for which a crowd keeps its connections.
 const CROWD_DURATION: Duration = Duration::from_secs(2);
-/// The time between the signals of a restart or of a series.
+/// The time between two signals of a restart or of a series of signals.
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(20);
-/// The most violations of one seed that are shown with their timelines.
+/// The maximum number of violations of one seed that are shown with their timelines.
 const MAX_SHOWN_VIOLATIONS: usize = 5;
 const NODES: usize = 4;
 /// The number of the origin among the backends.
@@ -62,12 +62,12 @@
 const TERM_TO_KILL: Duration = Duration::from_millis(1700);
 /// The duration of a hold-up: a proxy must tolerate that it is stopped for this time.
 const HOLD_UP_DURATION: Duration = Duration::from_millis(150);
-/// The least time between two hold-ups of a proxy. Without a break, they would be one that is
-/// longer than a proxy must tolerate.
+/// The least time between two hold-ups of a proxy. Two hold-ups without a break would count as one
+/// that is longer than a proxy must tolerate.
 const TIME_BETWEEN_HOLD_UPS: Duration = Duration::from_millis(60);
 /// The time that requests in flight have to end after the end of the load.
 const WIND_DOWN_TIME: Duration = Duration::from_secs(3);
-/// The connections of a crowd: more than the descriptors of a proxy allow.
+/// The number of connections of a crowd, which is more than the descriptors of a proxy allow.
 const CROWD_CONNECTIONS: usize = 220;
 /// The deduplication window in the default configuration, which the soak replaces by
 /// [`DEDUPLICATION_WINDOW`].
--- a/crates/experiments/src/soak/record.rs
+++ b/crates/experiments/src/soak/record.rs
@@ -26,7 +26,7 @@
     Failed,
 }
 
-/// How an attempt ended, as its backend observed it.
+/// The end of an attempt, as its backend observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum AttemptEnd {
     /// The backend sent a complete response with this value.
@@ -101,7 +101,8 @@
     changes: Mutex<Vec<(Instant, Change)>>,
     /// Guards the periods for which proxies were stopped.
     stops: Mutex<Vec<Stop>>,
-    /// Guards by how much the sleeps of this program were too long, each with the time of its end.
+    /// Guards the excess durations of the sleeps of this program, each with the time at which the
+    /// sleep ended.
     delays: Mutex<Vec<(Instant, Duration)>>,
     /// Guards the number of attempts that have arrived at backends so far.
     attempts: Mutex<u64>,
@@ -138,8 +139,8 @@
         *attempts
     }
 
-    /// Measures until `ends` by how much the threads of this program are scheduled late. The
-    /// recorded times have an error of this size.
+    /// Measures until `ends` the scheduling delay of the threads of this program, which is the
+    /// error of the recorded times.
     pub(super) fn measure_own_delays(&self, ends: Instant) {
         while Instant::now() < ends {
             let began = Instant::now();
--- a/crates/experiments/src/soak/request_logs.rs
+++ b/crates/experiments/src/soak/request_logs.rs
@@ -10,7 +10,7 @@
 /// The time before the first and after the last log line of a request for which the faults of the
 /// same process are shown.
 const FAULT_WINDOW: Duration = Duration::from_millis(500);
-/// The position of the time of day in a line.
+/// The byte range of the time of day in a log line.
 const TIME_OF_DAY: std::ops::Range<usize> = 11..26;
 
 /// A line of a log.
@@ -27,7 +27,7 @@
     folder: PathBuf,
     /// The reference time for conversions, by the monotonic clock.
     reference: Instant,
-    /// The same time by the wall clock, in seconds since midnight UTC.
+    /// The reference time by the wall clock, in seconds since midnight UTC.
     reference_seconds: f64,
 }
 
