--- a/crates/experiments/src/soak/judge.rs
+++ b/crates/experiments/src/soak/judge.rs
@@ -138,7 +138,7 @@
     answered: Option<(Instant, FinalResponse)>,
     /// The time at which the connection ended without a response.
     ended: Option<Instant>,
-    left_at: Option<Instant>,
+    disconnected_at: Option<Instant>,
     attempts: BTreeMap<u64, Attempt>,
 }
 
@@ -202,7 +202,7 @@
                 is_first_on_connection: *is_first_on_connection,
                 answered: None,
                 ended: None,
-                left_at: None,
+                disconnected_at: None,
                 attempts: BTreeMap::new(),
             };
             requests.insert(id.clone(), request);
@@ -214,7 +214,7 @@
             Observation::Sent { .. } => {}
             Observation::Answered(answer) => request.answered = Some((*at, answer.clone())),
             Observation::ConnectionEnded => request.ended = Some(*at),
-            Observation::Disconnected => request.left_at = Some(*at),
+            Observation::Disconnected => request.disconnected_at = Some(*at),
             Observation::AttemptArrived { attempt, backend, budget_ms, .. } => {
                 let (backend, budget_ms) = (*backend, *budget_ms);
                 request.attempts.insert(*attempt, Attempt { backend, budget_ms, arrived: *at, end: None });
@@ -259,7 +259,7 @@
                 }
             }
             (None, Some(at)) => self.judge_closed_connection(id, request, at),
-            (None, None) if request.left_at.is_some() => {}
+            (None, None) if request.disconnected_at.is_some() => {}
             // The run ended before the response was due.
             (None, None) if deadline + MISSING_AFTER > self.ended => {}
             (None, None) => self.report(Rule::Unanswered, id),
@@ -321,7 +321,10 @@
 
     fn judge_attempt(&mut self, id: &str, request: &Request, attempt: &Attempt) {
         let excess = self.excess_stop(request.proxy, request.sent, attempt.arrived);
-        if request.left_at.is_some_and(|at| attempt.arrived > at + CANCEL_GRACE + CLOCK_TOLERANCE + excess) {
+        if request
+            .disconnected_at
+            .is_some_and(|at| attempt.arrived > at + CANCEL_GRACE + CLOCK_TOLERANCE + excess)
+        {
             self.report(Rule::AfterDisconnect, id);
         }
         let answered = request.answered.as_ref().map(|(at, _)| *at);
