--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -48,7 +48,7 @@
     ordinal: u8,
     server: BackendNumber,
     sent: Milliseconds,
-    /// When the attempt times out.
+    /// Time at which the attempt times out.
     until: Milliseconds,
     /// Number of the attempt among all recorded attempts.
     number: u64,
@@ -76,7 +76,7 @@
     silent_until: Milliseconds,
     refuses_until: Milliseconds,
     fails_until: Milliseconds,
-    /// When each attempt in progress ends.
+    /// Time at which each attempt in progress ends.
     attempt_ends: Vec<Milliseconds>,
 }
 
--- a/tests/fleet/drift.rs
+++ b/tests/fleet/drift.rs
@@ -58,7 +58,7 @@
     let mut fleet = fleet_with_local_member();
     apply_local_settings(&mut fleet);
     fleet.wait_until("every admin server reports it", |fleet| all_report_state(fleet, 3, "differs"));
-    assert_eq!(reported_state(&fleet, 0, 3).1, ["Grades"], "the part that differs");
+    assert_eq!(reported_state(&fleet, 0, 3).1, ["Grades"], "the part of the policy that differs");
     fleet.wait_until("there is an alarm", |fleet| alarm_count(fleet, 3) > 0);
     std::thread::sleep(crate::ms(1000));
     assert_eq!(alarm_count(&fleet, 3), 1, "one member raises one alarm\n{}", fleet.timeline);
--- a/tests/fleet/faults.rs
+++ b/tests/fleet/faults.rs
@@ -22,7 +22,8 @@
     fleet.wait_until("the membership is whole", |fleet| fleet.report(0).unwrap().side == "whole");
 }
 
-/// Datagrams on a partitioned path must not arrive by another path.
+/// Guards against datagrams that bypass a partition by another path, because members know each
+/// other by other addresses than those of the fault proxies.
 #[test]
 fn a_partitioned_path_carries_nothing() {
     let fleet = joined_fleet(Options::with_members(3));
@@ -64,8 +65,8 @@
     assert_eq!(failure_report_count(&fleet), 0, "{}", fleet.timeline);
 }
 
-/// A process that resumes must not interpret its own pause as the failure of others: it is stopped
-/// while it suspects a member, whose refutation is still unread when it resumes.
+/// Guards against a process that takes its own pause for the failure of others: it is stopped while
+/// it suspects a member, whose refutation is still unread when it resumes.
 #[test]
 fn a_member_stopped_for_10_s_rejoins_and_declares_no_other_failed() {
     let fleet = joined_fleet(Options::with_members(5));
@@ -87,8 +88,8 @@
     assert!(fleet.timeline.first_match("n2", "-> failed", resumed_ms).is_none(), "{}", fleet.timeline);
 }
 
-/// Indirect probes by other members keep a path that is partitioned in one direction from causing
-/// suspicions at nearly every probe.
+/// Guards against a path that is partitioned in one direction and causes suspicions at nearly every
+/// probe: indirect probes by other members must prevent this.
 #[test]
 fn a_path_partitioned_in_one_direction_fails_no_member() {
     let fleet = joined_fleet(Options::with_members(5));
@@ -101,8 +102,8 @@
     assert!(suspected <= 2, "{}", fleet.timeline);
 }
 
-/// The sides merge after the partition, and a restart during it does not make a side report itself
-/// as whole.
+/// Guards against sides that do not merge after a partition, and against a side that reports itself
+/// as whole because a member restarted during the partition.
 #[test]
 fn both_sides_of_a_partition_report_it_and_heal_without_a_restart() {
     let mut fleet = joined_fleet(Options::with_members(5));
@@ -194,7 +195,8 @@
     assert_eq!(fleet.report(0).unwrap().side, "whole");
 }
 
-/// A flood neither keeps the worker from clients nor changes the membership.
+/// Guards against a flood of datagrams that keeps the worker from serving clients, or changes the
+/// membership.
 #[test]
 fn a_flood_of_malformed_datagrams_delays_no_client() {
     let fleet = joined_fleet(Options::with_members(3));
@@ -258,7 +260,7 @@
     fleet.wait_until("all have joined", |fleet| fleet.all_agree(&[0, 1, 2, 3]));
 }
 
-/// The membership does not depend on discovery.
+/// Guards against a membership that depends on discovery.
 #[test]
 fn members_join_and_notice_a_death_while_discovery_is_down() {
     let mut fleet = Fleet::new(Options::with_members(3), nodes(), origin());
@@ -272,7 +274,7 @@
     assert_eq!(fleet.client(0).get("k", "1", 900).1, "v\r\n", "served by the last known list");
 }
 
-/// All members agree again after a seeded sequence of faults of every kind.
+/// Guards against members that still disagree after a seeded sequence of faults of every kind.
 #[test]
 fn all_members_agree_after_seeded_faults() {
     for seed in [1, 2] {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -37,7 +37,7 @@
     fleet
 }
 
-/// Returns how often members reported others as failed.
+/// Returns the number of log lines in which a member reports another as failed.
 fn failure_report_count(fleet: &Fleet) -> usize {
     fleet.timeline.to_string().lines().filter(|line| line.contains("-> failed")).count()
 }
--- a/tests/fleet/off.rs
+++ b/tests/fleet/off.rs
@@ -6,13 +6,13 @@
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-/// Returns what the open descriptors of a process refer to.
+/// Returns the files and sockets to which the open descriptors of a process refer.
 fn descriptors(id: u32) -> Vec<String> {
     let links = std::fs::read_dir(format!("/proc/{id}/fd")).unwrap();
     links.filter_map(|link| Some(std::fs::read_link(link.ok()?.path()).ok()?.display().to_string())).collect()
 }
 
-/// Returns how many descriptors of a process are UDP sockets.
+/// Returns the number of descriptors of a process that are UDP sockets.
 fn datagram_socket_count(id: u32) -> usize {
     let table = std::fs::read_to_string("/proc/net/udp").unwrap();
     let inodes: BTreeSet<String> = table
@@ -27,7 +27,7 @@
     std::fs::read_dir(format!("/proc/{id}/task")).unwrap().count()
 }
 
-/// A proxy without a fleet has no socket, thread or counter for one.
+/// Guards against a proxy without a fleet that has a socket, thread or counter for one.
 #[test]
 fn a_proxy_without_a_fleet_has_no_socket_thread_or_counter_for_it() {
     let mut fleet = Fleet::new(Options::with_members(2), nodes(), origin());
@@ -58,7 +58,8 @@
     assert!(stats(0).iter().all(|line| !line.contains("fleet")));
 }
 
-/// An invalid `fleet` section is an error at the start, not only when the section is needed.
+/// Guards against an invalid `fleet` section that becomes an error only when the section is needed,
+/// instead of at the start.
 #[test]
 fn a_start_with_an_invalid_fleet_ends_with_one_line() {
     let fleet = Fleet::new(Options::with_members(2), nodes(), origin());
@@ -117,7 +118,7 @@
     drop(occupied_socket);
 }
 
-/// The example in the repository is a valid configuration.
+/// Guards against an example in the repository that is not a valid configuration.
 #[test]
 fn the_example_of_three_proxies_starts_and_joins() {
     let examples = [
--- a/tests/fleet/operators.rs
+++ b/tests/fleet/operators.rs
@@ -19,7 +19,7 @@
     assert!(report.json.get("rival").is_none());
 }
 
-/// A graceful shutdown is not reported as a failure.
+/// Guards against a graceful shutdown that is reported as a failure.
 #[test]
 fn a_member_that_gets_sigterm_leaves_the_fleet() {
     let mut fleet = joined_fleet(Options::with_members(3));
@@ -36,7 +36,8 @@
     fleet.wait_until("n2 has joined again", |fleet| fleet.all_agree(&[0, 1, 2]));
 }
 
-/// Of two processes under one name the later one is the member, and both report the conflict.
+/// Guards against a name that two processes use unnoticed: the later process is the member, and
+/// both must report the conflict.
 #[test]
 fn two_processes_under_one_name_both_log_the_conflict() {
     let mut fleet = Fleet::new(Options { peers: vec![0, 1], ..Options::with_members(4) }, nodes(), origin());
--- a/tests/fleet/policy/configuration.rs
+++ b/tests/fleet/policy/configuration.rs
@@ -37,7 +37,8 @@
     fleet.wait_until("the reload is handled", is_reloaded);
 }
 
-/// An invalid `fleet.policy` section is an error at the start, not only when the policy is needed.
+/// Guards against an invalid `fleet.policy` section that becomes an error only when the policy is
+/// needed, instead of at the start.
 #[test]
 fn a_start_with_an_invalid_policy_ends_with_one_line() {
     let options = Options { founders: vec![0, 1, 2], policy: true, ..Options::with_members(3) };
@@ -98,7 +99,7 @@
     assert!(lines.into_iter().all(|line| !line.contains("policy")));
 }
 
-/// The example in the repository is a valid configuration.
+/// Guards against an example in the repository that is not a valid configuration.
 #[test]
 fn the_example_of_three_proxies_with_one_policy_starts() {
     let examples = [
--- a/tests/fleet/policy/mod.rs
+++ b/tests/fleet/policy/mod.rs
@@ -1,5 +1,5 @@
-//! One policy for a fleet of real processes, with faults between them, checked on the responses
-//! that clients received.
+//! Tests of the policy of a fleet of real processes with faults between them, checked on the
+//! responses that clients received.
 
 mod configuration;
 mod storage;
@@ -112,7 +112,7 @@
         assert_eq!(call_admin(fleet.process(member).admin_address, "GET", "/control/ready").0, 503);
         assert_eq!(fleet.client(member).request("mn\r\n"), "SERVER_ERROR out of service\r\n");
         let rejection = fleet.client(member).get("k", &format!("f{member}"), 1000).0;
-        assert_eq!(rejection, "SERVER_ERROR busy 500\r\n", "at once, and with a Retry-After");
+        assert_eq!(rejection, "SERVER_ERROR busy 500\r\n", "a fenced member rejects with a Retry-After");
         assert_eq!(propose(fleet.process(member).admin_address, "z", 1, &settings(&fleet, 2)).0, 503);
     }
     fleet.datagram_faults.change_all_paths(|path| path.partitioned = false);
@@ -151,7 +151,7 @@
     wait_for_outcome(&fleet, 0, "taken");
     let change = get_json(fleet.process(0).admin_address, "/control/policy/changes/x");
     assert!(change["why"].as_str().unwrap().contains("n3"), "{change}");
-    assert!(fleet.client(3).get("k", "s1", 1000).0.starts_with("VA "), "by the first version");
+    assert!(fleet.client(3).get("k", "s1", 1000).0.starts_with("VA "), "n3 serves by the first version");
     assert_eq!(policy_status(&fleet, 3), (1, "fenced".to_owned()), "n3 reports that it is fenced");
     assert_eq!(
         call_admin(fleet.process(3).admin_address, "GET", "/control/ready").0,
@@ -292,8 +292,8 @@
     }
 }
 
-/// Shows that the checker detects a violation: with a SIGHUP at each proxy in turn, two policies
-/// decide requests at the same time.
+/// Guards against a checker that detects no violation: with a SIGHUP at each proxy in turn, two
+/// policies decide requests at the same time.
 #[test]
 fn reloads_in_turn_show_two_versions_at_once() {
     let run = run_with_reloads(Fleet::start_all(Options::with_members(3), nodes(), origin()), ms(150));
--- a/tests/fleet/policy/storage.rs
+++ b/tests/fleet/policy/storage.rs
@@ -1,4 +1,5 @@
-//! Voters that lose their process or disk. Committed versions must stay committed.
+//! Tests of voters that lose their process or disk, after which committed versions must stay
+//! committed.
 
 use super::*;
 
--- a/tests/fleet/quota.rs
+++ b/tests/fleet/quota.rs
@@ -155,8 +155,9 @@
     });
 }
 
-/// Checks the limit on the nodes' own count, independent of the admin servers, through a partition,
-/// a stop and a crash.
+/// Guards against a fleet that exceeds the limit of a node although the quotas that admin servers
+/// report are within it: the node itself counts its attempts, through a partition, a stop and a
+/// crash.
 #[test]
 fn attempts_in_flight_at_a_node_never_exceed_the_limit_of_the_fleet() {
     let node = || {
@@ -226,7 +227,8 @@
     }
 }
 
-/// An attempt must not run for longer than its quota stays reserved after the end of a lease.
+/// Guards against attempts that run for longer than their quota stays reserved after the end of a
+/// lease: a reload allows longer deadlines than `call_ms`.
 #[test]
 fn a_reload_with_deadlines_longer_than_call_ms_changes_nothing() {
     let mut fleet = fleet_with_equal_quotas(3);
--- a/tests/fleet/upgrades.rs
+++ b/tests/fleet/upgrades.rs
@@ -4,7 +4,8 @@
 use pinetrail_test_harness::call_admin;
 use pinetrail_test_harness::fleet::{Fleet, Options};
 
-/// The other members do not see a failure, and only one of the two processes takes part.
+/// Guards against a hot restart that other members report as a failure, or in which both processes
+/// take part in the membership.
 #[test]
 fn a_hot_restart_passes_the_name_on_and_no_member_is_reported_failed() {
     let mut fleet = joined_fleet(Options::with_members(3));
@@ -43,7 +44,8 @@
     });
 }
 
-/// The name is not lost although the partition hides the hot restart.
+/// Guards against a name that is lost because a partition hides the hot restart from the other
+/// members.
 #[test]
 fn a_hot_restart_during_a_partition_is_known_after_it() {
     let mut fleet = joined_fleet(Options::with_members(3));
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -1,5 +1,6 @@
-//! Tests of the conditions under which the decision module sends, retries or rejects, as far as no
-//! other test would notice that a condition is missing. `docs/release-review.md` has the table.
+//! Tests of the conditions under which the decision module sends, retries or rejects a request.
+//! Each condition here is one whose absence no other test would notice. `docs/release-review.md`
+//! has the table.
 
 mod common;
 
--- a/tests/sockets/backend_responses.rs
+++ b/tests/sockets/backend_responses.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Long values are valid: backends send several times 64 KiB.
+/// Guards against long values that are truncated or rejected: backends send several times 64 KiB.
 #[test]
 fn a_long_value_of_a_node_or_the_origin_arrives_complete() {
     let long = |start: &str| format!("{start}{}", "x".repeat(400_000 - start.len()));
@@ -60,7 +60,8 @@
     assert_eq!((fixture.counter("answers_spoilt"), fixture.counter("answered_served")), (0, 3));
 }
 
-/// A client never gets the value of another request.
+/// Guards against a client that gets the value of another request, because a node responds with
+/// another id.
 #[test]
 fn a_response_with_another_id_is_not_forwarded() {
     let (node, origin) =
@@ -71,8 +72,8 @@
     assert_eq!(node.connected(), node.received().len(), "no connection with a foreign response is reused");
 }
 
-/// A malformed response is neither forwarded nor waited for, and does not prove that the request
-/// was not executed.
+/// Guards against a malformed response that is forwarded, that the proxy awaits until the deadline,
+/// or that counts as proof that the request was not executed.
 #[test]
 fn malformed_responses_of_a_node_fail_at_once() {
     for malformed in [
@@ -101,7 +102,8 @@
     }
 }
 
-/// Surplus bytes behind a valid response neither invalidate it nor count as the next response.
+/// Guards against surplus bytes behind a valid response that invalidate this response or count as
+/// the next one.
 #[test]
 fn a_valid_response_with_more_behind_it_is_used_and_its_connection_closed() {
     let node = StubServer::node(|line| {
@@ -151,8 +153,8 @@
     }
 }
 
-/// A value without a length is complete when its connection ends in an orderly way. After a reset
-/// it may be truncated, so it is not served.
+/// Guards against a truncated value that is served as complete: a value without a length is
+/// complete when its connection ends in an orderly way, but may be truncated after a reset.
 #[test]
 fn a_response_without_a_length_is_complete_at_the_end_of_its_connection_but_not_at_a_reset() {
     for (is_reset, expected) in [(false, "VA 5 O1\r\n"), (true, "SERVER_ERROR ")] {
--- a/tests/sockets/client_connections.rs
+++ b/tests/sockets/client_connections.rs
@@ -6,7 +6,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A pipeline of small commands is not read faster than it is executed, nor kept in memory.
+/// Guards against memory that grows with a pipeline of small commands, because the proxy reads them
+/// faster than it executes them.
 #[test]
 fn an_endless_pipeline_takes_no_memory() {
     let origin = idle_origin();
@@ -22,7 +23,7 @@
         let _ = std::io::Write::write(&mut &flood, pipeline.as_bytes());
     }
     let growth_mb = fixture.memory_mb() - before;
-    assert!(growth_mb < 6, "{growth_mb} MB");
+    assert!(growth_mb < 6, "memory grew by {growth_mb} MB");
     flood.shutdown(std::net::Shutdown::Both).unwrap();
     let _ = reader.join();
 }
@@ -83,12 +84,12 @@
     ] {
         let mut client = fixture.client();
         assert!(client.request(&closing).starts_with("CLIENT_ERROR "), "{closing:?}");
-        assert_eq!(client.read_line(), "", "closed");
+        assert_eq!(client.read_line(), "", "the connection is closed");
     }
     assert_eq!(node.received().len(), 1, "no malformed command was forwarded");
 }
 
-/// Clients that send no complete command do not hold connections.
+/// Guards against clients that hold connections without sending a complete command.
 #[test]
 fn half_a_command_is_answered_with_an_error_and_silence_with_a_close() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -145,7 +146,8 @@
     assert_eq!(other.get("j", "1", 900).1, "v\r\n", "the id may be used again");
 }
 
-/// Other clients are served while some send malformed input at full speed.
+/// Guards against clients that occupy the worker by sending malformed input at full speed, so that
+/// other clients are not served.
 #[test]
 fn clients_that_send_malformed_input_do_not_occupy_the_worker() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -168,8 +170,8 @@
     });
 }
 
-/// Clients that send malformed input again and again are never idle, but must not occupy
-/// connections either.
+/// Guards against clients that occupy all connections by sending malformed input again and again:
+/// these clients are never idle.
 #[test]
 fn clients_that_send_malformed_input_do_not_occupy_all_connections() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -197,7 +199,7 @@
     });
 }
 
-/// Memory does not grow with responses that clients request and do not read.
+/// Guards against memory that grows with responses that clients request and do not read.
 #[test]
 fn memory_stays_within_its_limit() {
     let value = "v".repeat(65_536);
@@ -228,7 +230,7 @@
     // 40 descriptors are shared, 30 of them for clients while backends need few.
     let eviction_counters = ["consumers_evicted", "consumers_hopeless", "consumers_over_budget"];
     let closed: u64 = eviction_counters.into_iter().map(|name| fixture.counter(name)).sum();
-    assert!(closed >= 60 - 30, "{closed}");
+    assert!(closed >= 60 - 30, "{closed} idle connections closed");
 }
 
 /// Guards against connections that are held by clients that will not use them again, while others
@@ -260,7 +262,7 @@
         }
     }
     // If each were kept for 2.2 s, 32 connections would carry only 15 of the 50 requests a second.
-    assert!(served * 10 >= attempted * 9, "{served} of {attempted}");
+    assert!(served * 10 >= attempted * 9, "{served} of {attempted} requests served");
     assert!(fixture.counter("consumers_hopeless") > 0);
     // During a planned restart idle connections are evicted for as long as clients may connect.
     fixture.signal("TERM");
@@ -278,5 +280,5 @@
         sleep(ms(6));
     }
     // If connections were kept through the drain, all 32 would be idle after 0.2 s.
-    assert!(served * 10 >= attempted * 8, "{served} of {attempted} after SIGTERM");
+    assert!(served * 10 >= attempted * 8, "{served} of {attempted} requests served after SIGTERM");
 }
--- a/tests/sockets/discovery.rs
+++ b/tests/sockets/discovery.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// A list that is indented, or arrives in parts, is not malformed, but an incomplete list does not
-/// keep a watch alive.
+/// Guards against a list that is rejected because it is indented or arrives in parts, and against
+/// an incomplete list that keeps a watch alive.
 #[test]
 fn an_indented_endpoint_list_is_accepted() {
     let node = StubServer::hit_node("s");
@@ -69,7 +69,7 @@
     assert_eq!(line, "GET /catalog/members?watch=1&after=3 HTTP/1.1");
 }
 
-/// With pushed lists no poll starts a watch, so the proxy must open it by itself.
+/// Guards against a proxy that never opens a watch: with pushed lists no poll starts one.
 #[test]
 fn a_pushed_list_is_watched_from_the_start_and_again_after_an_outage() {
     let node = StubServer::hit_node("s");
@@ -96,10 +96,10 @@
     }
     assert_eq!(fixture.counter("watches_failed"), 0, "an empty line keeps the watch alive");
     fixture.discovery.next_watch();
-    assert!(started_at.elapsed() > ms(2700 + 2000), "not before a heartbeat was missed");
+    assert!(started_at.elapsed() > ms(2700 + 2000), "the watch is replaced only after a missed heartbeat");
 }
 
-/// At SIGHUP the watch moves to the configured address, and an invalid file is rejected. Neither
+/// Guards against a SIGHUP that leaves the watch at the old address, applies an invalid file, or
 /// ends the process.
 #[test]
 fn sighup_moves_the_watch_and_an_invalid_file_changes_nothing() {
@@ -110,7 +110,7 @@
     fixture.reload(&fixture.discovery.address.to_string(), &new_discovery.address.to_string());
     let started_at = Instant::now();
     let (line, updates) = new_discovery.next_watch();
-    assert!(started_at.elapsed() < ms(200), "at once, not after the backoff of a failed watch");
+    assert!(started_at.elapsed() < ms(200), "the watch moves without the backoff of a failed watch");
     assert_eq!(line, "GET /catalog/members?watch=1&after=1 HTTP/1.1");
     updates
         .send(endpoint_list_json(
--- a/tests/sockets/faults.rs
+++ b/tests/sockets/faults.rs
@@ -43,9 +43,9 @@
     }
 }
 
-/// Attempts fail half way, on a new and on a reused connection, for each kind of effect. No effect
-/// may happen twice, no request may get a second or a late response, and the proxy must continue to
-/// serve.
+/// Guards against effects that happen twice, second or late responses, and a proxy that stops
+/// serving, when attempts fail half way: on a new and on a reused connection, for each kind of
+/// effect.
 #[test]
 fn attempts_that_fail_half_way_keep_the_rules_for_every_effect() {
     let (one, other) = (StubServer::node(fails_by_key(false)), StubServer::node(fails_by_key(false)));
@@ -78,7 +78,8 @@
     assert_eq!((fixture.counter("overdue"), fixture.counter("panics")), (0, 0));
 }
 
-/// Misses that wait for a fetch get a response if its leader disconnects, and if the fetch fails.
+/// Guards against misses that get no response because the leader of the fetch that they wait for
+/// disconnects, or because the fetch fails.
 #[test]
 fn misses_that_wait_for_a_fetch_are_answered_however_it_ends() {
     let node = StubServer::miss_node();
@@ -111,8 +112,8 @@
     Recorder::current().check();
 }
 
-/// A proxy without a backend does not keep clients waiting: each gets a Retry-After at once, or
-/// after half of its latency objective.
+/// Guards against a proxy without a backend that keeps clients waiting: each must get a Retry-After
+/// at once, or after half of its latency objective.
 #[test]
 fn with_every_node_and_the_origin_down_all_requests_are_rejected_with_a_retry_after() {
     let (node, origin) = (StubServer::hit_node("v"), StubServer::origin(|_| http_200("v")));
@@ -134,7 +135,7 @@
     Recorder::current().check();
 }
 
-/// Further signals disturb neither a drain nor a reload.
+/// Guards against requests that are lost because further signals disturb a drain or a reload.
 #[test]
 fn signals_during_a_drain_or_a_reload_lose_no_request() {
     let node = StubServer::node(|line| {
@@ -247,9 +248,10 @@
     );
 }
 
-/// Records the real process under faults of every kind, with a node that drains, one that is
-/// removed and returns, and reloads. The checker accepts the recording, and rejects it without one
-/// response or with an attempt at a draining node.
+/// Guards against violations of the rules by the real process under faults of every kind, with a
+/// node that drains, one that is removed and returns, and reloads; and against a checker that
+/// misses violations: it must accept the recording, and reject it without one response or with an
+/// attempt at a draining node.
 #[test]
 fn requests_under_faults_of_every_kind_keep_the_rules() {
     let nodes = [unreliable_node(), unreliable_node(), unreliable_node()];
--- a/tests/sockets/hold_ups.rs
+++ b/tests/sockets/hold_ups.rs
@@ -71,7 +71,7 @@
     sleep_until(stopped_at + HOLD_UP_DURATION);
     fixture.signal("CONT");
 
-    assert_eq!(answered, [true; 4], "answered by the deadline and the slack");
+    assert_eq!(answered, [true; 4], "each client has a final response by the deadline and the slack");
     for client in &mut clients {
         assert!(client.read_line().starts_with("SERVER_ERROR "));
     }
@@ -80,7 +80,7 @@
     assert_eq!(fixture.counter("overdue"), 0, "no request was ended by its guard");
 }
 
-/// Operators can see a hold-up in the counters.
+/// Guards against a hold-up that operators cannot see in the counters.
 #[test]
 fn a_hold_up_is_counted() {
     let origin = idle_origin();
@@ -92,8 +92,8 @@
     fixture.wait_until("the hold-up is counted", || fixture.counter("held_up") > 0);
 }
 
-/// Guards against a deadline that counts from when the request is read: a request that arrives
-/// during a hold-up has already lost that time.
+/// Guards against a deadline that counts from the read of a request instead of its arrival: when a
+/// request that arrives during a hold-up is read, part of its time has passed.
 #[test]
 fn the_deadline_of_a_request_that_arrives_in_a_hold_up_counts_from_its_arrival() {
     let node = hanging_node();
@@ -123,7 +123,7 @@
         let answered: Vec<bool> = clients.iter_mut().map(has_complete_line).collect();
         fixture.signal("CONT");
 
-        assert_eq!(answered, [true; 2], "answered by the deadline of {wait_ms} ms and the slack");
+        assert_eq!(answered, [true; 2], "final responses by the deadline of {wait_ms} ms and the slack");
         for client in &mut clients {
             assert!(client.read_line().starts_with("SERVER_ERROR "));
         }
--- a/tests/sockets/large.rs
+++ b/tests/sockets/large.rs
@@ -9,8 +9,8 @@
 
 const LONG_VALUE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Memory must not grow with announced lengths: together these values far exceed the limit, and
-/// their clients read slowly.
+/// Guards against memory that grows with announced lengths: together these values far exceed the
+/// limit, and their clients read slowly.
 #[test]
 fn values_larger_than_the_memory_reach_slow_readers_complete() {
     let value = "x".repeat(LONG_VALUE_BYTES);
@@ -43,8 +43,9 @@
     assert_eq!((fixture.counter("values_flowed"), node.received().len()), (12, 12), "none is fetched twice");
 }
 
-/// The proxy forwards bytes as they arrive, and no deadline cuts off a body that still arrives:
-/// this node sends the second half only after the client has read the first.
+/// Guards against a proxy that collects a body before it forwards the first byte, and against a
+/// deadline that cuts off a body that still arrives: this node sends the second half only after the
+/// client has read the first.
 #[test]
 fn the_client_gets_the_first_bytes_before_the_node_has_sent_the_last() {
     let (release, released) = channel::<()>();
@@ -78,7 +79,8 @@
     assert_eq!((fixture.counter("answered_served"), fixture.counter("calls_ok")), (1, 1));
 }
 
-/// A response that arrives in pieces, cut at any point, is not malformed.
+/// Guards against a response that counts as malformed because it arrives in pieces, cut at any
+/// point.
 #[test]
 fn a_short_value_that_arrives_in_pieces_is_served() {
     let node = StubServer::node(move |line| {
@@ -99,8 +101,8 @@
     assert_eq!((fixture.counter("answers_spoilt"), node.received().len()), (0, 1));
 }
 
-/// A truncated value is not served as a complete one, and no second attempt is made once a body
-/// stream has begun.
+/// Guards against a truncated value that is served as complete, and against a second attempt after
+/// a body stream has begun.
 #[test]
 fn a_value_that_breaks_off_ends_the_connection_and_is_not_retried() {
     for ending in [&b""[..], b"no end"] {
@@ -128,7 +130,7 @@
     }
 }
 
-/// An attempt does not continue for a client that has disconnected.
+/// Guards against an attempt that continues for a client that has disconnected.
 #[test]
 fn a_client_that_disconnects_ends_the_body_stream() {
     let (closed_sender, closed_receiver): (Sender<bool>, _) = channel();
--- a/tests/sockets/operations.rs
+++ b/tests/sockets/operations.rs
@@ -7,7 +7,8 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-/// The admin server executes each request or responds with the reason of its failure.
+/// Guards against an admin request that is neither executed nor answered with the reason of its
+/// failure.
 #[test]
 fn the_admin_server_reports_success_or_the_reason_of_a_failure() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -31,7 +32,7 @@
     assert_eq!(fixture.counter("panics"), 0);
 }
 
-/// Callers that send nothing, or half a request, do not block the admin server.
+/// Guards against callers that block the admin server by sending nothing, or half a request.
 #[test]
 fn silent_admin_connections_do_not_block_requests() {
     let origin = idle_origin();
@@ -48,7 +49,7 @@
     drop(connections);
 }
 
-/// Requests to the admin server do not wait behind those of clients.
+/// Guards against requests to the admin server that wait behind those of clients.
 #[test]
 fn the_admin_server_answers_while_clients_flood_the_proxy() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -76,7 +77,7 @@
     }
 }
 
-/// A process that drains does not report itself as ready.
+/// Guards against a process that reports itself as ready while it drains.
 #[test]
 fn a_draining_proxy_is_not_ready() {
     let node = StubServer::node(|line| {
@@ -97,7 +98,8 @@
     assert!(fixture.wait_for_exit().status.success());
 }
 
-/// A slow client is not treated as a silent one: it may take 2 s for a command.
+/// Guards against a slow client that is treated as a silent one: a client may take 2 s for a
+/// command.
 #[test]
 fn clients_may_take_two_seconds_for_a_command() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -152,7 +154,8 @@
     assert!(offline_node.received().len() > before, "the node serves again");
 }
 
-/// An attempt that ends does not return its connection to the pool of a node in maintenance.
+/// Guards against a connection that returns to the pool of a node in maintenance when its attempt
+/// ends.
 #[test]
 fn an_attempt_in_flight_finishes_and_leaves_no_connection_to_a_node_in_maintenance() {
     let node = StubServer::node(|line| {
@@ -172,8 +175,8 @@
     fixture.wait_until("its connection is closed", || node.disconnected() == 1);
 }
 
-/// A proxy out of service loses no request: accepted requests get a response, connections close
-/// between commands, and the process keeps running.
+/// Guards against requests that are lost when a proxy goes out of service: accepted requests get a
+/// response, connections close between commands, and the process keeps running.
 #[test]
 fn a_proxy_out_of_service_disconnects_its_clients_and_serves_them_again_later() {
     let node = StubServer::node(|line| {
@@ -217,7 +220,7 @@
     let closed = |idle: &[Client]| idle.iter().filter(|client| client.is_closed()).count();
     let closed_early = closed(&idle);
     fixture.wait_until("idle connections close", || closed(&idle) == idle.len());
-    assert!(closed_early < idle.len(), "not all at once");
+    assert!(closed_early < idle.len(), "idle connections do not close all at once");
     assert!(started_at.elapsed() < ms(4000));
     assert_eq!(call_admin(fixture.admin_address, "POST", "/control/in-service").0, 200);
     let mut new_client = fixture.client();
@@ -230,7 +233,8 @@
     assert!(fixture.wait_for_exit().status.success());
 }
 
-/// Settings are applied completely or not at all, and open requests keep the earlier ones.
+/// Guards against settings of which a part is applied, and against open requests that lose the
+/// settings under which they arrived.
 #[test]
 fn reloaded_settings_apply_at_once_and_spare_open_requests() {
     let node = StubServer::node(|line| {
@@ -296,7 +300,7 @@
     assert_eq!(fixture.counter("overdue"), 0);
 }
 
-/// The example in the repository is a valid configuration.
+/// Guards against an example in the repository that is not a valid configuration.
 #[test]
 fn the_example_configuration_is_accepted() {
     let example = include_str!("../../deploy/example.json");
--- a/tests/sockets/races/cancelled_requests.rs
+++ b/tests/sockets/races/cancelled_requests.rs
@@ -72,8 +72,8 @@
     }
 }
 
-/// The same while the proxy disconnects its clients: a connection with an open command is then no
-/// longer read.
+/// Guards against attempts for a client that disconnects late in a drain: the proxy then no longer
+/// reads a connection with an open command.
 #[test]
 fn a_client_that_disconnects_late_in_a_drain_is_noticed() {
     let (node, release) = holding_node();
@@ -116,8 +116,8 @@
     assert_eq!((node.received(), fixture.counter("taken_reads")), (Vec::new(), 0));
 }
 
-/// No request is executed for clients that disconnected while the process was stopped, neither on
-/// an open connection nor on one that is not accepted yet.
+/// Guards against requests that are executed for clients that disconnected while the process was
+/// stopped, on an open connection or on one that is not accepted yet.
 #[test]
 fn a_process_that_was_stopped_makes_no_attempt_for_clients_that_have_disconnected() {
     let node = StubServer::hit_node("v");
@@ -136,8 +136,8 @@
     assert_eq!(node.received().len(), 1, "only the earlier request was sent");
 }
 
-/// No fetch is made for clients that disconnected while they waited for capacity at the origin, or
-/// for the fetch of another request.
+/// Guards against fetches for clients that disconnected while they waited for capacity at the
+/// origin, or for the fetch of another request.
 #[test]
 fn waiting_misses_are_not_sent_for_disconnected_clients() {
     let release = Arc::new(AtomicBool::new(false));
--- a/tests/sockets/races/closes.rs
+++ b/tests/sockets/races/closes.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// A further signal neither ends a drain nor restarts it.
+/// Guards against a further signal that ends a drain or restarts it.
 #[test]
 fn signals_in_a_drain_change_nothing() {
     let (node, origin) = (AcceptBarrier::new(), StubServer::origin(|_| StubAction::Ignore));
@@ -120,9 +120,9 @@
     observations
 }
 
-/// A drain loses no request while half of the nodes do not respond: clients send on every open
-/// connection up to the exit, and new ones connect for 0.3 s. All requests get a response except
-/// those that cross the end of their connection.
+/// Guards against requests that a drain loses while half of the nodes do not respond: clients send
+/// on every open connection up to the exit, and new ones connect for 0.3 s. All requests must get a
+/// response except those that cross the end of their connection.
 #[test]
 fn a_draining_proxy_under_load_with_half_of_the_nodes_hanging_answers_all_requests() {
     let (node, hanging_node) = (StubServer::hit_node("v"), StubServer::node(|_| StubAction::Ignore));
--- a/tests/sockets/races/kept.rs
+++ b/tests/sockets/races/kept.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// A client never gets the value of another request: a response without an id arrives twice, the
-/// second time on a connection that has the next request already.
+/// Guards against a client that gets the value of another request: a response without an id arrives
+/// twice, the second time on a connection that has the next request already.
 #[test]
 fn a_second_answer_without_an_id_does_not_answer_the_next_request() {
     let node = StubServer::miss_node();
@@ -29,8 +29,8 @@
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O2\r\n".into(), "b\r\n".into()));
 }
 
-/// A second rejection, which never has an id, must not be taken as the response to the next
-/// request, whose effect could then happen twice.
+/// Guards against a second rejection, which never has an id, that is taken as the response to the
+/// next request, whose effect could then happen twice.
 #[test]
 fn a_second_rejection_does_not_answer_the_next_request() {
     let node = AcceptBarrier::new();
@@ -49,8 +49,9 @@
     assert_eq!((client.read_line(), client.read_line()), ("VA 1 O1\r\n".into(), "v\r\n".into()));
 }
 
-/// A response without a length is incomplete, and not served, if its connection is reset; it is
-/// complete if the connection ends in an orderly way.
+/// Guards against a response without a length that is served although its connection was reset, so
+/// that the response may be incomplete. If the connection ends in an orderly way, the response is
+/// complete and must be served.
 #[test]
 fn a_response_without_a_length_is_complete_only_at_an_orderly_end() {
     for is_reset in [false, true] {
@@ -78,8 +79,8 @@
     }
 }
 
-/// A connection to a process that has ended is not reused: its node restarts while an attempt is in
-/// flight, and the attempt ends only after the restart is known.
+/// Guards against the reuse of a connection to a process that has ended: its node restarts while an
+/// attempt is in flight, and the attempt ends only after the restart is known.
 #[test]
 fn a_connection_to_a_node_that_has_restarted_is_not_reused() {
     let (release, requests) = (Arc::new(AtomicBool::new(false)), AtomicUsize::new(0));
--- a/tests/sockets/races/late.rs
+++ b/tests/sockets/races/late.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// No attempt is sent if its node began to drain or restarted, or its client disconnected, while
-/// its connection was being established.
+/// Guards against an attempt that is sent although its node began to drain or restarted, or its
+/// client disconnected, while its connection was being established.
 #[test]
 fn a_connection_that_is_established_too_late_gets_no_attempt() {
     for change_during_connect in ["drains", "restarts", "the client disconnects"] {
--- a/tests/sockets/races/lists.rs
+++ b/tests/sockets/races/lists.rs
@@ -23,8 +23,9 @@
     (fixture, discovery, poll, node)
 }
 
-/// A change is known in time although the watch falls silent just before it and the next watch
-/// hangs, is rejected, or breaks. Only the one after that delivers the change.
+/// Guards against a change that becomes known too late: the watch falls silent just before the
+/// change, and the next watch hangs, is rejected, or breaks. Only the watch after that delivers the
+/// change.
 #[test]
 fn a_change_during_a_silent_watch_is_known_in_time_however_the_next_watch_fails() {
     for failure in ["hangs", "is refused", "ends", "trickles"] {
@@ -59,8 +60,8 @@
     }
 }
 
-/// Discovery is polled soon enough after an outage, however often polls failed before, and not so
-/// often that hundreds of proxies would overload it.
+/// Guards against polls of discovery that come too late after an outage because many polls failed
+/// before, or so often that hundreds of proxies would overload discovery.
 #[test]
 fn a_failing_discovery_is_retried_often_enough_and_not_too_often() {
     let (_fixture, discovery, mut poll, _) = fixture_with_controlled_discovery();
@@ -79,8 +80,8 @@
     assert!(gaps[1..].iter().all(|gap| *gap > ms(1900)), "{gaps:?}");
 }
 
-/// With pushed lists changes must be known at once, so the discovery agent is polled again soon,
-/// however often polls have failed.
+/// Guards against a discovery agent that is polled again too late because many polls have failed:
+/// with pushed lists changes must be known at once.
 #[test]
 fn a_discovery_that_is_back_is_polled_at_once() {
     let node = StubServer::hit_node("v");
@@ -97,7 +98,8 @@
     }
 }
 
-/// A watch moves to the new address although the connection to the old one is never established.
+/// Guards against a watch that does not move to the new address, because the connection to the old
+/// one is never established.
 #[test]
 fn a_move_does_not_wait_for_a_connection_to_the_old_address() {
     let node = StubServer::hit_node("v");
@@ -115,8 +117,8 @@
     assert!(started_at.elapsed() < ms(2000), "{:?}", started_at.elapsed());
 }
 
-/// A change that arrives together with the end of its watch is not lost, though no later watch
-/// succeeds.
+/// Guards against a change that is lost because it arrives together with the end of its watch. No
+/// later watch succeeds.
 #[test]
 fn a_list_that_arrives_with_the_end_of_its_watch_is_applied() {
     let node = StubServer::hit_node("v");
--- a/tests/sockets/requests.rs
+++ b/tests/sockets/requests.rs
@@ -48,7 +48,8 @@
     assert_eq!((fixture.counter("calls_full"), fixture.counter("calls_ok")), (1, 1));
 }
 
-/// An attempt that never connected was not executed, so a retry is safe for every effect.
+/// Guards against a request that fails because one node refuses connections: an attempt that never
+/// connected was not executed, so a retry is safe for every effect.
 #[test]
 fn a_read_goes_to_another_node_if_one_refuses_connections() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -73,7 +74,7 @@
         "the request did not end at its own deadline but at its class's: {:?}",
         started_at.elapsed()
     );
-    assert_eq!(line, "SERVER_ERROR busy 500\r\n", "with a Retry-After");
+    assert_eq!(line, "SERVER_ERROR busy 500\r\n", "the rejection has a Retry-After");
     fixture.wait_until("the attempt is cancelled", || node.disconnected() == 1);
     assert_eq!((fixture.counter("calls_timeout"), node.received().len()), (1, 1));
 }
@@ -98,8 +99,9 @@
     assert_eq!(fixture.counter("answered_failed") + fixture.counter("answered_rejected"), 0);
 }
 
-/// Attempts reuse connections, but neither one that broke while it was idle, nor one that the node
-/// is about to close for its age.
+/// Guards against attempts that open a new connection instead of reusing one, and against attempts
+/// that reuse a connection that broke while it was idle or that the node is about to close for its
+/// age.
 #[test]
 fn open_backend_connections_are_reused_until_they_break_or_grow_old() {
     let node = StubServer::node(|line| {
@@ -133,8 +135,8 @@
     }
 }
 
-/// The ids of keys and nodes depend neither on the order of a list nor on the process. The names of
-/// the last two nodes hash to the same id.
+/// Guards against ids of keys and nodes that depend on the order of a list or on the process. The
+/// names of the last two nodes hash to the same id.
 #[test]
 fn two_proxies_choose_the_same_node_for_a_key() {
     let nodes = [StubServer::hit_node("0"), StubServer::hit_node("1"), StubServer::hit_node("2")];
@@ -172,7 +174,7 @@
     assert!(fixture.memory_mb() <= before + 8, "from {before} to {} MB", fixture.memory_mb());
 }
 
-/// A connection to a removed node is not used for a new node at its address.
+/// Guards against a connection to a removed node that is used for a new node at the same address.
 #[test]
 fn a_new_node_at_an_old_address_gets_new_connections() {
     let node = StubServer::hit_node("v");
--- a/tests/sockets/settings.rs
+++ b/tests/sockets/settings.rs
@@ -23,7 +23,7 @@
     );
 }
 
-/// The program does not depend on the names and limits of one deployment.
+/// Guards against a program that depends on the names and limits of one deployment.
 #[test]
 fn other_names_limits_of_one_and_absent_fields_are_served() {
     assert_serves(&[], "read", "put", ",t=acme");
@@ -70,7 +70,7 @@
     );
 }
 
-/// A request whose deadline is shorter than any timer does not hang.
+/// Guards against a request that hangs because its deadline is shorter than any timer.
 #[test]
 fn a_deadline_of_a_few_milliseconds_is_kept() {
     let node = StubServer::node(|_| StubAction::Ignore);
--- a/tests/sockets/shutdown.rs
+++ b/tests/sockets/shutdown.rs
@@ -23,7 +23,7 @@
     after.send("mg j v O2 Pc=read,t=acme,d=2000\r\n");
     assert_eq!((before.read_line(), before.read_line()), ("VA 4 O1\r\n".into(), "late\r\n".into()));
     assert_eq!((after.read_line(), after.read_line()), ("VA 4 O2\r\n".into(), "late\r\n".into()));
-    assert_eq!([before.read_line(), after.read_line(), idle.read_line()], [""; 3], "closed between commands");
+    assert_eq!([before.read_line(), after.read_line(), idle.read_line()], [""; 3], "all connections closed");
     let output = fixture.wait_for_exit();
     assert!(output.status.success());
     let output_text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -33,7 +33,8 @@
     );
 }
 
-/// Clients of the only proxy can use their open connections for nearly as long as its drain takes.
+/// Guards against a drain that closes open connections early: clients of the only proxy must be
+/// able to use them for nearly as long as the drain takes.
 #[test]
 fn a_draining_proxy_serves_open_connections_until_shortly_before_the_kill() {
     let node = StubServer::node(|line| {
--- a/tests/sockets/starts.rs
+++ b/tests/sockets/starts.rs
@@ -8,7 +8,8 @@
 /// Time within which a started process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A start does not wait for discovery, which refuses connections, does not accept them, or hangs.
+/// Guards against a start that waits for discovery, which refuses connections, does not accept
+/// them, or hangs.
 #[test]
 fn processes_started_together_are_ready_without_discovery() {
     let node = StubServer::hit_node("v");
@@ -30,7 +31,7 @@
         while Client::try_connect(*address)
             .is_none_or(|mut client| !client.try_send("mn\r\n") || client.read_line() != "MN\r\n")
         {
-            assert!(Instant::now() < until, "not ready in time");
+            assert!(Instant::now() < until, "{address} was not ready within {READY_TIMEOUT:?}");
             std::thread::sleep(ms(20));
         }
     }
--- a/tests/sockets/upgrades.rs
+++ b/tests/sockets/upgrades.rs
@@ -59,7 +59,8 @@
     }
 }
 
-/// No command is lost or executed twice in a hot restart, and nodes stay in maintenance.
+/// Guards against commands that are lost or executed twice in a hot restart, and against nodes that
+/// return from maintenance because of it.
 #[test]
 fn three_hot_restarts_lose_no_request_and_keep_maintenance() {
     let (node, offline_node, origin) =
@@ -87,7 +88,7 @@
     let ids: std::collections::BTreeSet<String> =
         node.received().iter().map(|line| opaque(line).to_owned()).collect();
     assert_eq!(node.received().len(), ids.len(), "no request is executed twice");
-    assert!(ids.len() >= answered && answered > 100, "{answered} of {}", ids.len());
+    assert!(ids.len() >= answered && answered > 100, "{answered} answered, {} at the node", ids.len());
     assert!(
         offline_node.received().is_empty(),
         "the node is in maintenance before, during and after each hot restart"
@@ -100,7 +101,8 @@
     assert!(!offline_node.received().is_empty(), "the node serves again");
 }
 
-/// No client waits for a second process that dies, and the next hot restart succeeds.
+/// Guards against clients that wait for a second process that dies, and against a failed hot
+/// restart that prevents the next one.
 #[test]
 fn a_second_process_that_fails_leaves_the_first_one_unchanged() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -143,7 +145,8 @@
     assert_eq!(fixture.client().get("k", "c", 900).1, "v\r\n");
 }
 
-/// Both processes go out of service together, and a later process is in service again.
+/// Guards against a hot restart in which only one of the two processes goes out of service, and
+/// against a later process that starts out of service.
 #[test]
 fn going_out_of_service_applies_to_both_processes_and_is_not_inherited() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
@@ -160,8 +163,8 @@
     assert_eq!(fixture.client().request("mn\r\n"), "MN\r\n");
 }
 
-/// The path of `$TMPDIR` may be too long for a Unix socket, and a killed process may have left
-/// files there.
+/// Guards against a hot restart that fails because the path of `$TMPDIR` is too long for a Unix
+/// socket, or because a killed process left files there.
 #[test]
 fn a_hot_restart_needs_no_short_path_and_no_clean_folder() {
     let (node, origin) = (StubServer::hit_node("v"), idle_origin());
