--- a/crates/experiments/src/soak/backends.rs
+++ b/crates/experiments/src/soak/backends.rs
@@ -19,9 +19,9 @@
 /// The time between two bytes of a response that trickles.
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The protocol of a backend.
+/// The kind of a backend, which determines its protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum BackendKind {
+pub(super) enum Kind {
     /// A cache node, which speaks the memcache meta commands.
     Node,
     /// The origin, which speaks HTTP/1.1.
@@ -58,7 +58,7 @@
 }
 
 struct Server {
-    kind: BackendKind,
+    kind: Kind,
     number: usize,
     seed: u64,
     record: Arc<Record>,
@@ -79,7 +79,7 @@
     ///
     /// If the backend cannot listen, or the kernel does not record when bytes arrive.
     pub(super) fn start(
-        kind: BackendKind,
+        kind: Kind,
         number: usize,
         seed: u64,
         record: &Arc<Record>,
@@ -136,7 +136,7 @@
             18..=21 => Behaviour::Busy,
             22..=24 => Behaviour::Fail,
             25..=26 => Behaviour::ServeTwice,
-            27..=50 if self.kind == BackendKind::Node => Behaviour::Miss,
+            27..=50 if self.kind == Kind::Node => Behaviour::Miss,
             _ => Behaviour::Serve,
         }
     }
@@ -189,25 +189,23 @@
 
     fn complete_response(&self, received: &ReceivedRequest, value: &str) -> String {
         match (self.kind, received.is_write) {
-            (BackendKind::Origin, _) => {
-                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{value}", value.len())
-            }
-            (BackendKind::Node, true) => format!("HD {} c{value}\r\n", received.id),
-            (BackendKind::Node, false) => format!("VA {} {} h1\r\n{value}\r\n", value.len(), received.id),
+            (Kind::Origin, _) => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{value}", value.len()),
+            (Kind::Node, true) => format!("HD {} c{value}\r\n", received.id),
+            (Kind::Node, false) => format!("VA {} {} h1\r\n{value}\r\n", value.len(), received.id),
         }
     }
 
     fn rejection(&self) -> &'static str {
         match self.kind {
-            BackendKind::Node => "SERVER_ERROR busy\r\n",
-            BackendKind::Origin => "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
+            Kind::Node => "SERVER_ERROR busy\r\n",
+            Kind::Origin => "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
         }
     }
 
     fn failure(&self) -> &'static str {
         match self.kind {
-            BackendKind::Node => "SERVER_ERROR failed\r\n",
-            BackendKind::Origin => "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n",
+            Kind::Node => "SERVER_ERROR failed\r\n",
+            Kind::Origin => "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n",
         }
     }
 
@@ -216,12 +214,12 @@
         reader.get_ref().get_ref().set_read_timeout(Some(READ_TIMEOUT))?;
         let mut head = String::new();
         while reader.read_line(&mut head)? > 0 {
-            if self.kind == BackendKind::Origin && !head.ends_with("\r\n\r\n") {
+            if self.kind == Kind::Origin && !head.ends_with("\r\n\r\n") {
                 continue;
             }
             let (id, labels) = match self.kind {
-                BackendKind::Node => (flag(&head, "O"), flag(&head, "P")),
-                BackendKind::Origin => {
+                Kind::Node => (flag(&head, "O"), flag(&head, "P")),
+                Kind::Origin => {
                     (field(&head, "X-Txn: ").map(|id| format!("O{id}")), field(&head, "X-Labels: "))
                 }
             };
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -13,7 +13,7 @@
 mod request_logs;
 
 use crate::error::ExperimentError;
-use backends::{Backend, BackendKind};
+use backends::{Backend, Kind};
 use clap::{Args, ValueEnum};
 use clients::Client;
 use judge::{LateResponse, Verdict, Violation, DEDUPLICATION_WINDOW};
@@ -162,7 +162,7 @@
 
 impl TestBed {
     fn new(plan: &Plan, record: &Arc<Record>) -> Result<TestBed, ExperimentError> {
-        let kind = |number| if number == ORIGIN { BackendKind::Origin } else { BackendKind::Node };
+        let kind = |number| if number == ORIGIN { Kind::Origin } else { Kind::Node };
         let backends = (0..=NODES).map(|number| Backend::start(kind(number), number, plan.seed, record));
         let backends: Vec<Backend> =
             backends.collect::<Result<_, _>>().map_err(ExperimentError::SoakSetup)?;
