--- a/src/net/fleet/activation.rs
+++ b/src/net/fleet/activation.rs
@@ -4,7 +4,7 @@
 use super::active_member::{ActivationId, ActiveMember};
 use super::error::FleetError;
 use super::quota::QuotaDriver;
-use super::{operator_view, Activity, Fleet};
+use super::{operator_view, Fleet, MemberActivity};
 use crate::net::deadline_stream::sleep;
 use crate::net::log::log;
 use crate::net::polled_socket::PolledSocket;
@@ -29,10 +29,10 @@
     /// Returns [`FleetError`] if the socket cannot be opened or the settings do not fit its
     /// address; the process then stays inactive.
     pub fn activate(self: &Arc<Self>) -> Result<(), FleetError> {
-        *self.activity() = Activity::Opening;
+        *self.activity() = MemberActivity::Opening;
         let opened = self.open();
         if opened.is_err() {
-            *self.activity() = Activity::Inactive;
+            *self.activity() = MemberActivity::Inactive;
         }
         opened
     }
@@ -42,14 +42,14 @@
     ///
     /// Spawns a coroutine that retries until the socket is open or this process is deactivated.
     pub fn activate_when_free(self: &Arc<Self>) {
-        *self.activity() = Activity::Opening;
+        *self.activity() = MemberActivity::Opening;
         let fleet = Arc::clone(self);
         may::go!(move || fleet.open_with_retries());
     }
 
     fn open_with_retries(self: &Arc<Self>) {
         let mut failures = 0;
-        while matches!(*self.activity(), Activity::Opening) {
+        while matches!(*self.activity(), MemberActivity::Opening) {
             let Err(error) = self.open() else { return };
             if failures == OPEN_FAILURES_BEFORE_LOG {
                 log(&format!("{error}; this process keeps trying to open the socket"));
@@ -68,7 +68,7 @@
     /// Marks this process as shutting down soon, so that later views of the quota replace it as a
     /// voter.
     pub fn begin_shutdown(&self) {
-        if let Activity::Active(member) = &mut *self.activity() {
+        if let MemberActivity::Active(member) = &mut *self.activity() {
             if let Some(quota) = &mut member.quota {
                 quota.leave();
             }
@@ -118,7 +118,7 @@
             if let Some(quota) = &member.quota {
                 self.publish_quota(quota.local_quota(self.now()));
             }
-            *activity = Activity::Active(Box::new(member));
+            *activity = MemberActivity::Active(Box::new(member));
         }
         let receiver = Arc::clone(self);
         may::go!(move || receiver.receive_datagrams(activation, &socket));
@@ -129,8 +129,8 @@
     /// Makes this process inactive. If it was active, calls `last_action` with its membership, adds
     /// the counters to the earlier ones and sends the resulting datagrams.
     fn become_inactive(&self, last_action: impl FnOnce(&mut Membership, &mut Vec<Output>)) {
-        let previous = std::mem::replace(&mut *self.activity(), Activity::Inactive);
-        let Activity::Active(mut member) = previous else { return };
+        let previous = std::mem::replace(&mut *self.activity(), MemberActivity::Inactive);
+        let MemberActivity::Active(mut member) = previous else { return };
         let mut out = Vec::new();
         last_action(&mut member.membership, &mut out);
         let counters =
--- a/src/net/fleet/event_loop.rs
+++ b/src/net/fleet/event_loop.rs
@@ -3,7 +3,7 @@
 
 use super::active_member::ActivationId;
 use super::operator_view::membership_log_line;
-use super::{Activity, Fleet};
+use super::{Fleet, MemberActivity};
 use crate::net::deadline_stream::sleep;
 use crate::net::log::log;
 use crate::net::polled_socket::PolledSocket;
@@ -74,13 +74,13 @@
 
     fn next_timeout(&self) -> Option<Timestamp> {
         match &*self.activity() {
-            Activity::Active(member) => member.next_timeout(),
-            Activity::Opening | Activity::Inactive => None,
+            MemberActivity::Active(member) => member.next_timeout(),
+            MemberActivity::Opening | MemberActivity::Inactive => None,
         }
     }
 
     fn is_active(&self, activation: ActivationId) -> bool {
-        matches!(&*self.activity(), Activity::Active(member) if member.activation == activation)
+        matches!(&*self.activity(), MemberActivity::Active(member) if member.activation == activation)
     }
 
     /// Calls `act` with the membership, drives the quota and carries out the outputs of both.
@@ -91,14 +91,14 @@
     ) -> Option<T> {
         let mut out = Vec::new();
         let (result, socket) = match &mut *self.activity() {
-            Activity::Active(member) => {
+            MemberActivity::Active(member) => {
                 let result = act(&mut member.membership, &mut out);
                 if let Some(quota) = member.drive_quota(self.now(), &mut out) {
                     self.publish_quota(quota);
                 }
                 (result, Arc::clone(&member.socket))
             }
-            Activity::Opening | Activity::Inactive => return None,
+            MemberActivity::Opening | MemberActivity::Inactive => return None,
         };
         self.apply(out, &socket);
         Some(result)
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -35,7 +35,7 @@
 pub type DirectoryHandler = Box<dyn Fn(SocketAddr, &[u8]) + Send + Sync>;
 
 /// Whether this process is the active member, which has its proxy's name in the fleet.
-enum Activity {
+enum MemberActivity {
     /// The process becomes the active member as soon as its socket can be opened.
     Opening,
     /// The process is the active member.
@@ -57,7 +57,7 @@
     started_at_unix_ms: u64,
     /// The socket, the membership and the quota while this process is active. The lock also guards
     /// the order in which quotas are published. No thread blocks while it holds this lock.
-    activity: Mutex<Activity>,
+    activity: Mutex<MemberActivity>,
     /// The number of activations of this process.
     activations: AtomicU64,
     /// The summed counters of memberships that have ended.
@@ -85,7 +85,7 @@
             seed,
             started_at: Instant::now(),
             started_at_unix_ms: u64::try_from(since_unix_epoch.as_millis()).unwrap_or(u64::MAX),
-            activity: Mutex::new(Activity::Inactive),
+            activity: Mutex::new(MemberActivity::Inactive),
             activations: AtomicU64::new(0),
             earlier_counters: Mutex::default(),
             send_failures: Counter::default(),
@@ -117,8 +117,8 @@
     pub fn is_quota_leader(&self) -> bool {
         let now = self.now();
         match &*self.activity() {
-            Activity::Active(member) => member.quota.as_ref().is_some_and(|quota| quota.is_leader(now)),
-            Activity::Opening | Activity::Inactive => false,
+            MemberActivity::Active(member) => member.quota.as_ref().is_some_and(|quota| quota.is_leader(now)),
+            MemberActivity::Opening | MemberActivity::Inactive => false,
         }
     }
 
@@ -147,16 +147,16 @@
     /// Returns the other members that are alive; `None` while this process is not active.
     pub fn live_peers(&self) -> Option<Vec<LivePeer>> {
         match &*self.activity() {
-            Activity::Active(member) => Some(member.live_peers()),
-            Activity::Opening | Activity::Inactive => None,
+            MemberActivity::Active(member) => Some(member.live_peers()),
+            MemberActivity::Opening | MemberActivity::Inactive => None,
         }
     }
 
     /// Returns the local address of the fleet's socket; `None` while this process is not active.
     pub fn address(&self) -> Option<SocketAddr> {
         match &*self.activity() {
-            Activity::Active(member) => member.socket.inner().local_addr().ok(),
-            Activity::Opening | Activity::Inactive => None,
+            MemberActivity::Active(member) => member.socket.inner().local_addr().ok(),
+            MemberActivity::Opening | MemberActivity::Inactive => None,
         }
     }
 
@@ -164,11 +164,11 @@
     pub fn report(&self) -> Option<String> {
         let now = self.now();
         match &*self.activity() {
-            Activity::Active(member) => {
+            MemberActivity::Active(member) => {
                 let status = member.quota.as_ref().map(|quota| self.quota_status(quota, now));
                 Some(operator_view::report(&member.membership, self.started_at_unix_ms, status))
             }
-            Activity::Opening | Activity::Inactive => None,
+            MemberActivity::Opening | MemberActivity::Inactive => None,
         }
     }
 
@@ -188,7 +188,7 @@
         let present = self.with_membership(|membership, _| membership.counters()).unwrap_or_default();
         let counters = operator_view::sum_membership_counters(*self.earlier_counters(), present);
         let mut list = operator_view::membership_counters_by_name(&counters, self.send_failures.get());
-        if let Activity::Active(member) = &*self.activity() {
+        if let MemberActivity::Active(member) = &*self.activity() {
             if let Some(quota) = &member.quota {
                 list.extend(quota.counters());
             }
@@ -201,7 +201,7 @@
         Timestamp::ZERO + self.started_at.elapsed()
     }
 
-    fn activity(&self) -> MutexGuard<'_, Activity> {
+    fn activity(&self) -> MutexGuard<'_, MemberActivity> {
         self.activity.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/src/net/fleet/process_quota.rs
+++ b/src/net/fleet/process_quota.rs
@@ -5,7 +5,7 @@
 //! the minimum.
 
 use super::quota::LocalQuota;
-use super::{Activity, Fleet};
+use super::{Fleet, MemberActivity};
 use crate::interface::FleetLimits;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -44,7 +44,7 @@
     pub fn set_second_process(&self, second_process: SecondProcess) {
         self.shares_minimum.store(second_process == SecondProcess::Serving, Ordering::Release);
         let now = self.now();
-        if let Activity::Active(member) = &*self.activity() {
+        if let MemberActivity::Active(member) = &*self.activity() {
             if let Some(quota) = &member.quota {
                 self.publish_quota(quota.local_quota(now));
             }
