--- a/crates/codec/src/http/head.rs
+++ b/crates/codec/src/http/head.rs
@@ -116,9 +116,9 @@
         Ok(())
     }
 
-    /// Returns the framing of the body of a response with this status.
+    /// Returns the framing of the body of a response with this status: decides where the body ends,
+    /// or that the response is rejected as malformed.
     ///
-    /// Decides: the end of a body, or that the response is rejected as malformed.
     /// Inputs: the status, the content length in bytes, and whether the body is chunked.
     /// Reason: a response with two different ends could be read past its end, into the next one.
     /// Source: RFC 9112, section 6.3.
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -157,9 +157,8 @@
     limit.map_or(f64::INFINITY, |limit| limit as f64)
 }
 
-/// Checks a limit on the attempts in flight of the whole fleet.
+/// Decides whether a limit on the attempts in flight of the whole fleet is rejected as too low.
 ///
-/// Decides: whether a limit is rejected as too low.
 /// Inputs: the limit, and the least that is allowed, both in attempts in flight.
 /// Reason: a guaranteed minimum below one attempt allows no attempt if rounded down. If rounded up,
 /// the minimums together exceed the limit.
@@ -183,9 +182,9 @@
     }
 }
 
-/// Checks that every attempt ends while its quota is still reserved for it.
+/// Checks that every attempt ends while its quota is still reserved for it. A configuration whose
+/// attempts may outlive their quota is rejected.
 ///
-/// Decides: whether a configuration is rejected because its attempts may outlive their quota.
 /// Inputs: `call_ms`, and the longest `GiveUp` of a class, both in ms.
 /// Reason: the quota of an expired lease is granted again after `call_ms`, so an attempt that runs
 /// longer would use quota that another proxy has too.
--- a/crates/config/src/missing_keys.rs
+++ b/crates/config/src/missing_keys.rs
@@ -7,10 +7,10 @@
 
 type Object = serde_json::Map<String, Value>;
 
-/// Returns the path of the first key that `before` has and `now` leaves out. In a list of objects,
-/// each object must have the keys that all objects of the list had before.
+/// Returns the path of the first key that `before` has and `now` leaves out; a newer configuration,
+/// or newer settings, with such a key are rejected as incomplete. In a list of objects, each object
+/// must have the keys that all objects of the list had before.
 ///
-/// Decides: whether a newer configuration, or newer settings, are rejected as incomplete.
 /// Inputs: the JSON values before and now.
 /// Reason: a key that is left out by mistake would silently get its default.
 pub(super) fn first_missing_key(before: &Value, now: &Value) -> Option<String> {
--- a/crates/connection-limits/src/connection_table/eviction.rs
+++ b/crates/connection-limits/src/connection_table/eviction.rs
@@ -29,13 +29,13 @@
         orders
     }
 
-    /// Returns orders to close up to `count` connections in favor of new ones.
+    /// Decides which connections, up to `count`, are evicted in favor of new ones
+    /// ([`CloseOrderReason::Evicted`]), and returns the orders to close them. First come the
+    /// connections whose client the server waits for and that have reached their floor, by phase,
+    /// the oldest first; then idle connections, the least likely to be used again first.
     ///
     /// Invariant: a connection whose command is being executed is never closed.
     ///
-    /// Decides: which connections are evicted ([`CloseOrderReason::Evicted`]). First come the
-    /// connections whose client the server waits for and that have reached their floor, by phase,
-    /// the oldest first; then idle connections, the least likely to be used again first.
     /// Inputs: ages and floors (ms), probabilities of reuse, `count` in connections.
     /// Reason: the capacity is used up, and a client that waits to connect needs it more than one
     /// that sends nothing.
@@ -65,9 +65,8 @@
     }
 
     /// Orders the closing of connections that have been in their phase for longer than any
-    /// connection may be.
+    /// connection may be ([`CloseOrderReason::Overdue`]).
     ///
-    /// Decides: which connections are [`CloseOrderReason::Overdue`].
     /// Inputs: ages in the phase and the timeouts of the phases (ms), the pressure (share of the
     /// capacity), which selects the idle timeout.
     /// Reason: a client that neither sends nor reads would hold its descriptor indefinitely.
@@ -109,9 +108,8 @@
     }
 
     /// Orders the closing of silent and idle connections at the age from which on few connections
-    /// of their kind are used again.
+    /// of their kind are used again ([`CloseOrderReason::UnlikelyToReturn`]).
     ///
-    /// Decides: which connections are [`CloseOrderReason::UnlikelyToReturn`].
     /// Inputs: ages in the phase (ms), the pressure (share of the capacity), and the limit of each
     /// kind, which [`ConnectionTable::idle_limit`] decides.
     /// Reason: under pressure the capacity is kept for connections that will carry requests.
@@ -129,9 +127,8 @@
     }
 
     /// Orders the closing of the oldest connections in phases with more connections than their
-    /// budget.
+    /// budget ([`CloseOrderReason::OverBudget`]).
     ///
-    /// Decides: which connections are [`CloseOrderReason::OverBudget`].
     /// Inputs: the number of connections in each phase, the budget of a phase (connections), ages
     /// and floors (ms).
     /// Reason: clients that the server waits for must not use up the capacity for other clients.
--- a/crates/connection-limits/src/connection_table/life_tables.rs
+++ b/crates/connection-limits/src/connection_table/life_tables.rs
@@ -47,9 +47,9 @@
         life_table.reuse_probability(entry.interval, self.limits.idle_timeout)
     }
 
-    /// Returns the maximum idle time of connections of a kind at this pressure.
+    /// Returns the maximum idle time of connections of a kind at this pressure. Under pressure, a
+    /// silent or idle connection of the kind is closed at that age.
     ///
-    /// Decides: the age at which a silent or idle connection of this kind is closed under pressure.
     /// Inputs: the pressure (share of the capacity), the kind's life table (probabilities by age),
     /// the kind's longest and shortest time, the required probability of reuse.
     /// Reason: connections that will probably not be used again take the capacity from clients that
--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -62,10 +62,9 @@
         self.peak_at = self.peak_at.max(now);
     }
 
-    /// Returns the maximum number of client connections at this moment.
+    /// Returns the maximum number of client connections at this moment, which lies between the
+    /// clients' reserve and the total less the backends' reserve.
     ///
-    /// Decides: the limit of client connections, between the clients' reserve and the total less
-    /// the backends' reserve.
     /// Inputs: the decayed peak of backend connections, the total and both reserves, in
     /// descriptors.
     /// Reason: backends keep headroom above their recent peak, so that a crowd of clients cannot
@@ -84,7 +83,6 @@
     /// count, not those that they may hold, because a side whose limit was lowered shrinks only as
     /// its connections close.
     ///
-    /// Decides: the limit of backend connections.
     /// Inputs: the open client connections, the total and both reserves, in descriptors.
     /// Reason: backends may use every descriptor that clients neither hold nor have in reserve.
     /// Source: docs/connection-limits.md, "Descriptors".
@@ -93,9 +91,8 @@
         free.max(self.backend_reserve).min(self.total - self.client_reserve)
     }
 
-    /// Returns whether one more client connection can be accepted.
+    /// Decides whether one more client connection is accepted or waits in the listen queue.
     ///
-    /// Decides: whether a client connection is accepted or waits in the listen queue.
     /// Inputs: the open client and backend connections, the total and the backends' reserve, in
     /// descriptors.
     /// Reason: the descriptor must be free now, beside those that backends hold or have in reserve.
--- a/crates/peer-transport/src/send_queue.rs
+++ b/crates/peer-transport/src/send_queue.rs
@@ -32,10 +32,9 @@
 }
 
 impl SendQueue {
-    /// Queues a frame, and returns whether it was queued. A frame is dropped if it is too long, if
-    /// it exceeds the capacity of the queue, or if the queue is closed.
+    /// Queues or drops a frame, and returns whether it was queued. A frame is dropped if it is too
+    /// long, if it exceeds the capacity of the queue, or if the queue is closed.
     ///
-    /// Decides: whether a frame is queued or dropped.
     /// Inputs: the encoded length of the frame in bytes; the frames and bytes in the queue; whether
     /// the queue is closed.
     /// Reason: a peer that does not read must not exhaust the memory of this process. The peer gets
--- a/crates/peer-transport/src/session.rs
+++ b/crates/peer-transport/src/session.rs
@@ -92,9 +92,8 @@
     Ok(handshake)
 }
 
-/// Checks the handshake of a peer.
+/// Decides whether the handshake of a peer is accepted.
 ///
-/// Decides: whether the handshake of a peer is accepted.
 /// Inputs: the handshake; the version of the frames, the fleet and the identity of this process.
 /// Reason: frames of another version cannot be decoded, messages of another fleet are about another
 /// policy, and in a connection with itself a process would count as its own peer.
--- a/crates/quota/src/leader_term.rs
+++ b/crates/quota/src/leader_term.rs
@@ -197,9 +197,9 @@
         }
     }
 
-    /// Advances the term to the phase that its votes and acceptances permit.
+    /// Advances the term to the phase that its votes and acceptances permit: decides when a
+    /// candidate has a view decided, and when it begins to lead.
     ///
-    /// Decides: when a candidate has a view decided, and when it begins to lead.
     /// Inputs: the time now and the expiry of each vote (own clock); the acceptances of the
     /// proposed view; the size of a quorum.
     /// Reason: a leader must know the latest decided view, so a view that an earlier proposer left
--- a/crates/quota/src/leader_term/quorum.rs
+++ b/crates/quota/src/leader_term/quorum.rs
@@ -32,9 +32,8 @@
         }
     }
 
-    /// Updates the time until which this term has the votes of a quorum.
+    /// Updates the expiry of this term: the time until which the term has the votes of a quorum.
     ///
-    /// Decides: when the term expires.
     /// Inputs: the expiry of each vote (own clock), the addresses of the voters, the size of a
     /// quorum.
     /// Reason: a process and its successor at the same address count as one voter, and the term
--- a/crates/quota/src/leader_term/view_change.rs
+++ b/crates/quota/src/leader_term/view_change.rs
@@ -15,9 +15,9 @@
 const VOTE_TIMEOUT_HEARTBEATS: u32 = 2;
 
 impl LeaderTerm {
-    /// Returns the view that must be decided before this process leads; `None` if there is none.
+    /// Returns the first proposal of a term: the view that must be decided before this process
+    /// leads; `None` if there is none.
     ///
-    /// Decides: the first proposal of a term.
     /// Inputs: the view that voters accepted in the latest earlier ballot; the valid votes, by the
     /// time now (own clock); the highest view number that was seen.
     /// Reason: a view of an earlier leader may have been decided without that leader's knowledge,
@@ -34,9 +34,8 @@
         Some(View { ballot: self.ballot, number: highest_view_number + 1, voters })
     }
 
-    /// Adopts the proposed view if a quorum has accepted it.
+    /// Adopts the proposed view as decided if a quorum has accepted it.
     ///
-    /// Decides: whether the proposed view is decided.
     /// Inputs: the voters that have accepted it, their addresses, the size of a quorum.
     /// Reason: a process and its successor at the same address count as one voter.
     /// Source: Paxos, phase 2b (Lamport 1998).
@@ -55,10 +54,9 @@
         }
     }
 
-    /// Proposes a view of these voters, if it differs from the present view and has enough voters
-    /// for a quorum.
+    /// Decides which processes are voters of the next view: proposes a view of these voters, if it
+    /// differs from the present view and has enough voters for a quorum.
     ///
-    /// Decides: which processes are voters of the next view.
     /// Inputs: the processes that may vote; the votes that have not expired and the time since the
     /// last view was decided (own clock); the processes that shut down; the heartbeat period.
     /// Reason: a voter that does not respond must be replaced before the failure of another voter
--- a/crates/quota/src/leases/lease.rs
+++ b/crates/quota/src/leases/lease.rs
@@ -17,9 +17,9 @@
 }
 
 impl Lease {
-    /// Returns the parts that the lease permits at a point in time; 0 after its expiry.
+    /// Returns the leased parts that the holder may use at a point in time; 0 after the expiry of
+    /// the lease.
     ///
-    /// Decides: how many leased parts the holder may use.
     /// Inputs: the time now and the expiry, both of the holder's clock; the leased parts.
     /// Reason: a process that was paused resumes with a lease whose parts may have been granted to
     /// another, so the holder must evaluate the lease at every use.
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Replaces the lease by the granted one, and returns whether the grant was applied.
+    /// Decides whether a grant replaces the present lease, and when the new one expires. Applies
+    /// such a grant, and returns whether it was applied.
     ///
-    /// Decides: whether a grant replaces the present lease, and when the new one expires.
     /// Inputs: the time now, the time at which the request was sent and the duration, all by the
     /// holder's clock; the longest duration that the settings permit.
     /// Reason: the lease lasts from the sending of its request, since the grant may arrive late. A
@@ -94,10 +94,9 @@
         true
     }
 
-    /// Records the expiry of the lease, and returns whether the lease has expired since the last
-    /// call.
+    /// Decides whether an active lease has expired and records the expiry. Returns whether the
+    /// lease has expired since the last call.
     ///
-    /// Decides: whether an active lease has expired.
     /// Inputs: the time now and the expiry, both of the holder's clock.
     /// Reason: the rest of the program must be notified once that only the guaranteed minimum
     /// remains.
--- a/crates/quota/src/leases/ledger.rs
+++ b/crates/quota/src/leases/ledger.rs
@@ -48,10 +48,9 @@
         }
     }
 
-    /// Decides on a lease request and records the decision.
+    /// Decides on a lease request and records the decision: how many parts the holder gets (see
+    /// [`LeaseLedger::allocate`]), and until when these parts count as in use.
     ///
-    /// Decides: how many parts the holder gets (see [`LeaseLedger::allocate`]), and until when
-    /// these parts count as in use.
     /// Inputs: the time now (leader's clock); the request (holder's clock, parts that are held);
     /// the durations of leases and attempts and the clock skew from the settings.
     /// Reason: parts may be granted to another holder only when no attempt can still run under an
@@ -91,9 +90,8 @@
         self.requested_at.retain(|_, at| *at + max_silence > now);
     }
 
-    /// Shortens the time for which replaced leases of the holder count as in use.
+    /// Shortens the time until which the parts of replaced leases of the holder count as in use.
     ///
-    /// Decides: until when parts of replaced leases count as in use.
     /// Inputs: the time now (leader's clock); when the holder requested the lease that it holds now
     /// (holder's clock); the longest attempt and the clock skew.
     /// Reason: a holder begins no attempt under a replaced lease, so only attempts that already run
@@ -113,10 +111,9 @@
         }
     }
 
-    /// Returns the parts to grant: an equal part for each requester, to which a lease grows by
-    /// steps.
+    /// Returns the size of a lease to grant, in parts per billion: an equal part for each
+    /// requester, to which a lease grows by steps.
     ///
-    /// Decides: the size of a lease, in parts per billion.
     /// Inputs: the time now (leader's clock); the parts that the holder has; the number of
     /// requesters; the parts that other holders may use; the number of growth steps.
     /// Reason: until the ledger is complete, the parts in use are within the limit but not all
--- a/crates/quota/src/quota_leases.rs
+++ b/crates/quota/src/quota_leases.rs
@@ -61,9 +61,8 @@
         Ok(quota)
     }
 
-    /// Returns the parts that this process may use now: its quota.
+    /// Returns the parts of the fleet's limits that this process may use now: its quota.
     ///
-    /// Decides: how much of the fleet's limits this process uses.
     /// Inputs: the time now (own clock); the guaranteed minimum and the lease, in parts per
     /// billion.
     /// Reason: the guaranteed minimum depends on no other process, so it remains when a lease
--- a/crates/quota/src/quota_leases/election.rs
+++ b/crates/quota/src/quota_leases/election.rs
@@ -37,10 +37,9 @@
         }
     }
 
-    /// Returns the kind of election in which this process may be a candidate; `None` if it is not
-    /// eligible.
+    /// Decides whether this process asks for votes in its view, or to found a new fleet. Returns
+    /// the kind of election in which it may be a candidate; `None` if it is not eligible.
     ///
-    /// Decides: whether this process asks for votes in its view, or to found a new fleet.
     /// Inputs: whether it is a founder and a voter; the time since the last contact with a leader
     /// (own clock); the elections that it has lost.
     /// Reason: a view that has lost its quorum never elects a leader again, so every other election
@@ -61,10 +60,9 @@
         }
     }
 
-    /// Returns the time at which this process becomes a candidate if it has no contact with a
-    /// leader after `since`.
+    /// Returns the start of the next election at this process: the time at which it becomes a
+    /// candidate if it has no contact with a leader after `since`.
     ///
-    /// Decides: the start of the next election at this process.
     /// Inputs: the last contact with a leader or the end of the last election (own clock); its rank
     /// among the voters that are alive; the duration of a vote, the clock skew and the heartbeat
     /// period; its start and the elections that it has lost, which spread the candidates.
--- a/crates/quota/src/quota_leases/messages.rs
+++ b/crates/quota/src/quota_leases/messages.rs
@@ -118,9 +118,9 @@
         out.push(Output::Event(QuotaEvent::BecameLeader));
     }
 
-    /// Grants a lease, as the leader, for the lease request in a response.
+    /// Grants a lease, as the leader, for the lease request in a response: decides whether the
+    /// lease is granted, and how long it lasts.
     ///
-    /// Decides: whether a lease is granted for a request, and how long the lease lasts.
     /// Inputs: the time now, the start of the term and the age of the votes (own clock); the
     /// request of the holder; the duration of a lease.
     /// Reason: parts that the holder had before this term may have been granted to another process
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -183,9 +183,9 @@
         }
     }
 
-    /// Returns the number of founders that must agree to found a fleet.
+    /// Returns the size of the quorum for the first view: the number of founders that must agree to
+    /// found a fleet.
     ///
-    /// Decides: the size of the quorum for the first view.
     /// Inputs: the number of founders.
     /// Reason: with three founders or more all but one are needed. A view of two voters may still
     /// exist behind a partition, and at least one of the two is then among those that must agree.
--- a/crates/quota/src/view.rs
+++ b/crates/quota/src/view.rs
@@ -41,9 +41,9 @@
         self.voters.binary_search(process).is_ok()
     }
 
-    /// Returns the size of a quorum: a majority of the voters, and at least `min_quorum`.
+    /// Returns the size of a quorum, the number of voters that must agree to elect a leader or to
+    /// decide on a view: a majority of the voters, and at least `min_quorum`.
     ///
-    /// Decides: how many voters must agree to elect a leader or to decide on a view.
     /// Inputs: the number of voters; the fewest voters that may decide.
     /// Reason: two quorums must intersect. With three founders or more a quorum needs two voters,
     /// since otherwise all founders but one could found a new fleet while the remaining one still
--- a/crates/quota/src/voter/vote.rs
+++ b/crates/quota/src/voter/vote.rs
@@ -19,9 +19,9 @@
 }
 
 impl Vote {
-    /// Returns a vote that is cast now.
+    /// Returns a vote that is cast now. Until the vote expires, this process votes for no other
+    /// candidate.
     ///
-    /// Decides: until when this process votes for no other candidate.
     /// Inputs: the time now (voter's clock); the duration of a vote and the clock skew.
     /// Reason: the candidate counts the duration from the sending of its request, which was
     /// earlier. The clock skew is added because the voter's clock may be the faster one.
--- a/crates/quota/src/voter/vote_rules.rs
+++ b/crates/quota/src/voter/vote_rules.rs
@@ -26,9 +26,8 @@
 }
 
 impl Voter {
-    /// Checks whether this process grants its vote to a candidate.
+    /// Decides whether this process grants its vote to a candidate, or why the vote is refused.
     ///
-    /// Decides: whether a vote is granted, or why it is refused.
     /// Inputs: the time now (voter's clock); the request with its ballot and view; the promised
     /// ballot, the present vote and the known view; the durations of votes and leases.
     /// Reason: no other candidate may get a vote before it expires, so that there is at most one
@@ -61,9 +60,8 @@
         }
     }
 
-    /// Checks whether this process may vote for a new fleet.
+    /// Decides whether this process may vote, as a founder, for the first view of a new fleet.
     ///
-    /// Decides: whether a founder votes for the first view of a new fleet.
     /// Inputs: the time now, the start of this process and the last contact with a leader (voter's
     /// clock); the durations of votes and leases.
     /// Reason: the predecessor of this process at its address may have granted a vote that this
