--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -12,7 +12,7 @@
 
 /// A point in time on one process's clock, in whole milliseconds since the origin of that clock.
 ///
-/// `serde` and `{:?}` both write a timestamp as its number of milliseconds and nothing else.
+/// `serde` and `{:?}` both write a timestamp as a plain number of milliseconds.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Timestamp(u64);
--- a/crates/connection-limits/src/connection_table.rs
+++ b/crates/connection-limits/src/connection_table.rs
@@ -147,9 +147,9 @@
         self.capacity = capacity.max(1);
     }
 
-    /// Records that the server accepts no more connections. The pressure is 0 from now on, so that
-    /// no limit is lowered: no new connection needs the capacity, and a client whose connection was
-    /// closed could not connect to this server again.
+    /// Records that the server has stopped accepting connections. The pressure then stays at 0, so
+    /// that no limit is lowered: no new connection needs the capacity, and a client whose
+    /// connection was closed could not connect to this server again.
     pub fn stop_accepting(&mut self) {
         self.accepts = false;
     }
--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -77,7 +77,7 @@
         self.total - wanted_by_backends.clamp(self.backend_reserve.min(most), most)
     }
 
-    /// Returns the maximum number of backend connections beside `clients` client connections.
+    /// Returns the maximum number of backend connections alongside `clients` client connections.
     ///
     /// Invariant: no descriptor is given to both sides. The descriptors that clients hold now
     /// count, not those that they may hold, because a side whose limit was lowered shrinks only as
--- a/crates/connection-limits/tests/crowds/main.rs
+++ b/crates/connection-limits/tests/crowds/main.rs
@@ -57,7 +57,7 @@
 }
 
 /// Replays a recorded restart: for 1.5 s after the second start, 576 clients per second send a
-/// greeting and keep their connection, beside the silent and the honest clients.
+/// greeting and keep their connection, alongside the silent and the honest clients.
 #[test]
 fn service_recovers_within_seconds_from_a_crowd_at_the_start() {
     let mut crowd = Crowd::new(225, 128);
--- a/crates/experiments/src/membership/trials.rs
+++ b/crates/experiments/src/membership/trials.rs
@@ -159,7 +159,7 @@
         self.outcome(false, met_within_ms, measurements)
     }
 
-    /// Waits until all members know of all; returns how long this took, or none after
+    /// Waits until all members know all others; returns how long this took, or none after
     /// [`MAX_JOIN_TIME_MS`].
     fn wait_until_joined(&self, fleet: &mut Fleet<Membership>) -> Option<u64> {
         let all: Vec<usize> = (0..self.members).collect();
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -259,7 +259,7 @@
     }
 
     /// Sends a series of signals, with SIGTERM while a reload is under way, and starts the proxy
-    /// again. The process has [`TERM_TO_KILL`] to end by itself before it is killed.
+    /// again. The process has [`TERM_TO_KILL`] to end on its own before it is killed.
     fn end_by_signals(&mut self, proxy: usize) {
         let fixture = &self.proxies[proxy];
         for signal in ["HUP", "USR1", "HUP"] {
--- a/crates/experiments/src/soak/plan.rs
+++ b/crates/experiments/src/soak/plan.rs
@@ -13,7 +13,7 @@
     /// Hold-ups, reloads, restarts, kills, drains and outages of discovery, and in some seeds
     /// crowds of idle clients.
     Standard,
-    /// The standard faults, and also series of signals after which a process ends by itself, a
+    /// The standard faults, and also series of signals after which a process ends on its own, a
     /// crowd in one seed of four, and hold-ups in pairs: at the arrival of requests with long
     /// timeouts, and when their responses are planned.
     Wide,
@@ -30,7 +30,7 @@
     Restart(usize),
     /// A proxy is sent SIGKILL without SIGTERM, and is started again.
     Kill(usize),
-    /// A proxy is sent a series of signals that ends with SIGTERM, ends by itself, and is started
+    /// A proxy is sent a series of signals that ends with SIGTERM, ends on its own, and is started
     /// again.
     SignalSeries(usize),
     /// A cache node is listed as draining.
--- a/crates/experiments/src/soak/record.rs
+++ b/crates/experiments/src/soak/record.rs
@@ -63,9 +63,9 @@
     Terminated(usize),
     /// A proxy is about to be sent SIGKILL.
     Killed(usize),
-    /// A proxy that was killed has ended. Another process takes its place from now on.
+    /// A proxy that was killed has ended. Another process then takes its place.
     Ended(usize),
-    /// A proxy that was sent SIGTERM has ended by itself.
+    /// A proxy that was sent SIGTERM has ended on its own.
     Exited(usize),
     /// A proxy that was started again is ready.
     Started(usize),
@@ -73,7 +73,7 @@
     Draining(usize),
     /// A backend is about to be listed as ready again.
     Ready(usize),
-    /// Discovery is about to end its watches, and does not respond from now on.
+    /// Discovery is about to end its watches and to stop responding.
     DiscoveryDown,
     /// Discovery responds again.
     DiscoveryUp,
--- a/crates/experiments/src/soak/request_logs.rs
+++ b/crates/experiments/src/soak/request_logs.rs
@@ -32,7 +32,7 @@
 }
 
 impl RequestLogs {
-    /// Makes all proxies that are started from now on write request logs.
+    /// Makes all proxies that are started after this call write request logs.
     ///
     /// # Errors
     ///
--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -123,7 +123,7 @@
 pub enum ProxyEnd {
     /// The process was killed, so that its open requests need no response.
     Killed,
-    /// The process exited by itself, before which it had to respond to all accepted requests.
+    /// The process exited on its own, before which it had to respond to all accepted requests.
     Exited,
 }
 
--- a/crates/history-checker/src/request_index.rs
+++ b/crates/history-checker/src/request_index.rs
@@ -25,7 +25,7 @@
     pub responses: Vec<Response<'a>>,
     /// When the client disconnected or the proxy was killed. No response is due from then on.
     pub excused: Option<Time>,
-    /// When the proxy exited by itself. The response is due all the same.
+    /// When the proxy exited on its own. The response is still due.
     pub proxy_exited: Option<Occurrence>,
     pub attempts: Vec<Attempt<'a>>,
 }
--- a/crates/membership/tests/hard_cases/joining.rs
+++ b/crates/membership/tests/hard_cases/joining.rs
@@ -28,7 +28,7 @@
         fleet.kill(0);
         fleet.run(10_000);
         assert!(fleet.all_agree(&[1, 2, 3, 4]), "seed {seed}");
-        // A member that starts now reaches no other by itself, since its only peer is dead. The
+        // A member that starts now reaches no other on its own, since its only peer is dead. The
         // members that declared it failed contact it.
         fleet.kill(4);
         fleet.run(6_000);
--- a/crates/policy-consensus/src/admission_lease.rs
+++ b/crates/policy-consensus/src/admission_lease.rs
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Releases the lease for a change, so that no request is admitted from now on. Returns the
-    /// epoch of the requests that follow.
+    /// Releases the lease for a change, so that no further request is admitted under it. Returns
+    /// the epoch of the requests that follow.
     pub fn release(&self, now: Instant) -> u64 {
         let mut state = self.state();
         state.grants.clear();
--- a/crates/policy-consensus/src/node/voter.rs
+++ b/crates/policy-consensus/src/node/voter.rs
@@ -42,8 +42,8 @@
         Ok(())
     }
 
-    /// Removes the voter from this process, because another process of this proxy has the voter
-    /// from now on.
+    /// Removes the voter from this process, because another process of this proxy takes the voter
+    /// over.
     pub fn resign_voter(&self) {
         self.state().voter = None;
         self.transport.set_voter_id(None);
--- a/crates/simulation/src/policy_consensus/disk.rs
+++ b/crates/simulation/src/policy_consensus/disk.rs
@@ -11,17 +11,17 @@
 pub(super) struct SimulatedDisk {
     /// The stored bytes, and their lock.
     bytes: Arc<Mutex<Option<Vec<u8>>>>,
-    /// Whether the disk has room, and the lock of this state.
+    /// Whether the disk has free space, and the lock of this state.
     space: Arc<Mutex<DiskSpace>>,
 }
 
 impl SimulatedDisk {
-    /// Creates an empty disk with room.
+    /// Creates an empty disk with free space.
     pub(super) fn new() -> SimulatedDisk {
         SimulatedDisk { bytes: Arc::default(), space: Arc::new(Mutex::new(DiskSpace::Free)) }
     }
 
-    /// Sets whether the disk has room from now on.
+    /// Sets whether the disk has free space.
     pub(super) fn set_space(&self, space: DiskSpace) {
         *lock(&self.space) = space;
     }
--- a/crates/simulation/src/policy_consensus/plan.rs
+++ b/crates/simulation/src/policy_consensus/plan.rs
@@ -43,21 +43,21 @@
         /// The host that rejects the change.
         rejected_by: usize,
     },
-    /// The disk of a host becomes full, or has room again.
+    /// The disk of a host becomes full, or has free space again.
     SetDisk {
         /// The number of the host.
         host: usize,
-        /// Whether the disk has room.
+        /// Whether the disk has free space.
         space: DiskSpace,
     },
 }
 
-/// Whether a disk has room.
+/// Whether a disk has free space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskSpace {
     /// The disk is full, so that each write fails.
     Full,
-    /// The disk has room.
+    /// The disk has free space.
     Free,
 }
 
--- a/crates/simulation/src/quota.rs
+++ b/crates/simulation/src/quota.rs
@@ -119,7 +119,7 @@
 /// A simulated fleet with a quota: the hosts, the network between them, and the time. Equal seeds
 /// and calls give equal runs.
 pub struct QuotaSimulation {
-    /// The settings of processes that start from now on.
+    /// The settings of processes that are started next.
     pub settings: Settings,
     /// The network between the hosts.
     pub network: Network,
@@ -170,7 +170,7 @@
         self.now
     }
 
-    /// Sets the clock of the processes that start on a host from now on.
+    /// Sets the clock of the processes that are started on a host after this call.
     pub fn set_clock(&mut self, host: usize, clock: Clock) {
         self.hosts[host].clock = clock;
     }
--- a/crates/test-harness/src/fault_proxy/mod.rs
+++ b/crates/test-harness/src/fault_proxy/mod.rs
@@ -38,7 +38,7 @@
 
 /// Closes the direction from one connection to another, in both connections.
 fn close_direction(from: &TcpStream, to: &TcpStream) {
-    // Errors are ignored: either connection may have ended by itself.
+    // Errors are ignored: either connection may have ended on its own.
     let _ = to.shutdown(Shutdown::Write);
     let _ = from.shutdown(Shutdown::Read);
 }
--- a/crates/test-harness/src/fault_proxy/peer.rs
+++ b/crates/test-harness/src/fault_proxy/peer.rs
@@ -64,7 +64,7 @@
         self.open.lock().unwrap().retain(|open| {
             let is_between = open.path == path || open.path == path.reversed();
             if is_between {
-                // An error is ignored: the connection may have ended by itself.
+                // An error is ignored: the connection may have ended on its own.
                 let _ = open.stream.shutdown(Shutdown::Both);
             }
             !is_between
--- a/crates/test-harness/src/fault_proxy/stream.rs
+++ b/crates/test-harness/src/fault_proxy/stream.rs
@@ -60,7 +60,7 @@
         StreamFaultProxy { address, shared }
     }
 
-    /// Holds back all data from now on, without closing connections.
+    /// Starts to hold back all data, without closing connections.
     ///
     /// # Panics
     /// If a thread of the proxy has panicked.
@@ -88,7 +88,7 @@
     pub fn reset(&self) {
         let open = std::mem::take(&mut self.shared.state.lock().unwrap().open);
         for stream in open {
-            // An error is ignored: the connection may have ended by itself.
+            // An error is ignored: the connection may have ended on its own.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
--- a/crates/test-harness/src/fleet/process.rs
+++ b/crates/test-harness/src/fleet/process.rs
@@ -23,7 +23,7 @@
 }
 
 impl Process {
-    /// Waits until the process exits by itself; returns its exit status.
+    /// Waits until the process exits on its own; returns its exit status.
     pub fn wait_for_exit(mut self) -> ExitStatus {
         let until = Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -50,7 +50,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if !self.ended {
-            // An error is ignored: the process may have ended by itself. SIGKILL also ends a
+            // An error is ignored: the process may have ended on its own. SIGKILL also ends a
             // process that is paused.
             let _ = self.child.kill().and_then(|()| self.child.wait());
         }
@@ -78,7 +78,7 @@
 impl Drop for StartingProcess {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // An error is ignored: the process may have ended by itself.
+            // An error is ignored: the process may have ended on its own.
             let _ = child.kill().and_then(|()| child.wait());
         }
     }
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -155,7 +155,7 @@
     rustix::process::kill_process(pid, number).expect("the process can be signalled");
 }
 
-/// Waits until a process exits by itself; returns its exit status and its output.
+/// Waits until a process exits on its own; returns its exit status and its output.
 ///
 /// # Panics
 /// If the process does not exit within [`WAIT_TIMEOUT`].
--- a/crates/test-harness/src/proxy_fixture.rs
+++ b/crates/test-harness/src/proxy_fixture.rs
@@ -245,7 +245,7 @@
 impl Drop for ProxyFixture {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // An error is ignored: the process may have ended by itself.
+            // An error is ignored: the process may have ended on its own.
             let _ = child.kill().and_then(|()| child.wait());
         }
         let _ = std::fs::remove_dir_all(&self.temp_dir);
--- a/crates/test-harness/src/recorder.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -126,7 +126,7 @@
         self.record(HistoryEvent::ClientDisconnected { request });
     }
 
-    /// Records that the proxy has exited by itself.
+    /// Records that the proxy has exited on its own.
     pub fn record_exit(&self) {
         self.record(HistoryEvent::ProxyEnded { proxy: PROXY.into(), how: ProxyEnd::Exited });
     }
--- a/src/logic/balancer/requests.rs
+++ b/src/logic/balancer/requests.rs
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Sends the requests that waited for a fetch to the node that now holds the value, or routes
-    /// them anew if that node may not receive them.
+    /// Sends the requests that waited for a fetch to the node that now holds the value, or reroutes
+    /// them if that node may not receive them.
     pub(super) fn finish_fetch(&mut self, fetch: OriginFetch, out: &mut Vec<Action>) {
         for id in fetch.waiters {
             let pending = self.requests.get(&id);
@@ -252,8 +252,8 @@
         self.close(id, out);
     }
 
-    /// Removes a request that has its final response or needs none, and routes anew the requests
-    /// that waited for its fetch.
+    /// Removes a request that has its final response or needs none, and reroutes the requests that
+    /// waited for its fetch.
     pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.remove(&id) else { return };
         if pending.stage != Stage::InFlight {
--- a/src/logic/endpoint_selection/rendezvous_order.rs
+++ b/src/logic/endpoint_selection/rendezvous_order.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns the number of candidates for the home of a key: a key with a tenth of all requests
-    /// requires a tenth of the backends and gets twice as many candidates. The request at hand is
+    /// requires a tenth of the backends and gets twice as many candidates. The present request is
     /// counted as well, so that a new key has a candidate.
     fn candidates(&self, key: Key, backends: usize, min_candidates: usize) -> usize {
         if !self.has_small_quota {
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -85,7 +85,7 @@
             }
             let slot = ConnectionSlot::acquire(self, number, &stream);
             let backend = Arc::clone(backend);
-            // The coroutine ends by itself, because each step of a connection has a deadline.
+            // The coroutine always ends, because each step of a connection has a deadline.
             may::go!(move || {
                 // An error means that the operator has closed the connection.
                 let _ = slot.serve(&stream, &*backend);
--- a/src/net/backend/response.rs
+++ b/src/net/backend/response.rs
@@ -92,7 +92,7 @@
     Incomplete,
     /// The response is malformed. The request may have run, and the connection is closed.
     Malformed,
-    /// The bytes contain the beginning of a long value, which is streamed from now on.
+    /// The bytes contain the beginning of a long value, which is streamed.
     LongValue(LongValue),
     /// The response is complete.
     Complete {
--- a/src/net/dispatcher/attempts.rs
+++ b/src/net/dispatcher/attempts.rs
@@ -22,7 +22,7 @@
     pub request: RequestId,
     /// The backend to which the attempt is sent.
     pub backend: BackendId,
-    /// The timeout of the attempt. Not above 0 stands for the whole budget of the request.
+    /// The timeout of the attempt. If not above 0, the whole budget of the request applies.
     pub timeout: TimeSpan,
     /// The time within which the attempt's last byte must be written.
     pub send_within: TimeSpan,
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -34,7 +34,7 @@
 /// A handler of messages of the peer directory. The address is that of the sending member.
 pub type DirectoryHandler = Box<dyn Fn(SocketAddr, &[u8]) + Send + Sync>;
 
-/// Whether this process is the active member, which has its proxy's name in the fleet.
+/// The state of this process as the active member, which has the name of its proxy in the fleet.
 enum MemberActivity {
     /// The process becomes the active member as soon as its socket can be opened.
     Opening,
--- a/src/net/fleet/process_quota.rs
+++ b/src/net/fleet/process_quota.rs
@@ -39,8 +39,8 @@
 }
 
 impl Fleet {
-    /// Sets whether another process of this proxy serves from now on, and publishes the changed
-    /// quota if this process is active.
+    /// Sets whether another process of this proxy is serving, and publishes the changed quota if
+    /// this process is active.
     pub fn set_second_process(&self, second_process: SecondProcess) {
         self.shares_minimum.store(second_process == SecondProcess::Serving, Ordering::Release);
         let now = self.now();
--- a/src/net/hot_restart/messages.rs
+++ b/src/net/hot_restart/messages.rs
@@ -80,7 +80,7 @@
     Serving,
     /// The sender has been asked to stop.
     Leaving,
-    /// The budget of the newer process from now on.
+    /// The new budget of the newer process.
     #[serde(rename = "Share")]
     Budget(ResourceBudget),
     /// A command to apply, with its number.
--- a/src/net/hot_restart/newer/tests.rs
+++ b/src/net/hot_restart/newer/tests.rs
@@ -48,7 +48,7 @@
     Message::Rejection("it took too long".to_owned()).to_line()
 }
 
-/// Guards against a newer process that serves beside the older one, although the older one has
+/// Guards against a newer process that serves alongside the older one, although the older one has
 /// abandoned the handover: the rejection arrives during the start, behind another message.
 #[test]
 fn a_process_that_was_rejected_while_it_started_does_not_join() {
@@ -74,7 +74,7 @@
 
     let deadline = Instant::now() + TEST_TIMEOUT;
     while !host.rejected.load(Ordering::SeqCst) {
-        assert!(Instant::now() < deadline, "a rejected process must stop, but goes on serving");
+        assert!(Instant::now() < deadline, "a rejected process must stop, but it still serves");
         sleep(POLL_INTERVAL);
     }
 }
--- a/src/net/hot_restart/older.rs
+++ b/src/net/hot_restart/older.rs
@@ -24,7 +24,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl HotRestart {
-    /// Accepts connections of newer processes from now on.
+    /// Starts to accept connections of newer processes.
     pub fn listen(self: &Arc<Self>, client_address: SocketAddr, host: Arc<dyn HotRestartHost>) {
         let (socket, listener) = match open_socket(client_address) {
             Ok(opened) => opened,
--- a/src/net/hot_restart/socket.rs
+++ b/src/net/hot_restart/socket.rs
@@ -18,8 +18,8 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::PathBuf;
 
-/// The maximum length of a socket's path, in bytes. The address of a Unix socket on Linux has room
-/// for 108 bytes, including the terminating NUL.
+/// The maximum length of a socket's path, in bytes. The address of a Unix socket on Linux holds at
+/// most 108 bytes, including the terminating NUL.
 const MAX_PATH_BYTES: usize = 100;
 /// The byte of data with which a listening socket is sent.
 const SOCKET_CARRIER: &[u8] = b"+";
--- a/src/net/lifecycle/budget.rs
+++ b/src/net/lifecycle/budget.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sets the descriptors and the memory that this process may use from now on.
+    /// Sets the descriptors and the memory that this process may use.
     pub(super) fn set(&self, grant: BudgetGrant) {
         let budget = match grant {
             BudgetGrant::Part(budget) => budget,
--- a/src/net/lifecycle/start/fleet.rs
+++ b/src/net/lifecycle/start/fleet.rs
@@ -88,8 +88,8 @@
     }
 }
 
-/// Creates this process's part in its fleet, which sends nothing yet. The fleet must be told of a
-/// second process, because the two processes of a hot restart share one guaranteed minimum.
+/// Creates this process's part in its fleet, which sends nothing yet. The fleet must be notified of
+/// a second process, because the two processes of a hot restart share one guaranteed minimum.
 fn new_fleet(
     config: FleetConfig,
     seed: u64,
--- a/src/net/lifecycle/start/mod.rs
+++ b/src/net/lifecycle/start/mod.rs
@@ -86,7 +86,7 @@
         shared.apply_handover(handover, cached)
     }
 
-    /// Serves the operators' endpoint from now on, if it is configured.
+    /// Starts to serve the operators' endpoint, if it is configured.
     fn serve_admin(
         self: &Arc<Self>,
         admin: Option<&Arc<AdminServer>>,
--- a/src/net/policy/drift_monitor/mod.rs
+++ b/src/net/policy/drift_monitor/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Each process reports to all others, so that each can respond to operators. Only the quota leader
 //! raises alarms (`alarms`): leadership is a lease, so at most one process has it. If configured, a
-//! process restores the approved policy by itself (`restore`).
+//! process restores the approved policy automatically (`restore`).
 
 mod alarms;
 mod restore;
@@ -41,8 +41,8 @@
     applier: Arc<ProxyPolicyApplier>,
     /// The time at which the detector's clock is 0.
     started_at: Instant,
-    /// The time after which this process restores the approved policy by itself; `None` if it does
-    /// not.
+    /// The time after which this process restores the approved policy automatically; `None` if it
+    /// does not.
     restore_after: Option<Duration>,
     /// The reports and the alarms. The lock is not held while the fleet or the node is called,
     /// except to read the node's own identity.
--- a/src/net/policy/drift_monitor/restore.rs
+++ b/src/net/policy/drift_monitor/restore.rs
@@ -8,8 +8,8 @@
 use std::time::Instant;
 
 impl DriftMonitor {
-    /// Decides whether this process restores the approved version by itself, which it does after it
-    /// has drifted for the configured time.
+    /// Decides whether this process restores the approved version automatically, which it does
+    /// after it has drifted for the configured time.
     ///
     /// Inputs: the time since which its active settings differ from the approved ones, and the
     /// configured duration of drift after which it restores them, if any.
--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -118,8 +118,7 @@
             harness.end_after(id, 0, server, Outcome::Ok, [10.0, 390.0, 390.0][id as usize % 3]);
         }
     }
-    // The backends respond no more: from here on, admission follows from the admission probability
-    // alone.
+    // The backends no longer respond, so admission depends on the admission probability alone.
     let (mut high, mut low) = (0, 0);
     for id in (1000..1600).step_by(2) {
         high += usize::from(final_responses(&harness.request(read(id, id))).is_empty());
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -64,8 +64,8 @@
     }
 }
 
-/// Guards against a request that runs twice because it goes on to the origin: the origin belongs to
-/// no deduplication scope but its own.
+/// Guards against a request that runs twice because it is sent to the origin after an attempt at a
+/// cache node: the origin belongs to no deduplication scope but its own.
 #[test]
 fn a_miss_after_an_attempt_that_may_have_run_goes_to_the_origin_only_within_the_dedup_scope() {
     let mut seen = [false; 2];
