--- a/crates/history-checker/src/draining.rs
+++ b/crates/history-checker/src/draining.rs
@@ -84,7 +84,7 @@
     fn update(&mut self, at: Time, event: usize, nodes: &'a [Node]) {
         for node in nodes {
             let mut listed = ListedNode { node, state: node.state, since: at, event };
-            // Listing a node as not ready once more does not extend the drain grace.
+            // Listing a node as not ready a second time does not extend the drain grace.
             if let Some(before) = self.nodes.get(node.name.as_str()) {
                 if before.state != NodeState::Ready && node.state != NodeState::Ready {
                     listed.since = before.since;
--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -72,7 +72,7 @@
         /// The outcome that the response states.
         outcome: ResponseOutcome,
     },
-    /// The client closed its connection, so that no response is due any more.
+    /// The client closed its connection, so that a response is no longer due.
     ClientDisconnected {
         /// The id of the request.
         request: String,
--- a/crates/peer-transport/src/connection.rs
+++ b/crates/peer-transport/src/connection.rs
@@ -88,7 +88,7 @@
         self.pending().senders.remove(&id);
     }
 
-    /// Ends the connection: no frame is written any more, and requests in flight get no response.
+    /// Ends the connection: no further frame is written, and requests in flight get no response.
     pub(crate) fn close(&self) {
         self.send_queue.close();
         self.pending().senders.clear();
--- a/crates/policy-consensus/src/node/join.rs
+++ b/crates/policy-consensus/src/node/join.rs
@@ -3,7 +3,7 @@
 //!
 //! A recovering voter registers its storage with the other voters, which reply with their states. A
 //! voter that has learnt no agreed state, or that accepted a state without learning that it was
-//! agreed, has the state agreed once more.
+//! agreed, has the state agreed again.
 
 use super::proposer::Transition;
 use super::ConsensusNode;
@@ -23,7 +23,7 @@
     Wait,
     /// Register the storage of the voter with the other voters.
     RegisterStorage { voter: VoterId, storage_id: StorageId },
-    /// Have the accepted state agreed once more, or create the first state.
+    /// Have the accepted state agreed again, or create the first state.
     SettleState(Founding),
 }
 
@@ -57,7 +57,7 @@
     /// `unsettled_ballot`: the ballot of the last accepted state, if that state was not known to be
     /// agreed at the last check.
     /// Reason: a state that a voter accepted may have been chosen although its proposer crashed. A
-    /// state that is not known to be agreed in two checks is proposed once more.
+    /// state that is not known to be agreed in two checks is proposed again.
     /// Source: Lamport, "Paxos Made Simple" (2001), section 2.3: learning a chosen value by a
     /// further proposal.
     ///
--- a/crates/policy-consensus/src/node/proposer.rs
+++ b/crates/policy-consensus/src/node/proposer.rs
@@ -23,7 +23,7 @@
 
 /// The transition that a step applies to the state.
 pub(super) enum Transition {
-    /// The state stays the same and is agreed once more.
+    /// The state stays the same and is agreed again.
     Keep,
     /// The given state becomes the next one.
     Next(ReplicatedState),
--- a/crates/quota/src/leases/ledger.rs
+++ b/crates/quota/src/leases/ledger.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Removes the leases under which no attempt can run any more.
+    /// Removes the leases under which attempts can no longer run.
     fn remove_expired(&mut self, now: Timestamp) {
         self.granted.retain(|_, leases| {
             leases.retain(|lease| now < lease.in_use_until);
--- a/crates/quota/src/voter.rs
+++ b/crates/quota/src/voter.rs
@@ -75,7 +75,7 @@
     /// Withdraws the vote of this process for itself.
     ///
     /// Invariant: only a process that ends its candidacy may withdraw its own vote, since that vote
-    /// must not be counted any more.
+    /// must no longer be counted.
     pub(crate) fn withdraw_own_vote(&mut self) {
         self.vote = self.vote.withdrawn_from(&self.local);
     }
--- a/crates/quota/tests/guarantees.rs
+++ b/crates/quota/tests/guarantees.rs
@@ -88,7 +88,7 @@
 }
 
 /// A minority keeps only its guaranteed minimum. The majority gets all leased parts as soon as no
-/// attempt of the minority can use them any more.
+/// attempt of the minority can still use them.
 #[test]
 fn a_minority_falls_to_its_minimum_and_the_majority_gets_the_leased_parts() {
     let mut simulation = settled_fleet(HOSTS, 8, 2);
@@ -252,7 +252,7 @@
     assert!(tried > 5, "a founder led in only {tried} of 20 runs");
 }
 
-/// A process that shuts down, as for a new release, announces this and is no voter any more when it
+/// A process that shuts down, as for a new release, announces this and is no longer a voter when it
 /// exits, even if many processes shut down at the same time.
 #[test]
 fn a_process_that_shuts_down_is_no_voter_when_it_exits() {
--- a/src/logic/balancer/attempts.rs
+++ b/src/logic/balancer/attempts.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns the latency above which an attempt of a request is slow. The class of a request that
-    /// has ended is not known any more, so that none of its attempts is slow by its latency.
+    /// has ended is no longer known, so that none of its attempts is slow by its latency.
     fn slow_threshold(&self, id: RequestId, tier: Tier) -> TimeSpan {
         let Some(pending) = self.requests.get(&id) else { return TimeSpan::MAX };
         let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
--- a/src/net/backend/attempt.rs
+++ b/src/net/backend/attempt.rs
@@ -107,8 +107,7 @@
             // The limit on descriptors is the proxy's own, so the backend is not at fault.
             Err(ConnectError::NoDescriptor) => Err(Outcome::Moot),
             Err(ConnectError::Failed(error)) => match error.kind() {
-                // The attempt may not be sent any more, even if the connection is established
-                // later.
+                // The attempt may no longer be sent, even if the connection is established later.
                 ErrorKind::TimedOut if remaining < timeout && attempt.send_by < attempt.deadline => {
                     Err(Outcome::Moot)
                 }
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -134,7 +134,7 @@
     assert!(!sent_attempts(&harness.event(Event::Timer(4 << 60))).is_empty(), "the queued request is sent");
 }
 
-/// Guards against a request that waits for capacity though it may not be retried any more.
+/// Guards against a request that waits for capacity although it may no longer be retried.
 #[test]
 fn a_queued_request_past_its_dedup_window_fails_though_no_node_has_capacity() {
     let mut harness = BalancerHarness::without_origin(1);
--- a/tests/sockets/races/late.rs
+++ b/tests/sockets/races/late.rs
@@ -24,7 +24,7 @@
     origin.close();
     drop(first);
     fixture.wait_until("the retry is decided", || fixture.counter("calls_ordered") == 2);
-    assert!(client.read_line().starts_with("SERVER_ERROR "), "the write cannot be served any more");
+    assert!(client.read_line().starts_with("SERVER_ERROR "), "the write can no longer be served");
     assert!(
         started_at.elapsed() < ms(2000),
         "not rejected at the end of its window: {:?}",
