--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -15,7 +15,8 @@
 const MAX_CLASSES: usize = 255;
 /// The maximum number of attempts of a request, since one byte numbers an attempt.
 const MAX_ATTEMPTS: u32 = 255;
-/// The ways in which discovery may deliver the endpoint list. Without the key, the list is polled.
+/// The valid values of the key `Discovery`, which states how discovery delivers the endpoint list.
+/// The empty one stands for a missing key.
 const DISCOVERY_MODES: [&str; 3] = ["", "ask", "push"];
 /// The minimum number of sockets of a proxy without admin server and fleet.
 const MIN_SOCKETS: usize = 32;
@@ -91,7 +92,7 @@
 ///
 /// # Errors
 ///
-/// The error names the field and the number of sockets that are needed, if its value is too low.
+/// The error names the field and states the sockets that are needed, if the value is too low.
 pub(super) fn check_sockets(
     limits: &Limits,
     admin: Option<&SocketAddr>,
--- a/crates/config/src/missing_keys.rs
+++ b/crates/config/src/missing_keys.rs
@@ -8,8 +8,8 @@
 type Object = serde_json::Map<String, Value>;
 
 /// Returns the path of the first key that `before` has and `now` leaves out; a newer configuration,
-/// or newer settings, with such a key are rejected as incomplete. In a list of objects, each object
-/// must have the keys that all objects of the list had before.
+/// or newer settings, that leave out a key are rejected as incomplete. In a list of objects, each
+/// object must have the keys that all objects of the list had before.
 ///
 /// Inputs: the JSON values before and now.
 /// Reason: a key that is left out by mistake would silently get its default.
--- a/crates/connection-limits/src/connection_table.rs
+++ b/crates/connection-limits/src/connection_table.rs
@@ -271,8 +271,8 @@
         }
     }
 
-    /// Returns the maximum number of connections in each phase that has a budget above low
-    /// pressure.
+    /// Returns the budget, in connections, of each phase that has one, and the maximum size of the
+    /// sample.
     fn phase_budget(&self) -> usize {
         ((self.capacity as f64 * self.limits.phase_budget_share) as usize).max(1)
     }
--- a/crates/connection-limits/src/limits.rs
+++ b/crates/connection-limits/src/limits.rs
@@ -19,7 +19,7 @@
     pub idle_timeout_at_low_pressure: Duration,
     /// The time within which the client must read a part of a response.
     pub unread_response_timeout: Duration,
-    /// The maximum time for which input is discarded after the error that ends a connection.
+    /// The maximum time for which input of a closing connection is discarded.
     pub linger_timeout: Duration,
     /// The time, from a connection's arrival, for which a connection that has sent nothing yet
     /// stays open at any pressure.
@@ -47,9 +47,9 @@
     /// The time for which the growth of the number of connections is estimated. The estimate is
     /// part of the pressure.
     pub growth_horizon: Duration,
-    /// The sampling interval: the life tables do not lower the limit of one idle connection in this
-    /// many, within [`Limits::phase_budget_share`]. Without this sample the table could no longer
-    /// learn which connections would have been used again.
+    /// The sampling interval: the life tables do not lower the limit of one silent or idle
+    /// connection in this many, within [`Limits::phase_budget_share`]. Without this sample the
+    /// tables could no longer learn which connections would have been used again.
     pub sample_one_in: u64,
 }
 
--- a/crates/policy-consensus/src/node/join.rs
+++ b/crates/policy-consensus/src/node/join.rs
@@ -19,7 +19,8 @@
 
 /// The next step of this process's voter.
 enum JoinStep {
-    /// No step: the voter votes, and its accepted state is settled.
+    /// No step now: this process has no voter, or the voter votes and its accepted state is settled
+    /// or is not due to be settled yet.
     Wait,
     /// Register the storage of the voter with the other voters.
     RegisterStorage { voter: VoterId, storage_id: StorageId },
--- a/crates/policy-consensus/src/node/message_handler.rs
+++ b/crates/policy-consensus/src/node/message_handler.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Records and forwards an agreed state that another process announced, unless a later one is
-    /// known.
+    /// Records an agreed state that another process announced, unless this state or a later one is
+    /// known. A process with a voter also forwards the state.
     pub(super) fn learn_summary(&self, from: &Process, summary: StateSummary) {
         let is_voter = {
             let mut state = self.state();
--- a/crates/policy-consensus/src/node/proposer.rs
+++ b/crates/policy-consensus/src/node/proposer.rs
@@ -1,8 +1,8 @@
 //! The proposer: makes one step of the replicated state by a compare-and-set operation (CASPaxos).
 //! Read [`ConsensusNode::step`] first.
 //!
-//! A majority promises a ballot, the next state is derived from the state that the majority
-//! accepted last, and a majority accepts the next state.
+//! A majority promises a ballot, the next state is derived from the state with the highest ballot
+//! that any voter of this majority has accepted, and a majority accepts the next state.
 
 use super::ConsensusNode;
 use crate::messages::{encode, Message};
@@ -54,7 +54,7 @@
 
 /// The promises of a majority.
 struct Promises {
-    /// The state with the highest ballot among those that the majority accepted.
+    /// The state with the highest ballot that any voter of the majority has accepted.
     last_state: Option<ReplicatedState>,
     /// The storages that keep the promises.
     storage_ids: BTreeMap<VoterId, StorageId>,
@@ -174,8 +174,8 @@
 
 /// Returns the state that a ballot puts to the vote.
 ///
-/// Inputs: the transition that the caller requests, and the state with the highest ballot that a
-/// majority accepted.
+/// Inputs: the transition that the caller requests, and the state with the highest ballot that any
+/// voter of the promising majority has accepted.
 /// Reason: a state that only a minority accepted may never be agreed. A conflict with such a state
 /// is therefore reported only after that state itself has been agreed.
 /// Source: Rystsov, "CASPaxos" (2018): the new value is a function of the accepted one.
--- a/crates/policy-consensus/src/node/status.rs
+++ b/crates/policy-consensus/src/node/status.rs
@@ -18,7 +18,8 @@
     /// The process has not held an admission lease yet, or the agreed version is not active at the
     /// process.
     CatchingUp,
-    /// The admission lease of the process has expired.
+    /// The admission lease of the process has expired. The process admits requests only if it fails
+    /// open.
     Fenced,
 }
 
@@ -50,8 +51,8 @@
     /// Decides whether this process admits requests, is catching up, or is fenced.
     ///
     /// Inputs: the active and the agreed version, the open change, and the admission lease.
-    /// Reason: a process without a lease may not admit requests, because another version may be
-    /// active elsewhere.
+    /// Reason: a process without a lease may not admit requests unless it fails open, because
+    /// another version may be active elsewhere.
     fn consensus_status(&self, state: &NodeState) -> ConsensusStatus {
         let is_current = state.active_version == state.agreed.version && state.unusable.is_none();
         if !state.has_held_lease || !is_current {
--- a/crates/quota/src/leader_term.rs
+++ b/crates/quota/src/leader_term.rs
@@ -56,7 +56,8 @@
     view: Option<View>,
     /// The expiry of each vote.
     votes: BTreeMap<Process, Timestamp>,
-    /// The view that voters have accepted in the latest of the earlier ballots; it may be decided.
+    /// The view that voters have accepted in the latest of the earlier ballots, which may have been
+    /// decided.
     undecided: Option<AcceptedView>,
     proposed_view: Option<View>,
     /// The voters that have accepted `proposed_view`.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -123,7 +123,8 @@
 }
 
 impl Outcome {
-    /// Returns whether the attempt reached its backend, so that its latency describes the backend.
+    /// Returns whether the outcome and the latency of the attempt describe the backend. They do not
+    /// if the attempt was never sent or was cancelled by this proxy.
     pub fn reached_backend(self) -> bool {
         !matches!(self, Outcome::ConnectFailed | Outcome::Moot | Outcome::Cancelled)
     }
@@ -236,8 +237,8 @@
     FleetOverloaded,
     /// The request missed, the origin is overloaded, and admission control shed the fetch.
     OriginOverloaded,
-    /// The request had no attempt in flight at half of its latency objective: it was queued, or it
-    /// waited for the fetch of another request.
+    /// The request had no attempt in flight at half of its latency objective, or of its budget if
+    /// that is shorter: it was queued, or it waited for the fetch of another request.
     QueuedTooLong,
     /// The deadline of the request has passed.
     DeadlineReached,
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -69,8 +69,8 @@
     /// Decides whether a request that missed may be sent to the origin or is shed.
     ///
     /// Inputs: a random number from 0 to below 1.
-    /// Reason: the origin is slow and shared by all proxies, so that all queued fetches would miss
-    /// their deadlines.
+    /// Reason: the origin is slow and shared by all proxies. If all fetches were queued under
+    /// overload, all of them would end too late.
     pub(super) fn decide_fetch(&self, sample: f64) -> AdmissionDecision {
         if sample >= self.origin_probability {
             AdmissionDecision::Shed(GiveUpReason::OriginOverloaded)
--- a/src/logic/balancer/attempts.rs
+++ b/src/logic/balancer/attempts.rs
@@ -40,8 +40,8 @@
         let Some(pending) = self.requests.get_mut(&end.id) else { return };
         pending.end_attempt(end.attempt, end.outcome);
         let key = pending.request.key;
-        // Invariant: a request has at most one attempt in flight. While another attempt is in
-        // flight, or the request is queued, the end of this attempt starts no further attempt.
+        // Invariant: a request has at most one attempt in flight. The end of an attempt therefore
+        // starts no other attempt if one is in flight already or the request is queued.
         let must_wait = pending.stage != Stage::InFlight || pending.has_attempt_in_flight();
         if end.outcome == Outcome::Ok {
             if let Some(fetch) = self.fetches.take_led_by(end.id, key) {
--- a/src/logic/concurrency_limit/aimd.rs
+++ b/src/logic/concurrency_limit/aimd.rs
@@ -113,9 +113,10 @@
 ///
 /// Inputs: as for [`record`].
 /// Reason: fetches differ in length, so that a limit that each long fetch decreased would stay far
-/// below the capacity of the origin; there a fraction of the attempts has to be slow. A node that
-/// pauses rejects the attempts that waited there, however few are in flight; a decrease of its
-/// limit would send its keys to nodes that lack them, and the misses to the origin.
+/// below the capacity of the origin; there a fraction of the attempts has to be slow. A cache node
+/// that pauses rejects the attempts that waited there even if few are in flight, and a decrease of
+/// its limit would send its keys to nodes that lack them, and the misses to the origin. A rejection
+/// by a cache node therefore counts only while at least half of the limit is in flight.
 fn is_congested(limit: &ConcurrencyLimit, attempt: TimedAttempt) -> bool {
     let is_rejected = attempt.outcome == Outcome::Full;
     match attempt.tier {
--- a/src/logic/queue.rs
+++ b/src/logic/queue.rs
@@ -7,7 +7,8 @@
 
 /// The shortest interval between two timed attempts to dispatch queued requests.
 const MIN_DISPATCH_INTERVAL: TimeSpan = TimeSpan::from_ms(20.0);
-/// The fraction of its latency objective after which a queued request is shed.
+/// The fraction of the latency objective, or of the budget if that is shorter, after which a queued
+/// request is shed.
 const SHED_OBJECTIVE_FRACTION: f64 = 0.5;
 
 /// Decides the time after its arrival at which a request is shed if no attempt of the request is in
--- a/src/logic/retry/idempotency.rs
+++ b/src/logic/retry/idempotency.rs
@@ -1,8 +1,8 @@
 //! Idempotency: whether another attempt, or a client's repeat after a rejection, could apply the
 //! effect of a request twice. Read [`RepeatSafety`] first.
 //!
-//! Invariant: a retry of a request that may have executed could apply its effect twice. An attempt
-//! whose effect is not known counts as executed.
+//! Invariant: an attempt counts as executed unless its outcome shows that it never ran. A retry of
+//! a request that may have executed could apply its effect twice.
 
 use super::DecisionTime;
 use crate::interface::{EndpointInfo, Outcome};
@@ -27,7 +27,7 @@
 }
 
 impl RepeatSafety {
-    /// Returns whether a repeat has no further effect.
+    /// Returns whether a repeat cannot apply the effect of the request a second time.
     pub(in crate::logic) fn is_safe(self) -> bool {
         self != RepeatSafety::Unsafe
     }
--- a/src/logic/retry/mod.rs
+++ b/src/logic/retry/mod.rs
@@ -11,7 +11,7 @@
 use crate::state::{BackendTable, PendingRequest};
 use crate::time::{TimeSpan, Timestamp};
 
-/// The least time that an attempt has to be sent.
+/// The shortest time that an attempt is given for sending its last byte.
 const MIN_SEND_TIME: TimeSpan = TimeSpan::from_ms(1.0);
 
 /// The tier to which a retry is sent.
--- a/src/net/backend/attempt.rs
+++ b/src/net/backend/attempt.rs
@@ -32,8 +32,8 @@
 }
 
 impl BackendService {
-    /// Makes an attempt. Its connection is returned to the pool or closed before the result is
-    /// reported, so that the next attempt of the request never finds this one still in flight.
+    /// Makes an attempt. The connection is returned to the pool or closed before the result is
+    /// reported, so that the next attempt of the request begins only when this one has ended.
     pub(super) fn run_attempt(&self, attempt: &AttemptRequest) -> AttemptResult {
         loop {
             let idle = self.pool.take_idle(attempt.backend, &attempt.address);
@@ -72,7 +72,7 @@
     /// Inputs: the error, the source of the connection, the deadline on the monotonic clock, and
     /// whether a write is still permitted.
     /// Reason: an idle connection may break although the backend works, so it is no evidence of a
-    /// fault. Without its last byte the attempt never ran, so nothing is sent twice.
+    /// fault. Without its last byte the attempt never ran, so the request does not run twice.
     /// Source: docs/races.md.
     fn outcome_after_failed_write(
         &self,
--- a/src/net/client/connection/commands.rs
+++ b/src/net/client/connection/commands.rs
@@ -18,7 +18,7 @@
 /// The result of executing a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Execution {
-    /// The command was executed, and its response is pending.
+    /// The command was executed, and its response is pending if it has one.
     Done,
     /// The memory budget has no room for the command now, so the command must be executed again
     /// later.
--- a/src/net/dispatcher/attempts.rs
+++ b/src/net/dispatcher/attempts.rs
@@ -29,8 +29,8 @@
 }
 
 impl AttemptPlan {
-    /// Returns the end of an attempt that is not sent. It is the last end of its request if no
-    /// response is pending.
+    /// Returns the end of an attempt that is not sent. If no response is pending, the end states
+    /// that the request is finished.
     fn not_sent(&self, attempt: u8, pending: Option<&PendingResponse>) -> AttemptEnd {
         AttemptEnd {
             id: self.request,
--- a/src/net/dispatcher/messages.rs
+++ b/src/net/dispatcher/messages.rs
@@ -11,7 +11,7 @@
 /// The connection state of a client.
 pub trait ClientPresence: std::fmt::Debug + Send + Sync {
     /// Returns whether the client has closed its connection or its sending direction by now, even
-    /// if the process has not read all input before that. Does not wait.
+    /// if input that the client sent earlier is still unread. Does not wait.
     fn is_disconnected(&self) -> bool;
 }
 
--- a/src/net/drain.rs
+++ b/src/net/drain.rs
@@ -32,8 +32,8 @@
 const LAST_REQUESTS_DURATION: Duration = Duration::from_millis(300);
 /// The time for writing the final responses.
 const FINAL_WRITES_DURATION: Duration = Duration::from_millis(50);
-/// The longest idle time of a connection that is opened while clients are directed to other
-/// proxies.
+/// The time after the arrival of a connection before which the connection is not closed as idle, if
+/// it arrives while clients are directed to other proxies.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(500);
 /// The divisor of the time of the last close that gives the time of the first close of an idle
 /// connection.
@@ -94,7 +94,7 @@
     /// The time of the first close of an idle connection.
     idle_close_from: Duration,
     /// The time of the last close of an idle connection. From then on every connection is closed
-    /// as soon as it is idle.
+    /// as soon as it is idle, except for the first [`NEW_CONNECTION_GRACE`] of a new one.
     idle_close_until: Duration,
     /// The time until which a partial command keeps its connection open.
     partial_command_until: Duration,
--- a/src/net/time_limits.rs
+++ b/src/net/time_limits.rs
@@ -32,9 +32,9 @@
         == (MAX_HOLD_UP.as_millis() + TIMER_LATENCY.as_millis())
 );
 
-/// The time after which the dispatcher's guard expires a request whose response was due. A request
-/// that is still open then has lost its timer. The failure is in time for the client, even with the
-/// shortest wait, unless the process is held up at that moment.
+/// The time after a response was due at which the dispatcher's guard expires the request. The timer
+/// of a request that is still open then was lost or is late. The failure is in time for the client,
+/// even with the shortest wait, unless the process is held up at that moment.
 pub const GUARD_DELAY: Duration = Duration::from_millis(50);
 
 /// The time between the last responses and SIGKILL. One hold-up may delay the handling of SIGTERM,
