--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -129,8 +129,8 @@
         loop {
             let candidate = self.with_idle(|idle| {
                 let queue = idle.get_mut(&backend)?;
-                let delayed = queue.iter().rposition(IdleConnection::has_completed_delay);
-                let chosen = delayed.or_else(|| queue.iter().rposition(IdleConnection::may_skip_delay))?;
+                let past_delay = queue.iter().rposition(IdleConnection::has_completed_delay);
+                let chosen = past_delay.or_else(|| queue.iter().rposition(IdleConnection::may_skip_delay))?;
                 queue.remove(chosen)
             })?;
             let connection = &candidate.connection;
--- a/src/net/client/connection/output.rs
+++ b/src/net/client/connection/output.rs
@@ -51,16 +51,16 @@
 
     /// Writes `output`, which is not empty, as far as the socket takes it.
     fn flush_output(&mut self) -> io::Result<Flush> {
-        let mut blocked = Flush::Blocked;
+        let mut result_if_blocked = Flush::Blocked;
         while !self.output.is_empty() {
             match self.stream.inner().write(&self.output) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => {
                     self.output.drain(..count);
-                    blocked = Flush::Partial;
+                    result_if_blocked = Flush::Partial;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(blocked),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(result_if_blocked),
                 Err(error) => return Err(error),
             }
         }
