--- a/src/interface.rs
+++ b/src/interface.rs
@@ -162,7 +162,7 @@
     pub attempt: u8,
     /// The backend to which the attempt was sent.
     pub backend: BackendId,
-    /// The time between sending the attempt and its end.
+    /// The time from sending the attempt until its end, or until the response began to stream.
     pub latency: TimeSpan,
     /// Whether the client has received its final response, so that no further attempt is needed.
     pub is_request_finished: bool,
--- a/src/logic/queue.rs
+++ b/src/logic/queue.rs
@@ -11,8 +11,8 @@
 /// request is shed.
 const SHED_OBJECTIVE_FRACTION: f64 = 0.5;
 
-/// Decides the time after its arrival at which a request is shed if no attempt of the request is in
-/// flight. The condition is checked once, at that time.
+/// Decides the time after the arrival of a request at which the request is shed if none of its
+/// attempts is in flight. The condition is checked once, at that time.
 ///
 /// Inputs: the latency objective of the request's class and the time until the response is due, in
 /// ms.
