--- a/crates/drift/src/alarm.rs
+++ b/crates/drift/src/alarm.rs
@@ -26,9 +26,9 @@
     Raised,
 }
 
-/// The trend of a process: drift or recovery, with its beginning.
+/// The phase of a process: drift or recovery, with its beginning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Trend {
+enum DriftPhase {
     /// The process was seen neither drifting nor recovering.
     #[default]
     Undetermined,
@@ -44,17 +44,17 @@
     },
 }
 
-impl Trend {
-    /// Returns the trend that follows from this one and the present state of the process.
-    fn after(self, now: Timestamp, tracked: &TrackedProcess) -> Trend {
+impl DriftPhase {
+    /// Returns the phase that follows from this one and the present state of the process.
+    fn after(self, now: Timestamp, tracked: &TrackedProcess) -> DriftPhase {
         match (tracked.state, self) {
-            (state, Trend::Drifting { since }) if state.is_drift() => Trend::Drifting { since },
-            (state, _) if state.is_drift() => Trend::Drifting { since: tracked.state_since },
-            (DriftState::Same, Trend::Recovering { since }) => Trend::Recovering { since },
-            (DriftState::Same, _) => Trend::Recovering { since: now },
+            (state, DriftPhase::Drifting { since }) if state.is_drift() => DriftPhase::Drifting { since },
+            (state, _) if state.is_drift() => DriftPhase::Drifting { since: tracked.state_since },
+            (DriftState::Same, DriftPhase::Recovering { since }) => DriftPhase::Recovering { since },
+            (DriftState::Same, _) => DriftPhase::Recovering { since: now },
             // A state other than drift and `Same` neither begins nor interrupts a recovery.
-            (_, Trend::Recovering { since }) => Trend::Recovering { since },
-            (_, Trend::Drifting { .. } | Trend::Undetermined) => Trend::Undetermined,
+            (_, DriftPhase::Recovering { since }) => DriftPhase::Recovering { since },
+            (_, DriftPhase::Drifting { .. } | DriftPhase::Undetermined) => DriftPhase::Undetermined,
         }
     }
 }
@@ -70,10 +70,10 @@
     AlreadyRaised,
 }
 
-/// The trend of one process and the state of the alarm about it.
+/// The phase of one process and the state of the alarm about it.
 #[derive(Default)]
 struct AlarmRecord {
-    trend: Trend,
+    phase: DriftPhase,
     alarm: AlarmState,
 }
 
@@ -133,9 +133,9 @@
     /// that alternates between drift and no drift must not raise an alarm each time.
     /// Source: docs/policy-design.md.
     fn update(&mut self, now: Timestamp, tracked: &TrackedProcess, timing: Timing) -> AlarmDecision {
-        self.trend = self.trend.after(now, tracked);
-        match self.trend {
-            Trend::Drifting { since } => {
+        self.phase = self.phase.after(now, tracked);
+        match self.phase {
+            DriftPhase::Drifting { since } => {
                 if now.saturating_duration_since(since) < timing.alarm_delay {
                     AlarmDecision::NoLastingDrift
                 } else if self.alarm == AlarmState::Raised {
@@ -144,14 +144,14 @@
                     AlarmDecision::Due
                 }
             }
-            Trend::Recovering { since } => {
+            DriftPhase::Recovering { since } => {
                 let has_recovered = now.saturating_duration_since(since) >= timing.recovery_time;
                 if has_recovered && tracked.state == DriftState::Same {
                     self.alarm = AlarmState::NotRaised;
                 }
                 AlarmDecision::NoLastingDrift
             }
-            Trend::Undetermined => AlarmDecision::NoLastingDrift,
+            DriftPhase::Undetermined => AlarmDecision::NoLastingDrift,
         }
     }
 }
--- a/crates/experiments/src/policy/mod.rs
+++ b/crates/experiments/src/policy/mod.rs
@@ -83,7 +83,7 @@
 
 /// The fault that is injected before a timed change.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Disturbance {
+enum InjectedFault {
     None,
     Crash,
 }
@@ -132,8 +132,8 @@
         .members
         .iter()
         .flat_map(|members| {
-            [Disturbance::None, Disturbance::Crash].map(|disturbance| {
-                time_changes(usize::from(*members), disturbance, options.seed, options.changes)
+            [InjectedFault::None, InjectedFault::Crash].map(|injected_fault| {
+                time_changes(usize::from(*members), injected_fault, options.seed, options.changes)
             })
         })
         .collect();
@@ -192,15 +192,15 @@
 
 /// Times changes in fleets without faults, or in fleets in which a member crashes just before the
 /// proposal.
-fn time_changes(members: usize, disturbance: Disturbance, seed: u64, changes: u64) -> ChangeTimes {
+fn time_changes(members: usize, injected_fault: InjectedFault, seed: u64, changes: u64) -> ChangeTimes {
     let runs: Vec<Run> = (seed..seed + changes)
         .into_par_iter()
         .map(|seed| {
             let plan = Plan::without_faults(seed, members, MAX_VOTERS.min(members))
                 .with_fault(PROPOSAL_AT_MS, Fault::Propose(members - 2));
-            play(match disturbance {
-                Disturbance::None => plan,
-                Disturbance::Crash => plan.with_fault(CRASH_AT_MS, Fault::Crash(members - 1)),
+            play(match injected_fault {
+                InjectedFault::None => plan,
+                InjectedFault::Crash => plan.with_fault(CRASH_AT_MS, Fault::Crash(members - 1)),
             })
         })
         .collect();
@@ -210,9 +210,9 @@
     }
     ChangeTimes {
         members,
-        what: match disturbance {
-            Disturbance::None => "quiet",
-            Disturbance::Crash => "one dead",
+        what: match injected_fault {
+            InjectedFault::None => "quiet",
+            InjectedFault::Crash => "one dead",
         },
         changes: runs.iter().map(|run| run.commit_latencies_ms.len()).sum(),
         p50: times.value_at_quantile(0.5),
--- a/crates/experiments/src/quota/day/mod.rs
+++ b/crates/experiments/src/quota/day/mod.rs
@@ -11,8 +11,8 @@
 use rand::SeedableRng;
 use serde::Serialize;
 use std::collections::VecDeque;
-use tally::Tally;
-use world::World;
+use tally::Measurements;
+use world::ScenarioSimulation;
 
 /// The rule by which a proxy determines its quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -113,8 +113,8 @@
     pub(super) fn play(&self) -> Outcome {
         let mut rng = StdRng::seed_from_u64(self.seed);
         let mut steps: VecDeque<script::ScriptStep> = script::steps(self, &mut rng).into();
-        let mut tally = Tally::new(*self, &steps);
-        let mut world = World::new(*self, rng);
+        let mut measurements = Measurements::new(*self, &steps);
+        let mut simulation = ScenarioSimulation::new(*self, rng);
         let mut now = 0;
         while now < END_OF_SCENARIO_MS {
             now += STEP_MS;
@@ -122,10 +122,10 @@
             while let Some(step) = take_due(&mut steps, |step| step.at <= now) {
                 faults.push(step.fault);
             }
-            world.advance(now, &faults);
-            tally.add_step(now, &mut world);
+            simulation.advance(now, &faults);
+            measurements.add_step(now, &mut simulation);
         }
-        tally.outcome(&world)
+        measurements.outcome(&simulation)
     }
 
     /// Returns the demand at a time, as a multiple of the origin's capacity.
--- a/crates/experiments/src/quota/day/tally.rs
+++ b/crates/experiments/src/quota/day/tally.rs
@@ -1,7 +1,7 @@
-//! The measurements of a scenario: [`Tally`].
+//! The measurements of a scenario: [`Measurements`].
 
 use super::script::{Fault, ScriptStep};
-use super::world::World;
+use super::world::ScenarioSimulation;
 use super::{take_due, Outcome, Scenario, CALL_DURATION_MS, START_OF_EVENT_MS, STEP_MS};
 use std::collections::VecDeque;
 
@@ -19,7 +19,7 @@
 }
 
 /// The measurements of a scenario so far.
-pub(super) struct Tally {
+pub(super) struct Measurements {
     scenario: Scenario,
     last_crash: Option<u64>,
     wanted: u64,
@@ -34,10 +34,10 @@
     most_fetches_in_window: u64,
 }
 
-impl Tally {
-    pub(super) fn new(scenario: Scenario, steps: &VecDeque<ScriptStep>) -> Tally {
+impl Measurements {
+    pub(super) fn new(scenario: Scenario, steps: &VecDeque<ScriptStep>) -> Measurements {
         let crashes = steps.iter().filter(|step| matches!(step.fault, Fault::Crash(_)));
-        Tally {
+        Measurements {
             scenario,
             last_crash: crashes.map(|step| step.at).max(),
             wanted: 0,
@@ -54,21 +54,21 @@
 
     /// Plays the fetches of one step and counts them: those that end, those that clients request
     /// and those that begin.
-    pub(super) fn add_step(&mut self, now: u64, world: &mut World) {
-        let in_time = world.end_fetches();
-        let wanted = world.request_fetches();
+    pub(super) fn add_step(&mut self, now: u64, simulation: &mut ScenarioSimulation) {
+        let in_time = simulation.end_fetches();
+        let wanted = simulation.request_fetches();
         if (START_OF_EVENT_MS..self.scenario.end_of_event()).contains(&now) {
             self.served += in_time;
             self.wanted += wanted;
         }
-        self.add_begun(now, world.begin_fetches());
-        if world.origin.calls_in_flight() > world.origin.capacity {
+        self.add_started_fetches(now, simulation.begin_fetches());
+        if simulation.origin.calls_in_flight() > simulation.origin.capacity {
             self.over_ms += STEP_MS;
         }
-        self.add_quota_sum(now, world);
+        self.add_quota_sum(now, simulation);
     }
 
-    fn add_begun(&mut self, now: u64, fetches: u64) {
+    fn add_started_fetches(&mut self, now: u64, fetches: u64) {
         self.begun.push_back(StartedFetches { at: now, fetches });
         self.fetches_in_window += fetches;
         while let Some(old) = take_due(&mut self.begun, |begun| begun.at + RATE_WINDOW_MS <= now) {
@@ -77,8 +77,8 @@
         self.most_fetches_in_window = self.most_fetches_in_window.max(self.fetches_in_window);
     }
 
-    fn add_quota_sum(&mut self, now: u64, world: &World) {
-        let sum = world.quota_sum();
+    fn add_quota_sum(&mut self, now: u64, simulation: &ScenarioSimulation) {
+        let sum = simulation.quota_sum();
         self.largest_quota_sum = self.largest_quota_sum.max(sum);
         if now.is_multiple_of(PLOT_INTERVAL_MS) {
             self.quota_sums.push((now as f64 / 1000.0, sum));
@@ -90,14 +90,14 @@
         // Half of the capacity is guaranteed and divided among all proxies, so that the survivors
         // have their part of it only. The other half is leased to the survivors. Rounding down to
         // complete attempts loses a small part.
-        if sum >= RECOVERED_FRACTION * (0.5 + 0.5 * world.live_fraction()) {
+        if sum >= RECOVERED_FRACTION * (0.5 + 0.5 * simulation.live_fraction()) {
             self.recovery_ms = Some(now - last_crash);
         }
     }
 
-    pub(super) fn outcome(self, world: &World) -> Outcome {
-        let largest_in_use = world.largest_quota_in_use().unwrap_or(self.largest_quota_sum);
-        let capacity = world.origin.capacity as f64;
+    pub(super) fn outcome(self, simulation: &ScenarioSimulation) -> Outcome {
+        let largest_in_use = simulation.largest_quota_in_use().unwrap_or(self.largest_quota_sum);
+        let capacity = simulation.origin.capacity as f64;
         let fetches_a_second = capacity * 1000.0 / CALL_DURATION_MS as f64;
         Outcome {
             proxies: self.scenario.proxies,
@@ -105,9 +105,9 @@
             rule: self.scenario.rule,
             wanted: self.wanted,
             served_percent: 100.0 * self.served as f64 / self.wanted.max(1) as f64,
-            most: world.origin.max_calls as f64 / capacity,
+            most: simulation.origin.max_calls as f64 / capacity,
             over_ms: self.over_ms,
-            falls: world.origin.outages,
+            falls: simulation.origin.outages,
             fetches: self.most_fetches_in_window as f64 / fetches_a_second,
             sum: self.largest_quota_sum.max(largest_in_use),
             grown_ms: self.recovery_ms,
--- a/crates/experiments/src/quota/day/world.rs
+++ b/crates/experiments/src/quota/day/world.rs
@@ -1,4 +1,4 @@
-//! The simulated proxies of a scenario, their quotas and their origin: [`World`].
+//! The simulated proxies of a scenario, their quotas and their origin: [`ScenarioSimulation`].
 
 use super::script::Fault;
 use super::{take_due, Rule, Scenario, CALLS_PER_PROXY, CALL_DURATION_MS, DEADLINE_MS, STEP_MS};
@@ -44,7 +44,7 @@
 }
 
 /// The proxies of a scenario, their origin and their quotas at one moment.
-pub(super) struct World {
+pub(super) struct ScenarioSimulation {
     scenario: Scenario,
     now: u64,
     rng: StdRng,
@@ -61,11 +61,11 @@
     quota: Option<QuotaSimulation>,
 }
 
-impl World {
-    pub(super) fn new(scenario: Scenario, rng: StdRng) -> World {
+impl ScenarioSimulation {
+    pub(super) fn new(scenario: Scenario, rng: StdRng) -> ScenarioSimulation {
         let count = scenario.proxies;
         let all_alive = Liveness { alive: vec![true; count], side: vec![0; count] };
-        World {
+        ScenarioSimulation {
             scenario,
             now: 0,
             rng,
--- a/crates/experiments/src/soak/backends.rs
+++ b/crates/experiments/src/soak/backends.rs
@@ -115,11 +115,11 @@
                 budget_ms: received.budget_ms,
                 read_delay: arrived_at.elapsed(),
             };
-            self.record.note(arrived_at, &received.id, arrived);
+            self.record.add_observation(arrived_at, &received.id, arrived);
             let behaviour = self.choose_behaviour(&mut rng);
             let (over_at, end) = self.respond(&mut reader, &received, behaviour, &mut rng);
             let must_close = !matches!(end, AttemptEnd::Served(_) | AttemptEnd::NeverRan);
-            self.record.note(over_at, &received.id, Observation::AttemptEnded { attempt, end });
+            self.record.add_observation(over_at, &received.id, Observation::AttemptEnded { attempt, end });
             if must_close {
                 return reader.get_ref().get_ref().shutdown(Shutdown::Both);
             }
--- a/crates/experiments/src/soak/clients.rs
+++ b/crates/experiments/src/soak/clients.rs
@@ -112,24 +112,24 @@
             is_first_on_connection: open.requests == 1,
             write_time: sent_at.elapsed(),
         };
-        self.record.note(sent_at, &request.id, sent);
+        self.record.add_observation(sent_at, &request.id, sent);
         let read_until = sent_at + disconnects_after.unwrap_or(READ_TIMEOUT);
         let response = read_response(&mut open.stream, read_until);
         let arrived = open.stream.get_ref().last_arrival();
         match response {
             Ok(answer) => {
-                self.record.note(arrived, &request.id, Observation::Answered(answer));
+                self.record.add_observation(arrived, &request.id, Observation::Answered(answer));
                 Some(open)
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 drop(open);
                 if disconnects_after.is_some() {
-                    self.record.note(Instant::now(), &request.id, Observation::Disconnected);
+                    self.record.add_observation(Instant::now(), &request.id, Observation::Disconnected);
                 }
                 None
             }
             Err(_) => {
-                self.record.note(arrived, &request.id, Observation::ConnectionEnded);
+                self.record.add_observation(arrived, &request.id, Observation::ConnectionEnded);
                 None
             }
         }
--- a/crates/experiments/src/soak/judge/tests.rs
+++ b/crates/experiments/src/soak/judge/tests.rs
@@ -23,7 +23,7 @@
     }
 
     fn observe(&self, at_ms: u64, observation: Observation) {
-        self.record.note(self.began + ms(at_ms), ID, observation);
+        self.record.add_observation(self.began + ms(at_ms), ID, observation);
     }
 
     fn sent(&self, at_ms: u64) {
@@ -45,7 +45,7 @@
     }
 
     fn changed(&self, at_ms: u64, change: Change) {
-        self.record.note_change_at(self.began + ms(at_ms), change);
+        self.record.add_change_at(self.began + ms(at_ms), change);
     }
 
     fn broken_rules(&self) -> Vec<Rule> {
@@ -100,7 +100,7 @@
         let case = Case::new();
         case.sent(0);
         let stop = Stop { proxy: PROXY, began: case.began, ended: case.began + ms(180) };
-        case.record.note_stop(stop);
+        case.record.add_stop(stop);
         // The proxy encoded the budget when 34 ms of the timeout were left.
         let budget_ms = if broken.is_empty() { 34 } else { 210 };
         case.attempt_arrived(arrived_ms, 1, budget_ms);
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -215,12 +215,12 @@
             Fault::Drain(node) => self.publish(node, "draining", Change::Draining(node)),
             Fault::Undrain(node) => self.publish(node, "ready", Change::Ready(node)),
             Fault::DiscoveryDown => {
-                self.record.note_change(Change::DiscoveryDown);
+                self.record.add_change(Change::DiscoveryDown);
                 self.discovery.set_down(true);
             }
             Fault::DiscoveryUp => {
                 self.discovery.set_down(false);
-                self.record.note_change(Change::DiscoveryUp);
+                self.record.add_change(Change::DiscoveryUp);
             }
             Fault::Crowd(proxy) => self.crowd(proxy),
         }
@@ -229,7 +229,7 @@
     /// Sends SIGTERM, further signals, and SIGKILL at the earliest time that the platform allows.
     /// Starts the proxy again.
     fn restart(&mut self, proxy: usize) {
-        self.record.note_change(Change::Terminated(proxy));
+        self.record.add_change(Change::Terminated(proxy));
         let terminated = Instant::now();
         let fixture = &self.proxies[proxy];
         for signal in ["TERM", "TERM", "HUP"] {
@@ -241,7 +241,7 @@
         let began = Instant::now();
         fixture.signal("STOP");
         thread::sleep(TERM_TO_KILL.saturating_sub(terminated.elapsed()));
-        self.record.note_stop(Stop { proxy, began, ended: Instant::now() });
+        self.record.add_stop(Stop { proxy, began, ended: Instant::now() });
         self.kill(proxy);
     }
 
@@ -255,7 +255,7 @@
         self.proxies[proxy].signal("STOP");
         thread::sleep(HOLD_UP_DURATION);
         self.proxies[proxy].signal("CONT");
-        self.record.note_stop(Stop { proxy, began, ended: Instant::now() });
+        self.record.add_stop(Stop { proxy, began, ended: Instant::now() });
     }
 
     /// Sends a series of signals, with SIGTERM while a reload is under way, and starts the proxy
@@ -267,23 +267,23 @@
             thread::sleep(SIGNAL_INTERVAL);
         }
         fixture.signal("HUP");
-        self.record.note_change(Change::Terminated(proxy));
+        self.record.add_change(Change::Terminated(proxy));
         fixture.signal("TERM");
         if !self.proxies[proxy].exits_within(TERM_TO_KILL) {
             self.kill(proxy);
             return;
         }
-        self.record.note_change(Change::Exited(proxy));
+        self.record.add_change(Change::Exited(proxy));
         self.proxies[proxy].start_again();
-        self.record.note_change(Change::Started(proxy));
+        self.record.add_change(Change::Started(proxy));
     }
 
     fn kill(&mut self, proxy: usize) {
-        self.record.note_change(Change::Killed(proxy));
+        self.record.add_change(Change::Killed(proxy));
         self.proxies[proxy].kill();
-        self.record.note_change(Change::Ended(proxy));
+        self.record.add_change(Change::Ended(proxy));
         self.proxies[proxy].start_again();
-        self.record.note_change(Change::Started(proxy));
+        self.record.add_change(Change::Started(proxy));
     }
 
     fn publish(&mut self, node: usize, lifecycle: &str, change: Change) {
@@ -291,14 +291,14 @@
         let state = |number| if number == node { lifecycle } else { "ready" };
         let entries: Vec<String> =
             (0..).zip(&self.backends).map(|(n, b)| endpoint_entry(b, n, state(n))).collect();
-        self.record.note_change(change);
+        self.record.add_change(change);
         self.discovery.publish(endpoint_list_json(self.generation, true, &entries));
     }
 
     /// Connects a crowd of idle clients, which use up the descriptors of a proxy for
     /// [`CROWD_DURATION`].
     fn crowd(&self, proxy: usize) {
-        self.record.note_change(Change::Crowd(proxy));
+        self.record.add_change(Change::Crowd(proxy));
         let address = self.proxies[proxy].client_address;
         thread::spawn(move || {
             let crowd: Vec<TcpStream> =
--- a/crates/experiments/src/soak/record.rs
+++ b/crates/experiments/src/soak/record.rs
@@ -113,22 +113,22 @@
 
 impl Record {
     /// Records an observation of a request.
-    pub(super) fn note(&self, at: Instant, id: &str, observation: Observation) {
+    pub(super) fn add_observation(&self, at: Instant, id: &str, observation: Observation) {
         self.requests.lock().unwrap_or_else(PoisonError::into_inner).push((at, id.to_owned(), observation));
     }
 
     /// Records a change at the present time.
-    pub(super) fn note_change(&self, change: Change) {
-        self.note_change_at(Instant::now(), change);
+    pub(super) fn add_change(&self, change: Change) {
+        self.add_change_at(Instant::now(), change);
     }
 
     /// Records a change at a time.
-    pub(super) fn note_change_at(&self, at: Instant, change: Change) {
+    pub(super) fn add_change_at(&self, at: Instant, change: Change) {
         self.changes.lock().unwrap_or_else(PoisonError::into_inner).push((at, change));
     }
 
     /// Records a period for which a proxy was stopped.
-    pub(super) fn note_stop(&self, stop: Stop) {
+    pub(super) fn add_stop(&self, stop: Stop) {
         self.stops.lock().unwrap_or_else(PoisonError::into_inner).push(stop);
     }
 
--- a/crates/history-checker/src/request_index.rs
+++ b/crates/history-checker/src/request_index.rs
@@ -7,14 +7,14 @@
 
 /// The index of an event in the history, and its time in ms.
 #[derive(Clone, Copy)]
-pub(crate) struct Occurrence {
+pub(crate) struct EventPosition {
     pub event: usize,
     pub at: Time,
 }
 
 /// A request, and the limits that were active at its proxy when it was sent.
 pub(crate) struct Request<'a> {
-    pub sent: Occurrence,
+    pub sent: EventPosition,
     pub proxy: &'a str,
     pub limits: &'a Limits,
     pub class: Class,
@@ -26,13 +26,13 @@
     /// When the client disconnected or the proxy was killed. No response is due from then on.
     pub excused: Option<Time>,
     /// When the proxy exited on its own. The response is still due.
-    pub proxy_exited: Option<Occurrence>,
+    pub proxy_exited: Option<EventPosition>,
     pub attempts: Vec<Attempt<'a>>,
 }
 
 /// A final response that a client received.
 pub(crate) struct Response<'a> {
-    pub received: Occurrence,
+    pub received: EventPosition,
     pub outcome: &'a ResponseOutcome,
 }
 
@@ -65,7 +65,7 @@
 
 /// An attempt for which no client sent a request.
 pub(crate) struct StrayAttempt<'a> {
-    pub received: Occurrence,
+    pub received: EventPosition,
     /// The request id that the attempt states.
     pub request: &'a str,
 }
@@ -92,7 +92,7 @@
         }
         let mut builder = Builder::default();
         for (event, (at, seen)) in history.events.iter().enumerate() {
-            builder.add(Occurrence { event, at: *at }, seen)?;
+            builder.add(EventPosition { event, at: *at }, seen)?;
         }
         if builder.index.requests.is_empty() {
             return Err(CheckError::NoRequest);
@@ -119,7 +119,7 @@
 }
 
 impl<'a> Builder<'a> {
-    fn add(&mut self, when: Occurrence, seen: &'a HistoryEvent) -> Result<(), CheckError> {
+    fn add(&mut self, when: EventPosition, seen: &'a HistoryEvent) -> Result<(), CheckError> {
         match seen {
             HistoryEvent::ConfigActivated { proxy, limits } => {
                 self.active.insert(proxy, limits);
@@ -157,13 +157,13 @@
         Ok(())
     }
 
-    fn request(&mut self, when: Occurrence, id: &str) -> Result<&mut Request<'a>, CheckError> {
+    fn request(&mut self, when: EventPosition, id: &str) -> Result<&mut Request<'a>, CheckError> {
         self.index.requests.get_mut(id).ok_or(CheckError::UnknownSubject(when.event))
     }
 
     fn request_sent(
         &self,
-        sent: Occurrence,
+        sent: EventPosition,
         proxy: &'a str,
         class: &str,
         budget: Time,
@@ -185,7 +185,7 @@
         })
     }
 
-    fn proxy_ended(&mut self, when: Occurrence, proxy: &str, how: ProxyEnd) {
+    fn proxy_ended(&mut self, when: EventPosition, proxy: &str, how: ProxyEnd) {
         let of_proxy = self.index.requests.values_mut().filter(|request| request.proxy == proxy);
         for request in of_proxy.filter(|request| request.responses.is_empty()) {
             match how {
@@ -201,7 +201,7 @@
 
     fn attempt_received(
         &mut self,
-        when: Occurrence,
+        when: EventPosition,
         id: &'a str,
         attempt: Attempt<'a>,
     ) -> Option<AttemptPosition<'a>> {
@@ -215,7 +215,7 @@
 
     fn attempt_ended(
         &mut self,
-        when: Occurrence,
+        when: EventPosition,
         attempt: u64,
         end: &'a AttemptEnd,
     ) -> Result<(), CheckError> {
--- a/crates/membership/src/golden_tests.rs
+++ b/crates/membership/src/golden_tests.rs
@@ -178,8 +178,8 @@
             }
         }
         if now_ms == LEAVES_AT_MS {
-            let roster = members[1].members();
-            let believed: Vec<_> = roster.iter().map(|entry| (&*entry.name, entry.state)).collect();
+            let member_list = members[1].members();
+            let believed: Vec<_> = member_list.iter().map(|entry| (&*entry.name, entry.state)).collect();
             assert_eq!(believed, [("n1", MemberState::Alive), ("n2", MemberState::Alive)]);
             members[0].leave(now, &mut out);
         }
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -13,7 +13,7 @@
 
 impl LocalHealth {
     /// Worsens the score after this member was late or had to refute a suspicion.
-    pub(crate) fn worsen(&mut self, by: u32) {
+    pub(crate) fn degrade(&mut self, by: u32) {
         self.0 = self.0.saturating_add(by).min(MAX_SCORE);
     }
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -23,7 +23,7 @@
 use crate::identity::MemberId;
 use crate::join_admission::JoinAdmission;
 use crate::record::{MemberRecord, MemberState, PartitionSide};
-use crate::roster::Roster;
+use crate::roster::MemberList;
 use crate::settings::{Settings, SettingsError};
 use crate::suspicions::{Suspicion, Suspicions};
 use crate::swim::{Swim, SwimParameters};
@@ -35,8 +35,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The interval at which the roster is compared with the state of SWIM even if no event reports a
-/// change, since SWIM reports no event for a suspicion that other members gossip.
+/// The interval at which the member list is compared with the state of SWIM even if no event
+/// reports a change, since SWIM reports no event for a suspicion that other members gossip.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// An action that the driver has to carry out.
@@ -58,7 +58,7 @@
     Swim(foca::Timer<MemberId>),
     /// Contacts the configured peers.
     Discover,
-    /// Compares the roster with the state of SWIM.
+    /// Compares the member list with the state of SWIM.
     Refresh,
     /// Announces this process to the other process with the same name.
     NameConflict,
@@ -82,7 +82,7 @@
     swim: Swim,
     timers: Timers<TimerKind>,
     health: LocalHealth,
-    roster: Roster,
+    member_list: MemberList,
     suspicions: Suspicions,
     side: PartitionSide,
     local_state: LocalState,
@@ -121,7 +121,7 @@
         timers.set(now, TimerKind::Discover);
         timers.set(now + REFRESH_INTERVAL, TimerKind::Refresh);
         let unseen_peers = settings.peers.clone();
-        let roster = Roster::default();
+        let member_list = MemberList::default();
         Ok(Membership {
             local_id,
             seed,
@@ -129,8 +129,8 @@
             swim,
             timers,
             health: LocalHealth::default(),
-            side: roster.side(unseen_peers.len()),
-            roster,
+            side: member_list.side(unseen_peers.len()),
+            member_list,
             suspicions: Suspicions::default(),
             local_state: LocalState::SoleHolder,
             started_at: now,
@@ -157,7 +157,7 @@
                 TimerKind::Refresh => {
                     // Removes the names that were admitted from a message that SWIM then rejected.
                     self.swim.prune_admission();
-                    self.refresh_roster(out);
+                    self.refresh_member_list(out);
                     self.timers.set(now + REFRESH_INTERVAL, TimerKind::Refresh);
                 }
                 TimerKind::NameConflict => self.handle_name_conflict_timer(out),
@@ -186,7 +186,7 @@
         self.advance_clock(now, out);
         self.timers.retain(|timer| !matches!(timer, TimerKind::Discover));
         self.discover_peers(out);
-        self.refresh_roster(out);
+        self.refresh_member_list(out);
         Ok(())
     }
 
@@ -211,7 +211,7 @@
             incarnation: self.swim.incarnation(),
             since: self.started_at,
         };
-        let mut members: Vec<MemberRecord> = self.roster.records().cloned().collect();
+        let mut members: Vec<MemberRecord> = self.member_list.records().cloned().collect();
         members.push(local);
         members.sort_by(|a, b| a.name.cmp(&b.name));
         members
--- a/crates/membership/src/membership/name_conflict.rs
+++ b/crates/membership/src/membership/name_conflict.rs
@@ -122,7 +122,7 @@
             self.timers.retain(|timer| !matches!(timer, TimerKind::Swim(_)));
         }
         if changed.is_some() {
-            self.refresh_roster(out);
+            self.refresh_member_list(out);
         }
     }
 
@@ -142,7 +142,7 @@
         if was_superseded {
             self.rejoin_as_successor_of(&other.id, out);
         }
-        self.refresh_roster(out);
+        self.refresh_member_list(out);
     }
 
     /// Rejoins with a start after that of the later process. Members that knew the later process
--- a/crates/membership/src/membership/process_pause.rs
+++ b/crates/membership/src/membership/process_pause.rs
@@ -38,7 +38,7 @@
             return;
         }
         let extra_penalty = pause.as_secs().min(MAX_EXTRA_HEALTH_PENALTY);
-        self.health.worsen(1 + extra_penalty as u32);
+        self.health.degrade(1 + extra_penalty as u32);
         self.counters.pauses += 1;
         out.push(Output::MembershipEvent(MembershipEvent::Paused(pause)));
     }
--- a/crates/membership/src/membership/suspicion_end.rs
+++ b/crates/membership/src/membership/suspicion_end.rs
@@ -38,7 +38,7 @@
 
     /// Notifies a member that it is suspected, so that it can refute the suspicion.
     pub(super) fn notify_suspect(&mut self, suspicion: Suspicion, out: &mut Vec<Output>) {
-        self.refresh_roster(out);
+        self.refresh_member_list(out);
         if !self.suspicions.holds(&suspicion) {
             return;
         }
@@ -49,7 +49,7 @@
 
     /// Declares a member failed if it has not refuted the suspicion.
     pub(super) fn end_suspicion(&mut self, suspicion: Suspicion, out: &mut Vec<Output>) {
-        self.refresh_roster(out);
+        self.refresh_member_list(out);
         if !self.suspicions.holds(&suspicion) {
             return;
         }
--- a/crates/membership/src/membership/swim_effects.rs
+++ b/crates/membership/src/membership/swim_effects.rs
@@ -10,7 +10,7 @@
 
 impl Membership {
     /// Passes a due timer back to SWIM, carries out the outputs, and removes the members that SWIM
-    /// no longer remembers from the roster.
+    /// no longer remembers from the member list.
     pub(super) fn handle_swim_timer(&mut self, timer: foca::Timer<MemberId>, out: &mut Vec<Output>) {
         let removes_member = matches!(timer, foca::Timer::RemoveDown(_));
         self.swim.handle_timer(timer);
@@ -18,7 +18,7 @@
         if removes_member {
             self.swim.prune_admission();
             let remembered = self.swim.members().map(|member| member.id().name_hash()).collect();
-            let events = self.roster.retain_members(&remembered);
+            let events = self.member_list.retain_members(&remembered);
             out.extend(events.into_iter().map(Output::MembershipEvent));
         }
     }
@@ -39,7 +39,7 @@
                 SwimEvent::Probed => has_probed = true,
                 SwimEvent::Refuted => {
                     self.counters.refuted += 1;
-                    self.health.worsen(1);
+                    self.health.degrade(1);
                 }
                 SwimEvent::Rejoined(id) => {
                     self.local_id = id;
@@ -56,15 +56,15 @@
             self.health.improve();
         }
         if has_changed {
-            self.refresh_roster(out);
+            self.refresh_member_list(out);
         }
     }
 
-    /// Updates the roster to the present state of SWIM, and reports each change and the side of a
-    /// partition.
-    pub(super) fn refresh_roster(&mut self, out: &mut Vec<Output>) {
+    /// Updates the member list to the present state of SWIM, and reports each change and the side of
+    /// a partition.
+    pub(super) fn refresh_member_list(&mut self, out: &mut Vec<Output>) {
         self.track_suspicions();
-        let events = self.roster.update(self.now, self.swim.members());
+        let events = self.member_list.update(self.now, self.swim.members());
         let has_changed = !events.is_empty();
         for event in events {
             if let MembershipEvent::MemberChanged { record, .. } = &event {
@@ -78,7 +78,7 @@
         let side = if self.is_superseded() {
             PartitionSide::Alone
         } else {
-            self.roster.side(self.unseen_peers.len())
+            self.member_list.side(self.unseen_peers.len())
         };
         if side != self.side {
             self.side = side;
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,4 +1,4 @@
-//! [`Roster`]: the records of all other members, which are updated from the state of SWIM and
+//! [`MemberList`]: the records of all other members, which are updated from the state of SWIM and
 //! determine the side of a partition.
 
 use crate::events::MembershipEvent;
@@ -10,12 +10,12 @@
 
 /// The records of all members except this one.
 #[derive(Debug, Default)]
-pub(crate) struct Roster {
+pub(crate) struct MemberList {
     /// The records by the hash of the member's name.
     records: BTreeMap<u128, MemberRecord>,
 }
 
-impl Roster {
+impl MemberList {
     /// Updates the records from the state of SWIM and returns an event for each change.
     pub(crate) fn update<'a>(
         &mut self,
--- a/crates/policy-consensus/src/node/join.rs
+++ b/crates/policy-consensus/src/node/join.rs
@@ -25,12 +25,12 @@
     /// Register the storage of the voter with the other voters.
     RegisterStorage { voter: VoterId, storage_id: StorageId },
     /// Have the accepted state agreed again, or create the first state.
-    SettleState(Founding),
+    ProposeState(StateCreation),
 }
 
 /// Whether a voter may create the first state of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Founding {
+enum StateCreation {
     Allowed,
     Forbidden,
 }
@@ -46,7 +46,7 @@
                     self.register_with_others(voter, storage_id).await;
                     self.recover_vote();
                 }
-                JoinStep::SettleState(founding) => self.settle_state(founding).await,
+                JoinStep::ProposeState(creation) => self.propose_state(creation).await,
             }
             sleep(self.jittered(CHECK_INTERVAL)).await;
         }
@@ -82,13 +82,17 @@
             return JoinStep::Wait;
         }
         let are_all_registered = durable.storage_ids.len() == self.settings.voters.size();
-        JoinStep::SettleState(if are_all_registered { Founding::Allowed } else { Founding::Forbidden })
+        JoinStep::ProposeState(if are_all_registered {
+            StateCreation::Allowed
+        } else {
+            StateCreation::Forbidden
+        })
     }
 
-    async fn settle_state(self: &Arc<Self>, founding: Founding) {
+    async fn propose_state(self: &Arc<Self>, creation: StateCreation) {
         let initial = ReplicatedState::initial(&self.settings.initial_policy);
         let transition = |state: Option<&ReplicatedState>| {
-            if state.is_none() && founding == Founding::Allowed {
+            if state.is_none() && creation == StateCreation::Allowed {
                 Transition::Next(initial.clone())
             } else {
                 Transition::Keep
--- a/crates/quota/src/voter.rs
+++ b/crates/quota/src/voter.rs
@@ -141,7 +141,7 @@
     /// so the known view is dropped.
     fn promise(&mut self, now: Timestamp, request: &VoteRequest, settings: &Settings) -> Option<Ballot> {
         self.promised = request.ballot;
-        self.vote = Vote::cast(now, request.ballot.proposer, settings);
+        self.vote = Vote::new(now, request.ballot.proposer, settings);
         let proposed = request.proposed_view.clone()?;
         let view_ballot = proposed.ballot;
         self.accepted = Some(AcceptedView { ballot: request.ballot, view: proposed });
--- a/crates/quota/src/voter/vote.rs
+++ b/crates/quota/src/voter/vote.rs
@@ -26,7 +26,7 @@
     /// Reason: the candidate counts the duration from the sending of its request, which was
     /// earlier. The clock skew is added because the voter's clock may be the faster one.
     /// Source: PaxosLease (Trencseni, Gazso and Reinhardt 2012).
-    pub(super) fn cast(now: Timestamp, candidate: Process, settings: &Settings) -> Vote {
+    pub(super) fn new(now: Timestamp, candidate: Process, settings: &Settings) -> Vote {
         Vote::Cast { candidate, expires_at: now + settings.with_skew(settings.vote_duration) }
     }
 
--- a/crates/test-harness/src/fault_proxy/datagram.rs
+++ b/crates/test-harness/src/fault_proxy/datagram.rs
@@ -22,7 +22,7 @@
 
 /// The order in which datagrams arrive: by time, then by the order of sending.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Arrival {
+struct ArrivalOrder {
     due: Instant,
     sequence: u64,
 }
@@ -41,7 +41,7 @@
     faults: BTreeMap<Path, PathFaults>,
     counts: BTreeMap<Path, PathCounts>,
     rng: StdRng,
-    in_flight: BTreeMap<Arrival, Datagram>,
+    in_flight: BTreeMap<ArrivalOrder, Datagram>,
     /// The number of datagrams that have been put in flight.
     sequence: u64,
 }
@@ -67,7 +67,7 @@
             let bytes = self.corrupt(bytes, faults.corrupted);
             let due = Instant::now() + self.draw_delay(&faults);
             self.sequence += 1;
-            let arrival = Arrival { due, sequence: self.sequence };
+            let arrival = ArrivalOrder { due, sequence: self.sequence };
             self.in_flight.insert(arrival, Datagram { path, bytes });
         }
     }
--- a/src/logic/balancer/attempts.rs
+++ b/src/logic/balancer/attempts.rs
@@ -44,7 +44,7 @@
         // starts no other attempt if one is in flight already or the request is queued.
         let must_wait = pending.stage != Stage::InFlight || pending.has_attempt_in_flight();
         if end.outcome == Outcome::Ok {
-            if let Some(fetch) = self.fetches.take_led_by(end.id, key) {
+            if let Some(fetch) = self.fetches.remove_if_leader(end.id, key) {
                 self.finish_fetch(fetch, out);
             }
         }
--- a/src/logic/balancer/requests.rs
+++ b/src/logic/balancer/requests.rs
@@ -259,7 +259,7 @@
         if pending.stage != Stage::InFlight {
             self.queue.remove(id);
         }
-        if let Some(fetch) = self.fetches.take_led_by(id, pending.request.key) {
+        if let Some(fetch) = self.fetches.remove_if_leader(id, pending.request.key) {
             for waiter in fetch.waiters {
                 self.route(waiter, out);
             }
--- a/src/net/body_stream.rs
+++ b/src/net/body_stream.rs
@@ -49,7 +49,7 @@
 
 /// The content of the window at one moment.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum ReceiveOutcome {
     /// The window contained these bytes; more may follow.
     Bytes(Vec<u8>),
     /// The window is empty, but more may follow.
@@ -123,18 +123,18 @@
     }
 
     /// Takes all bytes from the window, or reports why it is empty.
-    pub fn receive(&self) -> Piece {
+    pub fn receive(&self) -> ReceiveOutcome {
         let mut state = lock(&self.0);
         if state.bytes.is_empty() {
             return match state.progress {
-                Progress::Open => Piece::Pending,
-                Progress::Complete => Piece::End,
-                Progress::Broken => Piece::Broken,
+                Progress::Open => ReceiveOutcome::Pending,
+                Progress::Complete => ReceiveOutcome::End,
+                Progress::Broken => ReceiveOutcome::Broken,
             };
         }
         let bytes = std::mem::take(&mut state.bytes);
         state.signal_space();
-        Piece::Bytes(bytes)
+        ReceiveOutcome::Bytes(bytes)
     }
 }
 
--- a/src/net/body_stream/tests.rs
+++ b/src/net/body_stream/tests.rs
@@ -16,13 +16,13 @@
     let mut longest = 0;
     loop {
         match receiver.receive() {
-            Piece::Bytes(bytes) => {
+            ReceiveOutcome::Bytes(bytes) => {
                 longest = longest.max(bytes.len());
                 body.extend(bytes);
             }
-            Piece::Pending => thread::yield_now(),
-            Piece::End => break,
-            Piece::Broken => panic!("a value that was sent completely is reported as broken"),
+            ReceiveOutcome::Pending => thread::yield_now(),
+            ReceiveOutcome::End => break,
+            ReceiveOutcome::Broken => panic!("a value that was sent completely is reported as broken"),
         }
     }
     sending.join().unwrap();
@@ -35,7 +35,10 @@
     let (sender, receiver) = channel();
     sender.send(b"half").unwrap();
     drop(sender);
-    assert_eq!((receiver.receive(), receiver.receive()), (Piece::Bytes(b"half".to_vec()), Piece::Broken));
+    assert_eq!(
+        (receiver.receive(), receiver.receive()),
+        (ReceiveOutcome::Bytes(b"half".to_vec()), ReceiveOutcome::Broken)
+    );
     let (sender, receiver) = channel();
     sender.send(&[0; WINDOW_BYTES]).unwrap();
     let sending = thread::spawn(move || sender.send(b"more"));
--- a/src/net/client/connection/output.rs
+++ b/src/net/client/connection/output.rs
@@ -2,7 +2,7 @@
 //! [`Connection::write`] first.
 
 use super::{Connection, EncodedResponse, REQUEST_OVERHEAD_BYTES};
-use crate::net::body_stream::{Piece, WINDOW_BYTES};
+use crate::net::body_stream::{ReceiveOutcome, WINDOW_BYTES};
 use pinetrail_codec::memcache;
 use std::io::{self, ErrorKind, Write};
 use std::sync::{Arc, PoisonError};
@@ -83,10 +83,10 @@
     fn take_piece(&mut self) -> bool {
         let Some(body) = &self.body else { return true };
         match body.receive() {
-            Piece::Bytes(bytes) => self.output.extend(bytes),
-            Piece::Pending => return false,
-            Piece::Broken => self.body_broken = true,
-            Piece::End => {
+            ReceiveOutcome::Bytes(bytes) => self.output.extend(bytes),
+            ReceiveOutcome::Pending => return false,
+            ReceiveOutcome::Broken => self.body_broken = true,
+            ReceiveOutcome::End => {
                 self.output.extend_from_slice(memcache::LINE_END);
                 self.body = None;
                 self.finish_first();
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -217,7 +217,7 @@
         let Some(disconnecting) = self.disconnecting() else { return };
         let now = self.descriptors.now();
         self.with_registry(|registry| {
-            registry.wake_where(|id, arrived| disconnecting.is_due(id, arrived, now));
+            registry.wake_matching(|id, arrived| disconnecting.is_due(id, arrived, now));
         });
     }
 
--- a/src/net/client/registry.rs
+++ b/src/net/client/registry.rs
@@ -128,7 +128,7 @@
     }
 
     /// Wakes the connections that match, by their id and time of arrival.
-    pub(super) fn wake_where(&self, matches: impl Fn(ConnectionId, Timestamp) -> bool) {
+    pub(super) fn wake_matching(&self, matches: impl Fn(ConnectionId, Timestamp) -> bool) {
         for (id, handle) in &self.handles {
             if matches(*id, handle.arrived) {
                 handle.wake();
--- a/src/state/fetch.rs
+++ b/src/state/fetch.rs
@@ -38,7 +38,7 @@
     }
 
     /// Removes and returns the fetch of a key, if this request makes it.
-    pub(crate) fn take_led_by(&mut self, leader: RequestId, key: Key) -> Option<OriginFetch> {
+    pub(crate) fn remove_if_leader(&mut self, leader: RequestId, key: Key) -> Option<OriginFetch> {
         self.0.get(&key).filter(|fetch| fetch.leader == leader)?;
         self.0.remove(&key)
     }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -30,8 +30,8 @@
     fetches.begin(Key::NONE, RequestId(1), BackendId(7));
     assert!(fetches.get(Key::NONE).is_none());
     fetches.begin(Key(5), RequestId(1), BackendId(7));
-    assert!(fetches.take_led_by(RequestId(2), Key(5)).is_none());
-    assert_eq!(fetches.take_led_by(RequestId(1), Key(5)).map(|fetch| fetch.node), Some(BackendId(7)));
+    assert!(fetches.remove_if_leader(RequestId(2), Key(5)).is_none());
+    assert_eq!(fetches.remove_if_leader(RequestId(1), Key(5)).map(|fetch| fetch.node), Some(BackendId(7)));
     assert!(fetches.get(Key(5)).is_none());
 }
 
